--- a/core/balance/rest_test.go
+++ b/core/balance/backoff_test.go
@@ -12,32 +12,32 @@
 	"guavapaddle/core/throttle"
 )
 
-func TestAServerThatRestsIsNeverPicked(t *testing.T) {
-	p := picture(engine("a", false, "a1"), engine("b", false, "a1"))
+func TestServerInBackoffIsNotPicked(t *testing.T) {
+	p := newPicker(engine("a", false, "a1"), engine("b", false, "a1"))
 	r := balance.Request{Service: "llm", Model: "m", Adapter: "a1"}
 	p.Rest("a", now.Add(2*time.Second))
-	p.Rest("a", now.Add(time.Second)) // a shorter one doesn't end the longer one
+	p.Rest("a", now.Add(time.Second)) // a shorter backoff doesn't replace a longer one
 	require.Equal(t, []string{"a"}, p.Resting(now.Add(1500*time.Millisecond), "llm"))
 	for range 20 {
-		c, why := p.Pick(now.Add(1500*time.Millisecond), r)
-		require.Equal(t, balance.Picked, why)
+		c, reason := p.Pick(now.Add(1500*time.Millisecond), r)
+		require.Equal(t, balance.Picked, reason)
 		require.Equal(t, "b", c.Server.ID)
 	}
 	p.Rest("b", now.Add(3*time.Second))
-	c, why := p.Pick(now, r)
-	require.Equal(t, balance.Resting, why)
+	c, reason := p.Pick(now, r)
+	require.Equal(t, balance.Resting, reason)
 	require.Equal(t, 2*time.Second, c.Wait)
-	_, why = p.Pick(now.Add(2*time.Second), r)
-	require.Equal(t, balance.Picked, why)
+	_, reason = p.Pick(now.Add(2*time.Second), r)
+	require.Equal(t, balance.Picked, reason)
 	p.Rest("gone", now)
 }
 
-// TestWhatAServerAskedForOutlivesALapseOfItsEntry takes the server off the list while the
-// store has lost its entry, and puts it back.
-func TestWhatAServerAskedForOutlivesALapseOfItsEntry(t *testing.T) {
+// TestBackoffAndLimitSurviveLostEntry removes a server from the list, as happens when the store
+// loses its entry, and adds it again.
+func TestBackoffAndLimitSurviveLostEntry(t *testing.T) {
 	a := engine("a", false)
 	a.Born = 1
-	p := picture(a)
+	p := newPicker(a)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 500}
 	p.Rest("a", now.Add(time.Second))
 	p.LearnLimit("a", throttle.Named(now, 1.5))
@@ -53,7 +53,7 @@
 	p.Update(nil)
 	a.Born = 2
 	p.Update([]fleet.Server{a})
-	require.Empty(t, p.Resting(now, "llm"), "it has started again")
+	require.Empty(t, p.Resting(now, "llm"), "the server has restarted")
 	require.Empty(t, p.KnownLimits(now))
 	for i := range 1000 {
 		p.Update([]fleet.Server{engine(fmt.Sprint(i), false)})
--- a/core/balance/doc.go
+++ b/core/balance/doc.go
@@ -1,37 +1,39 @@
-// Package balance decides which backend server gets a request, from a picture
-// of all of them that is exact in what the node itself has sent and late in
+// Package balance picks the backend server for a request. It tracks the load of
+// every server: exactly for the requests that this node sent, with a delay for
 // everything else.
 //
 // # Method
 //
-// The picture keeps for each server the requests that this node has there, in
-// two states: pending until the first byte of the answer, then running. What
-// other nodes have there comes in digests; what the server says of itself comes
-// with its answers. Where they differ the larger count holds: a request that
-// is on its way is in no report yet.
+// For each server the picker counts the requests that this node has there, in
+// two states: pending until the first byte of the answer, then running. The
+// counts of other nodes come in load reports, and the server's own counts come
+// with its answers. Where they differ the larger count is used, because a request
+// that is still on its way is in no report yet.
 //
-// The cost of a server is the time until it would begin the request. A model
-// engine reads prompts one after the other, so the cost is the prompt tokens
-// that are pending there, and the request's own tokens that the engine doesn't
-// keep yet, divided by the rate at which it reads. A plain service is judged by
-// its requests in flight for each slot. The cost is scaled by how much slower
-// than its peers the server has answered lately.
+// The cost of a server is the estimated time until it starts the request. A model
+// engine reads prompts one after the other, so the cost is the number of prompt
+// tokens that are pending there, plus the tokens of the request that the engine
+// has not cached, divided by the rate at which it reads prompts. For a plain
+// service the cost depends on the number of requests in flight for each slot. The
+// cost is scaled by how much slower than estimated the server has recently
+// answered.
 //
-// Of Choices servers drawn at random the cheapest is picked (Mitzenmacher 2001,
-// "The power of two choices in randomized load balancing"): nodes that act on
-// the same late digest would otherwise all pick the same server.
+// The cheapest of Choices randomly drawn servers is picked (Mitzenmacher 2001,
+// "The power of two choices in randomized load balancing"). Otherwise all nodes
+// that act on the same delayed load report would pick the same server.
 //
-// A server that names a rate in its answers gets no more than that (package throttle): all of it
-// from a scheduler, a share from nodes that pick by themselves.
+// A server that names a rate limit in its answers gets no more than that (package
+// throttle): a scheduler may use the whole rate, nodes that pick on their own
+// share a fraction of it.
 //
-// A server that failed is avoided for a time that doubles with each failure in
-// a row, unless all others are avoided too.
+// A server that failed is avoided for a time that doubles with each consecutive
+// failure, unless all other servers are avoided too.
 //
 // # Usage
 //
 //	p := balance.New(rand.New(rand.NewPCG(1, 2)))
-//	p.Update(now, servers)
-//	c, why := p.Pick(now, balance.Request{Service: "drafter", Model: "m1", Tokens: 900})
+//	p.Update(servers)
+//	c, reason := p.Pick(now, balance.Request{Service: "drafter", Model: "m1", Tokens: 900})
 //	t := p.Sent(now, c.Server.ID, request)
 //	p.First(now, t)
 //	p.Done(now, t, balance.Good)
--- a/core/balance/picture_test.go
+++ b/core/balance/picker_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Unix(1000, 0)
 
-func picture(servers ...fleet.Server) *balance.Picture {
+func newPicker(servers ...fleet.Server) *balance.Picture {
 	p := balance.New(rand.New(rand.NewPCG(1, 2)))
 	p.Update(servers)
 	return p
@@ -24,12 +24,12 @@
 		Held: []fleet.Held{{Model: "m", Adapters: adapters}}}
 }
 
-func TestPickTellsWhatIsMissing(t *testing.T) {
-	p := picture(engine("a", false, "a1"), engine("b", true, "a2"))
+func TestPickReportsReason(t *testing.T) {
+	p := newPicker(engine("a", false, "a1"), engine("b", true, "a2"))
 	for _, x := range []struct {
-		r    balance.Request
-		why  balance.Why
-		want string
+		r      balance.Request
+		reason balance.Why
+		want   string
 	}{
 		{balance.Request{Service: "llm", Model: "m", Adapter: "a1"}, balance.Picked, "a"},
 		{balance.Request{Service: "llm", Model: "m", Adapter: "a2"}, balance.NoAdapter, ""},
@@ -37,20 +37,20 @@
 		{balance.Request{Service: "none"}, balance.NoServer, ""},
 		{balance.Request{Service: "llm", Model: "m", Exclude: map[string]bool{"a": true}}, balance.NoServer, ""},
 	} {
-		c, why := p.Pick(now, x.r)
-		require.Equal(t, x.why, why)
+		c, reason := p.Pick(now, x.r)
+		require.Equal(t, x.reason, reason)
 		require.Equal(t, x.want, c.Server.ID)
 	}
 }
 
-func TestALeavingServerIsNeverPicked(t *testing.T) {
-	p := picture(engine("a", true))
-	_, why := p.Pick(now, balance.Request{Service: "llm", Model: "m"})
-	require.Equal(t, balance.NoServer, why)
+func TestLeavingServerIsNotPicked(t *testing.T) {
+	p := newPicker(engine("a", true))
+	_, reason := p.Pick(now, balance.Request{Service: "llm", Model: "m"})
+	require.Equal(t, balance.NoServer, reason)
 }
 
-func TestAServerThatFailedIsAvoidedWhileOthersAreThere(t *testing.T) {
-	p := picture(engine("a", false), engine("b", false))
+func TestFailedServerIsAvoided(t *testing.T) {
+	p := newPicker(engine("a", false), engine("b", false))
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
 	p.Done(now, p.Sent(now, "a", r), balance.Broken)
 	for range 20 {
@@ -58,12 +58,12 @@
 		require.Equal(t, "b", c.Server.ID)
 	}
 	p.Done(now, p.Sent(now, "b", r), balance.Broken)
-	_, why := p.Pick(now, r)
-	require.Equal(t, balance.Picked, why, "if all are avoided one of them is used")
+	_, reason := p.Pick(now, r)
+	require.Equal(t, balance.Picked, reason, "if all are avoided, one of them is still used")
 }
 
-func TestPromptsThatWaitElsewhereCount(t *testing.T) {
-	p := picture(engine("a", false), engine("b", false))
+func TestRemoteCountsAffectPick(t *testing.T) {
+	p := newPicker(engine("a", false), engine("b", false))
 	p.Others(now, map[string]balance.Count{"a": {Pending: 3, Tokens: 6000}})
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
 	c, _ := p.Pick(now, r)
@@ -71,8 +71,8 @@
 	require.Equal(t, time.Duration(0), c.Age)
 }
 
-func TestKeptPartsAreNotReadAgain(t *testing.T) {
-	p := picture(engine("a", false), engine("b", false))
+func TestCachedSegmentsReduceWait(t *testing.T) {
+	p := newPicker(engine("a", false), engine("b", false))
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 1000, Parts: []balance.Part{{ID: "x", Tokens: 800}, {ID: "y", Tokens: 200}}}
 	ticket := p.Sent(now, "a", r)
 	p.First(now, ticket)
@@ -81,19 +81,19 @@
 	next.Parts = []balance.Part{{ID: "x", Tokens: 800}, {ID: "z", Tokens: 200}}
 	c, _ := p.Pick(now, next)
 	require.Equal(t, "a", c.Server.ID)
-	require.InDelta(t, 10, c.Wait.Milliseconds(), 2, "200 tokens at 20 in a millisecond, a little less as it was quick")
+	require.InDelta(t, 10, c.Wait.Milliseconds(), 2, "200 tokens at 20 per millisecond, slightly less because the first answer was fast")
 }
 
-func TestNotesOverlayEntriesForAWhile(t *testing.T) {
-	p := picture(engine("a", false))
+func TestResidencyUpdateExpires(t *testing.T) {
+	p := newPicker(engine("a", false))
 	r := balance.Request{Service: "llm", Model: "m", Adapter: "a9"}
-	_, why := p.Pick(now, r)
-	require.Equal(t, balance.NoAdapter, why)
+	_, reason := p.Pick(now, r)
+	require.Equal(t, balance.NoAdapter, reason)
 	p.Note(now, "a", "m", "a9", true)
-	_, why = p.Pick(now, r)
-	require.Equal(t, balance.Picked, why)
-	_, why = p.Pick(now.Add(time.Minute), r)
-	require.Equal(t, balance.NoAdapter, why)
+	_, reason = p.Pick(now, r)
+	require.Equal(t, balance.Picked, reason)
+	_, reason = p.Pick(now.Add(time.Minute), r)
+	require.Equal(t, balance.NoAdapter, reason)
 }
 
 func BenchmarkPickRoom(b *testing.B) {
@@ -101,19 +101,19 @@
 	for i := range 90 {
 		servers = append(servers, engine(string(rune('a'+i%26))+string(rune('a'+i/26)), false))
 	}
-	p := picture(servers...)
+	p := newPicker(servers...)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 1000}
 	for b.Loop() {
 		p.PickRoom(now, r, 2000, 0.85)
 	}
 }
 
-// TestThePaceOfAModelIsLearned plays a model whose prompts are read three times
-// as fast as another's.
-func TestThePaceOfAModelIsLearned(t *testing.T) {
+// TestRelativePrefillTimeIsLearned simulates two models, one of which has its prompts read three
+// times as fast.
+func TestRelativePrefillTimeIsLearned(t *testing.T) {
 	s := engine("a", false)
 	s.Held = append(s.Held, fleet.Held{Model: "fast"})
-	p := picture(s)
+	p := newPicker(s)
 	at := now
 	for range 60 {
 		for model, took := range map[string]time.Duration{"m": 62 * time.Millisecond, "fast": 28 * time.Millisecond} {
@@ -128,7 +128,7 @@
 	require.EqualValues(t, 1, p.Pace("unknown"))
 }
 
-func TestWhatAGranterCountsIsToldApart(t *testing.T) {
+func TestCountsByGranter(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p := balance.New(rand.New(rand.NewPCG(1, 2)))
 	p.Update([]fleet.Server{{ID: "a", Service: "llm", Slots: 8, Held: []fleet.Held{{Model: "m"}}}})
@@ -141,7 +141,7 @@
 		tickets = append(tickets, ticket)
 	}
 	require.Equal(t, balance.Count{Running: 4, Granted: 2}, p.Own(7)["a"])
-	require.Equal(t, balance.Count{Running: 4, Granted: 1}, p.Own(6)["a"], "as the granter before would count")
+	require.Equal(t, balance.Count{Running: 4, Granted: 1}, p.Own(6)["a"], "count of the previous granter")
 	p.Done(start, tickets[2], balance.Good)
 	require.Equal(t, balance.Count{Running: 3, Granted: 1}, p.Own(7)["a"])
 	for _, i := range []int{0, 1, 3} {
@@ -150,13 +150,13 @@
 	require.Empty(t, p.Own(7))
 }
 
-// TestAServerThatStartsAgainUnderItsIDIsNew checks that neither failures nor notes
-// nor counts of the earlier start are left, and that requests of that start end
-// without being taken off the new one's count.
-func TestAServerThatStartsAgainUnderItsIDIsNew(t *testing.T) {
+// TestRestartedServerIsNew checks that a server which restarts under its ID keeps no failures,
+// residency updates or counts of the previous run, and that requests of that run don't reduce the
+// new counts when they end.
+func TestRestartedServerIsNew(t *testing.T) {
 	first := engine("a", false)
 	first.Born = 1000
-	p := picture(first)
+	p := newPicker(first)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
 	running, failed := p.Sent(now, "a", r), p.Sent(now, "a", r)
 	p.Done(now, failed, balance.Broken)
@@ -171,18 +171,18 @@
 		c, _ := p.Pick(now, r)
 		picked[c.Server.ID] = true
 	}
-	require.True(t, picked["a"], "it isn't avoided")
+	require.True(t, picked["a"], "the restarted server isn't avoided")
 	p.Sent(now, "a", r)
 	p.Done(now, running, balance.Broken)
 	require.Equal(t, 1, p.Own(0)["a"].Pending)
 }
 
-// TestAmongEqualsTheOwnDataCentreIsPicked checks both ways to pick, since bytes
-// between data centres are slower and dear.
-func TestAmongEqualsTheOwnDataCentreIsPicked(t *testing.T) {
-	near, far := engine("a", false), engine("b", false)
-	far.Zone = "elsewhere"
-	p := picture(near, far)
+// TestOwnDataCentreIsPreferred checks both ways to pick. Traffic between data centres is slower and
+// expensive.
+func TestOwnDataCentreIsPreferred(t *testing.T) {
+	local, remote := engine("a", false), engine("b", false)
+	remote.Zone = "elsewhere"
+	p := newPicker(local, remote)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 800, Zone: "z"}
 	for range 20 {
 		c, _ := p.Pick(now, r)
@@ -194,5 +194,5 @@
 		p.Sent(now, "a", r)
 	}
 	c, _ := p.Pick(now, r)
-	require.Equal(t, "b", c.Server.ID, "a longer wait weighs more")
+	require.Equal(t, "b", c.Server.ID, "the wait outweighs the other data centre")
 }
--- a/core/balance/ticket.go
+++ b/core/balance/ticket.go
@@ -3,172 +3,174 @@
 import "time"
 
 const (
-	// paceFirst is the time from a send to the first byte beside the reading of
-	// the prompt: the way, and the first steps of the engine.
-	paceFirst = 12 * time.Millisecond
-	// paceTokens is how long a prompt must be for its time to tell the pace.
-	paceTokens = 400
-	// paceLeast and paceMost bound what is learned; models differ by a factor of
-	// three to four.
-	paceLeast, paceMost = 0.15, 3.0
-	// paceSmoothing is the part of a new sample in a model's learned pace.
-	paceSmoothing = 0.1
-	// avoidFirst and avoidMost bound how long a failed server is avoided.
-	avoidFirst = 400 * time.Millisecond
-	avoidMost  = 5 * time.Second
-	// fullAvoid is how long a server is avoided that had no room.
+	// prefillOverhead is the part of the time to the first byte that is not spent reading the
+	// prompt: network latency and the first steps of the engine.
+	prefillOverhead = 12 * time.Millisecond
+	// minPrefillSample is how many tokens a prompt must have for its latency to be used as a sample
+	// of the prefill time.
+	minPrefillSample = 400
+	// minPrefillTime and maxPrefillTime bound the learned relative prefill time. Models differ by a
+	// factor of three to four.
+	minPrefillTime, maxPrefillTime = 0.15, 3.0
+	// prefillSmoothing is the weight of a new sample in a model's relative prefill time.
+	prefillSmoothing = 0.1
+	// minAvoid and maxAvoid bound how long a server is avoided after a failure.
+	minAvoid = 400 * time.Millisecond
+	maxAvoid = 5 * time.Second
+	// fullAvoid is how long a server is avoided after it reported that it was full.
 	fullAvoid = 400 * time.Millisecond
-	// smoothing is the part of a new sample in a server's learned slowness.
-	smoothing = 0.2
-	// slownessMost bounds the learned slowness, so that one bad sample doesn't
-	// shut a server out.
-	slownessMost = 12.0
+	// slownessSmoothing is the weight of a new sample in a server's learned slowness.
+	slownessSmoothing = 0.2
+	// maxSlowness bounds the learned slowness, so that one bad sample doesn't exclude a server.
+	maxSlowness = 12.0
 )
 
 type (
-	// Ticket is a request that is at a server.
+	// Ticket tracks a request at a server from when it is sent until it ends.
 	Ticket struct {
-		server *server
-		model  string
-		read   int  // prompt tokens that the server has to read
-		alone  bool // nothing else was unread there
-		tokens int  // read, in tokens of a model of pace one
-		sent   time.Time
-		wait   time.Duration
-		first  bool
-		done   bool
-		by     int64 // who granted it and counts it too, 0 for nobody
+		server      *server
+		model       string
+		uncached    int  // prompt tokens that the server had not cached
+		onlyPending bool // no other request was pending there
+		tokens      int  // uncached, scaled to a relative prefill time of one
+		sent        time.Time
+		wait        time.Duration // estimated when the request was sent
+		firstByte   bool
+		done        bool
+		granter     int64 // the granter that counts the request too, 0 for none
 	}
 
-	// Result tells how a request at a server ended.
+	// Result is how a request at a server ended.
 	Result int
 )
 
 const (
 	// Good means that the server answered.
 	Good Result = iota
-	// Full means that the server said that it had no room.
+	// Full means that the server reported that it was full.
 	Full
-	// Broken means that the server could not be reached or broke off.
+	// Broken means that the server could not be reached or that the connection failed.
 	Broken
-	// Dropped means that the client or the node gave the request up.
+	// Dropped means that the client or the node abandoned the request.
 	Dropped
-	// Failed means that the server answered with an error of its own.
+	// Failed means that the server itself answered with an error.
 	Failed
 )
 
-// Sent notes that a request goes to a server. It returns nil if the server is
-// gone, which the other methods take.
+// Sent records that a request is sent to a server. It returns nil if the server is no longer known;
+// the other methods accept a nil ticket.
 func (p *Picture) Sent(now time.Time, id string, r Request) *Ticket {
 	s := p.servers[id]
 	if s == nil {
 		return nil
 	}
-	t := &Ticket{server: s, model: r.Model, read: s.missing(now, r), alone: s.count(now).Pending == 0,
-		tokens: p.work(now, s, r), sent: now, wait: p.wait(now, s, r)}
-	s.own.Pending++
-	s.own.Tokens += t.tokens
+	t := &Ticket{server: s, model: r.Model, uncached: s.uncachedTokens(now, r), onlyPending: s.count(now).Pending == 0,
+		tokens: p.normalizedTokens(now, s, r), sent: now, wait: p.wait(now, s, r)}
+	s.local.Pending++
+	s.local.Tokens += t.tokens
 	s.throttle.Take(now)
-	if len(s.parts) > partsMost {
-		clear(s.parts)
+	if len(s.segments) > maxSegments {
+		clear(s.segments)
 	}
 	for _, part := range r.Parts {
-		s.parts[partKey(r, part)] = now
+		s.segments[segmentKey(r, part)] = now
 	}
 	return t
 }
 
-// First notes the first byte of an answer.
+// First records that the first byte of an answer arrived.
 func (p *Picture) First(now time.Time, t *Ticket) {
-	if t == nil || t.first || t.done {
+	if t == nil || t.firstByte || t.done {
 		return
 	}
-	t.first = true
-	t.server.own.Pending--
-	t.server.own.Tokens -= t.tokens
-	t.server.own.Running++
-	if t.by != 0 {
-		t.server.granted[t.by]++
+	t.firstByte = true
+	t.server.local.Pending--
+	t.server.local.Tokens -= t.tokens
+	t.server.local.Running++
+	if t.granter != 0 {
+		t.server.granted[t.granter]++
 	}
-	t.server.learn(now.Sub(t.sent), t)
-	p.learn(now.Sub(t.sent), t)
+	t.server.learnLatency(now.Sub(t.sent), t)
+	p.learnLatency(now.Sub(t.sent), t)
 }
 
-// learn takes the pace of a model from a prompt that was read alone.
-func (p *Picture) learn(took time.Duration, t *Ticket) {
-	if t.model == "" || !t.alone || t.read < paceTokens {
+// learnLatency updates the relative prefill time of a model from a prompt that was read while
+// no other was pending.
+func (p *Picture) learnLatency(latency time.Duration, t *Ticket) {
+	if t.model == "" || !t.onlyPending || t.uncached < minPrefillSample {
 		return
 	}
-	one := float64(t.read) / promptRate * float64(time.Millisecond)
-	sample := min(max(float64(took-paceFirst)/one, paceLeast), paceMost)
-	p.pace[t.model] = p.Pace(t.model) + paceSmoothing*(sample-p.Pace(t.model))
+	atDefaultRate := float64(t.uncached) / defaultPrefillRate * float64(time.Millisecond)
+	sample := min(max(float64(latency-prefillOverhead)/atDefaultRate, minPrefillTime), maxPrefillTime)
+	p.prefillTime[t.model] = p.Pace(t.model) + prefillSmoothing*(sample-p.Pace(t.model))
 }
 
-// learn compares the time to the first byte with the estimate.
-func (s *server) learn(took time.Duration, t *Ticket) {
+// learnLatency updates the slowness, and the base latency of plain services, from the time to the
+// first byte and its estimate.
+func (s *server) learnLatency(latency time.Duration, t *Ticket) {
 	if t.tokens == 0 && t.wait < 50*time.Millisecond {
-		if s.base == 0 {
-			s.base = took
+		if s.baseLatency == 0 {
+			s.baseLatency = latency
 		}
-		s.base += time.Duration(smoothing * float64(took-s.base))
+		s.baseLatency += time.Duration(slownessSmoothing * float64(latency-s.baseLatency))
 	}
-	ratio := float64(took) / float64(max(t.wait, 40*time.Millisecond))
-	ratio = min(max(ratio, 0.5), slownessMost)
-	s.slowness += smoothing * (ratio*s.slowness - s.slowness)
-	s.slowness = min(max(s.slowness, 0.5), slownessMost)
+	ratio := float64(latency) / float64(max(t.wait, 40*time.Millisecond))
+	ratio = min(max(ratio, 0.5), maxSlowness)
+	s.slowness += slownessSmoothing * (ratio*s.slowness - s.slowness)
+	s.slowness = min(max(s.slowness, 0.5), maxSlowness)
 }
 
-// Pace returns how long a model's prompts take to be read, relative to
-// promptRate; 1 before it was learned.
+// Pace returns how long an engine takes to read a model's prompts, relative to defaultPrefillRate.
+// It is 1 until it has been learned.
 func (p *Picture) Pace(model string) float64 {
-	if v, ok := p.pace[model]; ok {
+	if v, ok := p.prefillTime[model]; ok {
 		return v
 	}
 	return 1
 }
 
-// Granted notes who granted a request's place and counts it until its end. It
-// must be called before First.
-func (t *Ticket) Granted(by int64) {
+// Granted records which granter granted the request and counts it until its end. It must be called
+// before First.
+func (t *Ticket) Granted(granter int64) {
 	if t != nil {
-		t.by = by
+		t.granter = granter
 	}
 }
 
-// Done notes the end of a request at a server.
+// Done records the end of a request at a server.
 func (p *Picture) Done(now time.Time, t *Ticket, r Result) {
 	if t == nil || t.done {
 		return
 	}
 	t.done = true
 	s := t.server
-	if t.first {
-		s.own.Running--
-		s.ungrant(t.by)
+	if t.firstByte {
+		s.local.Running--
+		s.removeGranted(t.granter)
 	} else {
-		s.own.Pending--
-		s.own.Tokens -= t.tokens
+		s.local.Pending--
+		s.local.Tokens -= t.tokens
 	}
 	switch r {
 	case Good:
 		s.failures = 0
-		s.avoid = time.Time{}
+		s.avoidUntil = time.Time{}
 	case Broken, Failed:
 		s.failures++
 		if r == Broken || s.failures > 1 {
-			s.avoid = now.Add(min(avoidFirst<<min(s.failures-1, 8), avoidMost))
+			s.avoidUntil = now.Add(min(minAvoid<<min(s.failures-1, 8), maxAvoid))
 		}
 	case Full:
-		s.avoid = now.Add(fullAvoid)
+		s.avoidUntil = now.Add(fullAvoid)
 	}
 }
 
-// ungrant takes a running request off those that a granter counts.
-func (s *server) ungrant(by int64) {
-	if by == 0 {
+// removeGranted removes a running request from the count of a granter.
+func (s *server) removeGranted(granter int64) {
+	if granter == 0 {
 		return
 	}
-	if s.granted[by]--; s.granted[by] <= 0 {
-		delete(s.granted, by)
+	if s.granted[granter]--; s.granted[granter] <= 0 {
+		delete(s.granted, granter)
 	}
 }
