--- a/core/balance/pick.go
+++ b/core/balance/pick.go
@@ -97,9 +97,9 @@
 }
 
 // PickRoom picks the cheapest of all servers with room for the request. A server has room if at
-// most tokens prompt tokens would be pending there including this request, or if no request is
-// pending there, and if less than the fraction maxSlotFraction of its slots is taken. It requires that the
-// picker knows the exact counts of all nodes.
+// most maxTokens prompt tokens would be pending there including this request, or if no request is
+// pending there, and if less than the fraction maxSlotFraction of its slots is taken. It requires
+// that the picker knows the exact counts of all nodes.
 func (p *Picture) PickRoom(now time.Time, r Request, maxTokens int, maxSlotFraction float64) (Choice, Why) {
 	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.Free(now) })
 	if len(eligible) == 0 {
--- a/core/grant/doc.go
+++ b/core/grant/doc.go
@@ -1,29 +1,30 @@
-// Package grant decides when and where each request to a model engine begins,
-// for all nodes together.
+// Package grant schedules the requests of all nodes to model engines: it decides
+// when and on which engine each request starts.
 //
 // # Method
 //
-// An engine reads prompts in pieces between the tokens of the streams that it
-// runs. Prompts that arrive faster than they are read make every step longer,
-// and the pauses of all streams with them: three steps of 2,048 prompt tokens
-// take about 350 ms, more than the 300 ms that callers bear. So the tokens that
-// an engine has been sent and hasn't read are bounded by Tokens, and what would
-// go beyond waits here, where it can still go to another engine and more
-// urgent requests pass it.
+// An engine reads prompts in chunks between the decoding steps of the streams that
+// it runs. When prompts arrive faster than they are read, every step takes longer
+// and so do the gaps between the tokens of all streams: three steps of 2,048
+// prompt tokens take about 350 ms, while callers accept 300 ms. The number of
+// prompt tokens that an engine has been sent and has not read is therefore
+// bounded by Tokens. Requests beyond that wait in the scheduler, where they can
+// still go to another engine and more urgent requests can overtake them.
 //
-// Requests wait in the order of their urgency; of the same urgency, those of teams
-// that use much of their quota wait behind the others; then in the order of their
-// arrival. One that can't begin within its target any more goes behind all that
-// still can. One that can't begin before it expires is refused.
+// Requests wait in order of priority. Within a priority, those of teams that are
+// over their fair share of their quota wait behind the others, and then the order
+// of arrival counts. A request that can no longer start within its target is moved
+// behind all that still can. A request that cannot start before its deadline is
+// refused.
 //
-// A grant holds its tokens until Begun, which the entry node calls with the first
-// byte of the answer, and a slot of the engine until Release.
+// A grant holds its prompt tokens until Begun, which the entry node calls at the
+// first byte of the answer, and a slot of the engine until Release.
 //
 // # Usage
 //
-//	s := grant.New(picture, grant.Settings{})
+//	s := grant.New(picker, grant.Settings{})
 //	s.Offer(grant.Request{ID: 1, Pick: r, Priority: 2, Target: t, Expire: e})
-//	for _, d := range s.Next(now) { tell(d.ID, d) }
+//	for _, d := range s.Next(now) { send(d.ID, d) }
 //	s.Begun(now, 1)
 //	s.Release(now, 1, balance.Good)
 //
--- a/core/grant/group.go
+++ b/core/grant/group.go
@@ -7,62 +7,63 @@
 	"guavapaddle/core/balance"
 )
 
-// dueWithin is how long before its target a request is due. Until then it lets
-// others go first that would become late: batches with a target of seconds,
-// which come in bursts of four times their usual number for three seconds.
+// dueWithin is how long before its target a request becomes due. Until then it lets other requests
+// go first that would otherwise become late. This applies to batches with a target of seconds,
+// which arrive in bursts of four times their usual number for three seconds.
 const dueWithin = time.Second
 
-// group is the requests for one item that wait, each list by urgency and arrival.
+// group holds the waiting requests for one item. Both lists are sorted by precedes.
 type group struct {
-	item  Item
-	fresh []Request // can still begin within their target
-	late  []Request
-	why   balance.Why // of the last look
-	limit float64     // grants a second that the servers' named rates leave it, where why is Limited
+	item      Item
+	onTime    []Request   // requests that can still start within their target
+	late      []Request   // requests that have missed their target
+	reason    balance.Why // why the last attempt to grant the head failed
+	limitRate float64     // grants per second that the servers' rate limits allow the group while reason is Limited
 }
 
-// urgency is a heap of groups in which requests wait, the most urgent head first: with
-// hundreds of groups to look for the first again for each of them took milliseconds for
-// each change, in which others waited for their answer.
-type urgency struct {
+// groupQueue is a heap of groups with waiting requests, ordered by the urgency of their heads. A
+// linear search for the most urgent of hundreds of groups took milliseconds for each change, while
+// other requests waited for their reply.
+type groupQueue struct {
 	now    time.Time
 	groups []*group
 }
 
 // Len implements heap.Interface.
-func (u *urgency) Len() int { return len(u.groups) }
+func (u *groupQueue) Len() int { return len(u.groups) }
 
 // Less implements heap.Interface.
-func (u *urgency) Less(i, j int) bool { return u.groups[i].urgent(u.now, u.groups[j]) }
+func (u *groupQueue) Less(i, j int) bool { return u.groups[i].urgentThan(u.now, u.groups[j]) }
 
 // Swap implements heap.Interface.
-func (u *urgency) Swap(i, j int) { u.groups[i], u.groups[j] = u.groups[j], u.groups[i] }
+func (u *groupQueue) Swap(i, j int) { u.groups[i], u.groups[j] = u.groups[j], u.groups[i] }
 
 // Push implements heap.Interface.
-func (u *urgency) Push(x any) { u.groups = append(u.groups, x.(*group)) }
+func (u *groupQueue) Push(x any) { u.groups = append(u.groups, x.(*group)) }
 
 // Pop implements heap.Interface.
-func (u *urgency) Pop() any {
+func (u *groupQueue) Pop() any {
 	last := len(u.groups) - 1
 	g := u.groups[last]
 	u.groups = u.groups[:last]
 	return g
 }
 
-// waiting returns how many requests wait.
-func (g *group) waiting() int { return len(g.fresh) + len(g.late) }
+// waiting returns the number of waiting requests.
+func (g *group) waiting() int { return len(g.onTime) + len(g.late) }
 
-// insert keeps a list in order.
+// insert adds a request to a sorted list.
 func insert(list []Request, r Request) []Request {
-	i := sort.Search(len(list), func(i int) bool { return before(&r, &list[i]) })
+	i := sort.Search(len(list), func(i int) bool { return precedes(&r, &list[i]) })
 	list = append(list, Request{})
 	copy(list[i+1:], list[i:])
 	list[i] = r
 	return list
 }
 
-// before orders requests by urgency, by what their teams have used, and by arrival.
-func before(a, b *Request) bool {
+// precedes orders requests by priority, by whether their team is over its fair share, and by
+// arrival.
+func precedes(a, b *Request) bool {
 	switch {
 	case a.Priority != b.Priority:
 		return a.Priority < b.Priority
@@ -75,8 +76,8 @@
 	}
 }
 
-// without takes a request out of a list.
-func without(list []Request, id uint64) []Request {
+// remove returns the list without the request that has an ID.
+func remove(list []Request, id uint64) []Request {
 	for i, r := range list {
 		if r.ID == id {
 			return append(list[:i], list[i+1:]...)
@@ -85,39 +86,39 @@
 	return list
 }
 
-// urgent tells whether a group's head goes before another's.
-func (g *group) urgent(now time.Time, o *group) bool {
+// urgentThan reports whether the head of a group goes before the head of another.
+func (g *group) urgentThan(now time.Time, o *group) bool {
 	if a, b := g.rank(now), o.rank(now); a != b {
 		return a < b
 	}
-	return before(g.head(), o.head())
+	return precedes(g.head(), o.head())
 }
 
-// rank returns where a group's head stands whatever its priority: first what is
-// due, then what can wait without becoming late, then what is late.
+// rank orders heads regardless of their priority: first those that are due, then those that can
+// wait without becoming late, then those that are late.
 func (g *group) rank(now time.Time) int {
 	switch {
-	case len(g.fresh) == 0:
+	case len(g.onTime) == 0:
 		return 2
-	case g.fresh[0].Target.Sub(now) > dueWithin:
+	case g.onTime[0].Target.Sub(now) > dueWithin:
 		return 1
 	default:
 		return 0
 	}
 }
 
-// head returns the request of a group that goes first.
+// head returns the request of the group that goes first.
 func (g *group) head() *Request {
-	if len(g.fresh) > 0 {
-		return &g.fresh[0]
+	if len(g.onTime) > 0 {
+		return &g.onTime[0]
 	}
 	return &g.late[0]
 }
 
-// pop takes the head off.
+// pop removes the head.
 func (g *group) pop() {
-	if len(g.fresh) > 0 {
-		g.fresh = g.fresh[1:]
+	if len(g.onTime) > 0 {
+		g.onTime = g.onTime[1:]
 		return
 	}
 	g.late = g.late[1:]
--- a/core/grant/growth_test.go
+++ b/core/grant/growth_test.go
@@ -13,9 +13,9 @@
 	"guavapaddle/internal/testbed/cputime"
 )
 
-// backlog returns a scheduler of engines that are full, three models each, before which
-// requests for so many models wait, four each.
-func backlog(engines, models, waiting int) (*grant.Scheduler, uint64) {
+// newBacklog returns a scheduler whose engines are all full and hold three models each. Requests
+// for waiting models wait in it, four for each. It also returns the last request ID.
+func newBacklog(engines, models, waiting int) (*grant.Scheduler, uint64) {
 	list := make([]fleet.Server, 0, engines)
 	for i := range engines {
 		s := server(fmt.Sprintf("s%03d", i))
@@ -25,16 +25,16 @@
 		}
 		list = append(list, s)
 	}
-	s := scheduler(list...)
+	s := newScheduler(list...)
 	id := uint64(0)
-	offer := func(model int) {
+	enqueue := func(model int) {
 		id++
 		r := request(id, fmt.Sprintf("m%d", model%models), 100, model%3)
 		r.Target, r.Expire = start.Add(time.Hour), start.Add(2*time.Hour)
 		s.Offer(r)
 	}
 	for i := range 24 * engines {
-		offer(i)
+		enqueue(i)
 		granted := s.Next(start)
 		for _, d := range granted {
 			s.Begun(start, d.ID)
@@ -44,33 +44,34 @@
 		}
 	}
 	for i := range 4 * waiting {
-		offer(i % waiting)
+		enqueue(i % waiting)
 	}
 	s.Next(start)
 	return s, id
 }
 
-// TestALookGrowsWithWhatWaits: a look at all that waits, which each change of an engine
-// takes, looked for the most urgent group again for each of them, and grew with the square
-// of their number. Requests for places waited behind it for longer than their nodes do.
-func TestALookGrowsWithWhatWaits(t *testing.T) {
+// TestNextScalesWithWaitingGroups guards against a search for the most urgent group that is
+// repeated for each group. Every change of an engine then took time that grew with the square of
+// the number of groups, and nodes gave up waiting for the replies to their slot requests.
+func TestNextScalesWithWaitingGroups(t *testing.T) {
 	const times = 10
 	fastest := func(waiting int) time.Duration {
-		s, _ := backlog(600, 1200, waiting)
+		s, _ := newBacklog(600, 1200, waiting)
 		return cputime.Least(20, func() {
 			s.Changed()
 			s.Next(start)
 		})
 	}
 	few, many := fastest(100), fastest(100*times)
-	require.Less(t, many, 3*times*few, "ten times the groups take %v, not %v", many, few)
+	require.Less(t, many, 3*times*few, "ten times the groups take %v instead of %v", many, few)
 }
 
-// BenchmarkEnd ends one request and begins the next at an engine, beside others that wait.
+// BenchmarkEnd measures the end of one request and the start of the next at an engine while others
+// wait.
 func BenchmarkEnd(b *testing.B) {
 	for _, size := range []struct{ engines, models, waiting int }{{12, 21, 10}, {256, 471, 0}, {256, 471, 50}, {256, 471, 200}, {600, 1200, 500}} {
 		b.Run(fmt.Sprintf("%d-engines-%d-models-%d-waiting", size.engines, size.models, size.waiting), func(b *testing.B) {
-			s, last := backlog(size.engines, size.models, size.waiting)
+			s, last := newBacklog(size.engines, size.models, size.waiting)
 			id := uint64(0)
 			for b.Loop() {
 				id++
@@ -88,11 +89,11 @@
 	}
 }
 
-// BenchmarkTick looks at all that waits.
+// BenchmarkTick measures one Tick and the attempt to grant all waiting requests.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []struct{ engines, models, waiting int }{{12, 21, 10}, {256, 471, 50}, {256, 471, 200}, {600, 1200, 500}} {
 		b.Run(fmt.Sprintf("%d-engines-%d-models-%d-waiting", size.engines, size.models, size.waiting), func(b *testing.B) {
-			s, _ := backlog(size.engines, size.models, size.waiting)
+			s, _ := newBacklog(size.engines, size.models, size.waiting)
 			for b.Loop() {
 				s.Tick(start)
 				s.Next(start)
--- a/core/grant/rates.go
+++ b/core/grant/rates.go
@@ -7,167 +7,167 @@
 )
 
 const (
-	// comeBack is when a refused client may come back where the queue doesn't
-	// tell: a model may be loaded by then.
-	comeBack = time.Second
-	// comeBackLeast and comeBackMost bound what the queue tells: a client that
-	// comes back sooner meets the same queue, one that comes later may have no
-	// time left.
-	comeBackLeast = 400 * time.Millisecond
-	comeBackMost  = 4 * time.Second
-	// comeBackParts is how many different times clients are told in a row.
-	comeBackParts = 8
-	// rateWindow is over which the grants for an item are counted.
+	// defaultRetryAfter is the retry delay for a refused client when it can't be derived from the
+	// queue. A missing model may be loaded by then.
+	defaultRetryAfter = time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay derived from the queue: a client that
+	// retries sooner meets the same queue, one that retries later may have no time left.
+	minRetryAfter = 400 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
+	// retryAfterSteps is the number of different retry delays given to consecutive requests.
+	retryAfterSteps = 8
+	// rateWindow is the window in which the grants for an item are counted.
 	rateWindow = time.Second
-	// rateLeast is how many grants in it tell a rate.
-	rateLeast = 3
-	// lateLeast is how long requests that are late must have been seen before it
-	// is known how many of them still begin.
-	lateLeast = 600 * time.Millisecond
-	// lateHope is added to the late requests that begin in a second, since none
-	// in one second doesn't mean none in the next: with 0, requests of a calm day
-	// were refused in bursts that passed (refused 0.7 in 100 against 0.3).
-	lateHope = 1.0
-	// lateGap is how long there may be none in between: after those that wait in
-	// vain were refused, others become late a target's time later. With 0.2 s all
-	// that waited were refused at once, each 1.2 s.
-	lateGap = time.Second
-	// overloadGap is how long no request may be refused during an overload.
+	// minRateGrants is the number of grants in a window from which a rate can be derived.
+	minRateGrants = 3
+	// minLatePeriod is how long there must have been late requests until the rate at which they
+	// start is known.
+	minLatePeriod = 600 * time.Millisecond
+	// lateRateMargin is added to the rate, per second, at which late requests start, because none
+	// in one second doesn't mean none in the next. With a margin of 0, requests on a quiet day were
+	// refused in short bursts (0.7 in 100 requests refused instead of 0.3).
+	lateRateMargin = 1.0
+	// maxLateGap is the longest time without late requests within one period of lateness. After
+	// late requests have been refused, the next ones become late only when their target passes.
+	// With 0.2 s all waiting requests were refused at once every 1.2 s.
+	maxLateGap = time.Second
+	// overloadGap is the longest time without a refusal within one overload.
 	overloadGap = 2 * time.Second
 )
 
 type (
-	// rate counts the grants for an item.
+	// rate counts the grants for an item in two consecutive windows.
 	rate struct {
-		first  time.Time // begin of the first window of a row of them
-		since  time.Time // begin of the present window
-		now    int       // in it
-		before int       // in the one before
+		seriesStart time.Time // start of the first of an unbroken series of windows
+		windowStart time.Time // start of the current window
+		now         int       // grants in the current window
+		previous    int       // grants in the previous window
 	}
 
-	// rates counts the grants for an item and those of them that went to requests
-	// that were late.
+	// rates counts the grants for an item, and separately those for requests that were late.
 	rates struct {
-		all      rate
-		late     rate
-		lateFrom time.Time // since when there were late ones all the time
-		lateSeen time.Time // when there were some last
+		all       rate
+		late      rate
+		lateSince time.Time // start of the current period with late requests
+		lateSeen  time.Time // when there was last a late request
 
-		refusedFrom time.Time // since when requests are refused
-		refused     time.Time // when one was last
+		refusedSince time.Time // start of the current overload
+		lastRefused  time.Time // when a request was last refused
 	}
 )
 
-// doomed tells whether a request that isn't late yet will be, and won't begin
-// then either. Where servers name rates, what a rate leaves goes to requests that
-// aren't late, and of those behind others none begins once it is.
-func (v *rates) doomed(now time.Time, g *group, r Request, fresh, late int) (time.Duration, bool) {
+// willMissTarget reports whether a request that is still on time will miss its target and will not
+// start after that either. Under a rate limit the rate goes to requests that are on time first, so
+// a request behind others doesn't start once it is late.
+func (v *rates) willMissTarget(now time.Time, g *group, r Request, onTime, late int) (time.Duration, bool) {
 	perSecond, known := v.known(now, g)
-	if !known || after(fresh, perSecond) <= r.Target.Sub(now) {
+	if !known || waitBehind(onTime, perSecond) <= r.Target.Sub(now) {
 		return 0, false
 	}
-	back, never := v.hopeless(now, g, r, fresh, late)
-	return back, never || g.why == balance.Limited && fresh+late > 0
+	retryAfter, expires := v.willExpire(now, g, r, onTime, late)
+	return retryAfter, expires || g.reason == balance.Limited && onTime+late > 0
 }
 
-// hopeless tells whether a request behind so many others won't begin before it
-// expires, by the rate at which its item was granted of late, and when its
-// client may come back: after the queue ahead of it, and not before an overload has
-// lasted as long again as it has by now. Requests that are late begin only as fast
-// as others of them did. To refuse it at once is better for its caller than to hold
-// it until it expires.
-func (v *rates) hopeless(now time.Time, g *group, r Request, fresh, late int) (time.Duration, bool) {
+// willExpire reports whether a request with the given numbers of requests ahead of it won't start
+// before its deadline, judged by the recent rate of grants for its item. Late requests start only
+// at the rate at which other late requests did. Refusing such a request at once is better for its
+// caller than holding it until its deadline.
+//
+// It also returns the delay after which the client may retry: the time until the queue ahead is
+// served, but no less than the time for which the overload has lasted so far.
+func (v *rates) willExpire(now time.Time, g *group, r Request, onTime, late int) (time.Duration, bool) {
 	if now.After(r.Expire) {
-		return comeBack, true
+		return defaultRetryAfter, true
 	}
 	perSecond, known := v.known(now, g)
 	if !known {
 		return 0, false
 	}
-	wait := after(fresh+late, perSecond)
-	back := max(wait, v.overloaded(now))
-	if now.Sub(v.lateFrom) >= lateLeast && now.Sub(v.lateSeen) <= lateGap {
-		rest, _ := v.late.get(now)
-		wait = max(wait, after(late, rest+lateHope))
+	wait := waitBehind(onTime+late, perSecond)
+	retryAfter := max(wait, v.overloadDuration(now))
+	if now.Sub(v.lateSince) >= minLatePeriod && now.Sub(v.lateSeen) <= maxLateGap {
+		lateRate, _ := v.late.recent(now)
+		wait = max(wait, waitBehind(late, lateRate+lateRateMargin))
 	}
-	return apart(r, min(back, comeBackMost)), wait > r.Expire.Sub(now)
+	return jitter(r, min(retryAfter, maxRetryAfter)), wait > r.Expire.Sub(now)
 }
 
-// known returns how many requests of a group begin in a second, if that is known.
+// known returns the rate per second at which requests of a group start, if it is known.
 func (v *rates) known(now time.Time, g *group) (float64, bool) {
-	switch g.why {
+	switch g.reason {
 	case balance.Limited:
-		return g.limit, true
+		return g.limitRate, true
 	case balance.Busy:
-		return v.all.get(now)
+		return v.all.recent(now)
 	default:
 		return 0, false
 	}
 }
 
-// overloaded returns for how long requests have been refused by now.
-func (v *rates) overloaded(now time.Time) time.Duration {
-	if now.Sub(v.refused) > overloadGap {
+// overloadDuration returns how long requests have been refused so far.
+func (v *rates) overloadDuration(now time.Time) time.Duration {
+	if now.Sub(v.lastRefused) > overloadGap {
 		return 0
 	}
-	return now.Sub(v.refusedFrom)
+	return now.Sub(v.refusedSince)
 }
 
-// sawRefusal notes that a request was refused.
-func (v *rates) sawRefusal(now time.Time) {
-	if now.Sub(v.refused) > overloadGap {
-		v.refusedFrom = now
+// recordRefusal records that a request was refused.
+func (v *rates) recordRefusal(now time.Time) {
+	if now.Sub(v.lastRefused) > overloadGap {
+		v.refusedSince = now
 	}
-	v.refused = now
+	v.lastRefused = now
 }
 
-// apart spreads the times at which refused clients come back over a quarter to
-// either side.
-func apart(r Request, back time.Duration) time.Duration {
-	back = back*3/4 + back*time.Duration(r.ID%comeBackParts)/(2*comeBackParts)
-	return min(max(back, comeBackLeast), comeBackMost)
+// jitter spreads the retry delays of refused clients by up to a quarter in both directions.
+func jitter(r Request, retryAfter time.Duration) time.Duration {
+	retryAfter = retryAfter*3/4 + retryAfter*time.Duration(r.ID%retryAfterSteps)/(2*retryAfterSteps)
+	return min(max(retryAfter, minRetryAfter), maxRetryAfter)
 }
 
-// after returns when a request behind so many others begins at a rate.
-func after(ahead int, perSecond float64) time.Duration {
+// waitBehind returns the time until a request with a number of requests ahead of it starts at a
+// given rate.
+func waitBehind(ahead int, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return time.Hour
 	}
 	return time.Duration(float64(ahead+1) / perSecond * float64(time.Second))
 }
 
-// sawLate notes that requests are late.
-func (v *rates) sawLate(now time.Time) {
-	if now.Sub(v.lateSeen) > lateGap {
-		v.lateFrom, v.late = now, rate{first: now, since: now}
+// recordLate records that there are late requests.
+func (v *rates) recordLate(now time.Time) {
+	if now.Sub(v.lateSeen) > maxLateGap {
+		v.lateSince, v.late = now, rate{seriesStart: now, windowStart: now}
 	}
 	v.lateSeen = now
 }
 
-// count notes a grant.
+// count records a grant.
 func (v *rate) count(now time.Time) {
 	v.roll(now)
 	v.now++
 }
 
-// roll begins a new window if the present one has passed.
+// roll starts a new window if the current one has passed.
 func (v *rate) roll(now time.Time) {
-	switch age := now.Sub(v.since); {
+	switch age := now.Sub(v.windowStart); {
 	case age >= 2*rateWindow:
-		v.first, v.since, v.now, v.before = now, now, 0, 0
+		v.seriesStart, v.windowStart, v.now, v.previous = now, now, 0, 0
 	case age >= rateWindow:
-		v.since, v.now, v.before = v.since.Add(rateWindow), 0, v.now
+		v.windowStart, v.now, v.previous = v.windowStart.Add(rateWindow), 0, v.now
 	}
 }
 
-// get returns the grants a second of late, if there were enough to tell.
-func (v *rate) get(now time.Time) (float64, bool) {
+// recent returns the recent grants per second, and whether there were enough of them to derive a
+// rate.
+func (v *rate) recent(now time.Time) (float64, bool) {
 	v.roll(now)
-	part := float64(now.Sub(v.since)) / float64(rateWindow)
-	n := float64(v.now) + float64(v.before)*(1-part)
+	fraction := float64(now.Sub(v.windowStart)) / float64(rateWindow)
+	n := float64(v.now) + float64(v.previous)*(1-fraction)
 	if n == 0 {
 		return 0, false
 	}
-	span := min(rateWindow, now.Sub(v.first))
-	return n / span.Seconds(), n >= rateLeast && span >= rateWindow/4
+	span := min(rateWindow, now.Sub(v.seriesStart))
+	return n / span.Seconds(), n >= minRateGrants && span >= rateWindow/4
 }
--- a/core/grant/scheduler_test.go
+++ b/core/grant/scheduler_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-func scheduler(servers ...fleet.Server) *grant.Scheduler {
+func newScheduler(servers ...fleet.Server) *grant.Scheduler {
 	p := balance.New(rand.New(rand.NewPCG(1, 2)))
 	p.Update(servers)
 	return grant.New(p, grant.Settings{})
@@ -44,8 +44,8 @@
 	return ids
 }
 
-func TestUnreadTokensOfAnEngineAreBounded(t *testing.T) {
-	s := scheduler(server("a", "m"))
+func TestUnreadTokensAreBounded(t *testing.T) {
+	s := newScheduler(server("a", "m"))
 	for id := uint64(1); id <= 4; id++ {
 		s.Offer(request(id, "m", 900, 1))
 	}
@@ -55,32 +55,32 @@
 	require.Equal(t, []uint64{3}, granted(s.Next(start)))
 }
 
-func TestARequestTakesASlotFromItsGrantToItsEnd(t *testing.T) {
+func TestGrantHoldsSlotUntilRelease(t *testing.T) {
 	a := server("a", "m")
 	a.Slots = 3
-	s := scheduler(a)
+	s := newScheduler(a)
 	for id := uint64(1); id <= 5; id++ {
 		s.Offer(request(id, "m", 100, 1))
 	}
 	require.Equal(t, []uint64{1, 2, 3}, granted(s.Next(start)))
 	s.Begun(start, 1)
 	s.Begun(start, 2)
-	require.Empty(t, s.Next(start), "their prompts are read, but they still run")
+	require.Empty(t, s.Next(start), "the prompts have been read, but the requests still run")
 	s.Release(start, 2, balance.Good)
 	require.Equal(t, []uint64{4}, granted(s.Next(start)))
 	s.Release(start, 3, balance.Broken)
 	s.Release(start, 1, balance.Dropped)
-	require.Equal(t, []uint64{5}, granted(s.Next(start)), "the others avoid an engine that broke off only if there are any")
+	require.Equal(t, []uint64{5}, granted(s.Next(start)), "an engine whose connection failed is still used if there is no other")
 }
 
-func TestALongPromptGoesToAnIdleEngine(t *testing.T) {
-	s := scheduler(server("a", "m"))
+func TestLongPromptGoesToIdleEngine(t *testing.T) {
+	s := newScheduler(server("a", "m"))
 	s.Offer(request(1, "m", 9000, 1))
 	require.Equal(t, []uint64{1}, granted(s.Next(start)))
 }
 
-func TestTheMoreUrgentGoFirst(t *testing.T) {
-	s := scheduler(server("a", "m", "n"))
+func TestHigherPriorityGoesFirst(t *testing.T) {
+	s := newScheduler(server("a", "m", "n"))
 	s.Offer(request(1, "m", 2000, 1))
 	require.Len(t, s.Next(start), 1)
 	s.Offer(request(2, "m", 1500, 2))
@@ -98,27 +98,27 @@
 	require.Equal(t, []uint64{3, 4, 2}, order)
 }
 
-// TestARequestThatAnEngineTurnedAwayKeepsItsTurn has a request come again after the
-// engine of its place lacked the adapter, while two that came later wait.
-func TestARequestThatAnEngineTurnedAwayKeepsItsTurn(t *testing.T) {
-	s := scheduler(server("a", "m"))
-	came := func(id uint64, at time.Time) grant.Request {
+// TestRejectedRequestKeepsItsTurn offers a request again after the granted engine rejected it for
+// lack of the adapter, while two requests wait that arrived later.
+func TestRejectedRequestKeepsItsTurn(t *testing.T) {
+	s := newScheduler(server("a", "m"))
+	arrived := func(id uint64, at time.Time) grant.Request {
 		r := request(id, "m", 2000, 1)
 		r.Since = at
 		return r
 	}
-	s.Offer(came(1, start))
+	s.Offer(arrived(1, start))
 	require.Equal(t, []uint64{1}, granted(s.Next(start)))
-	s.Offer(came(2, start.Add(10*time.Millisecond)))
-	s.Offer(came(3, start.Add(20*time.Millisecond)))
+	s.Offer(arrived(2, start.Add(10*time.Millisecond)))
+	s.Offer(arrived(3, start.Add(20*time.Millisecond)))
 	now := start.Add(50 * time.Millisecond)
-	s.Offer(came(4, start)) // the first, again
+	s.Offer(arrived(4, start)) // the first request, offered again
 	s.Release(now, 1, balance.Good)
 	require.Equal(t, []uint64{4}, granted(s.Next(now)))
 }
 
-func TestWhatCanWaitLetsGoFirstWhatWouldBecomeLate(t *testing.T) {
-	s := scheduler(server("a", "batch", "live"))
+func TestDueRequestsGoBeforeOnesThatCanWait(t *testing.T) {
+	s := newScheduler(server("a", "batch", "live"))
 	s.Offer(request(1, "live", 2000, 2))
 	require.Len(t, s.Next(start), 1)
 	batch := request(2, "batch", 1500, 1)
@@ -126,18 +126,18 @@
 	s.Offer(batch)
 	s.Offer(request(3, "live", 1500, 2))
 	s.Release(start, 1, balance.Good)
-	require.Equal(t, []uint64{3}, granted(s.Next(start)), "less urgent, but due")
+	require.Equal(t, []uint64{3}, granted(s.Next(start)), "lower priority, but due")
 
 	now := start.Add(1500 * time.Millisecond)
 	live := request(4, "live", 1500, 2)
 	live.Target, live.Expire = now.Add(400*time.Millisecond), now.Add(2*time.Second)
 	s.Offer(live)
 	s.Release(now, 3, balance.Good)
-	require.Equal(t, []uint64{2}, granted(s.Next(now)), "it is due by now, and more urgent")
+	require.Equal(t, []uint64{2}, granted(s.Next(now)), "due by now, and of higher priority")
 }
 
-func TestWhatIsLateAlreadyGoesBehind(t *testing.T) {
-	s := scheduler(server("a", "m"))
+func TestLateRequestsGoBehind(t *testing.T) {
+	s := newScheduler(server("a", "m"))
 	s.Offer(request(1, "m", 2000, 1))
 	require.Len(t, s.Next(start), 1)
 	s.Offer(request(2, "m", 1500, 0))
@@ -150,8 +150,8 @@
 	require.Equal(t, []uint64{3}, granted(s.Next(now)))
 }
 
-func TestWhatCanNotBeginInTimeIsRefusedWithATimeToComeBack(t *testing.T) {
-	s := scheduler(server("a", "other"))
+func TestExpiredRequestIsRefusedWithRetryDelay(t *testing.T) {
+	s := newScheduler(server("a", "other"))
 	s.Offer(request(1, "m", 100, 0))
 	require.Empty(t, s.Next(start))
 	require.Equal(t, map[grant.Item]int{{Service: "llm", Model: "m"}: 1}, s.Lacking())
@@ -164,8 +164,8 @@
 	require.Zero(t, s.Waiting())
 }
 
-func TestARequestThatLeavesFreesItsPlace(t *testing.T) {
-	s := scheduler(server("a", "m"))
+func TestReleaseWithdrawsRequest(t *testing.T) {
+	s := newScheduler(server("a", "m"))
 	s.Offer(request(1, "m", 2000, 0))
 	s.Offer(request(2, "m", 2000, 0))
 	s.Offer(request(3, "m", 2000, 0))
@@ -175,13 +175,12 @@
 	require.Equal(t, []uint64{3}, granted(s.Next(start)))
 }
 
-// TestPausesStayBearableUnderLoad plays prompts at 0.6 of what four engines
-// read, with requests for one model that two of them hold and for another on
-// the other two, and checks that no engine ever has more unread than it reads
-// between two events of a stream.
-func TestPausesStayBearableUnderLoad(t *testing.T) {
-	const rate = 20.0 // prompt tokens a millisecond
-	s := scheduler(server("a", "m"), server("b", "m"), server("c", "n"), server("d", "n"))
+// TestUnreadPromptsStayBoundedUnderLoad sends prompts at 0.6 of the rate at which four engines
+// read. Two engines hold one of the requested models, two the other. No engine may ever have more
+// unread tokens than it reads within the accepted gap between two events of a stream.
+func TestUnreadPromptsStayBoundedUnderLoad(t *testing.T) {
+	const rate = 20.0 // prompt tokens per millisecond
+	s := newScheduler(server("a", "m"), server("b", "m"), server("c", "n"), server("d", "n"))
 	rng := rand.New(rand.NewPCG(7, 7))
 	type running struct {
 		id   uint64
@@ -191,7 +190,7 @@
 	var open []running
 	waits, worst := 0, time.Duration(0)
 	id := uint64(0)
-	for step := range 20000 { // a millisecond each
+	for step := range 20000 { // steps of 1 ms
 		now := start.Add(time.Duration(step) * time.Millisecond)
 		for i := 0; i < len(open); {
 			if now.Before(open[i].ends) {
@@ -227,11 +226,11 @@
 	require.Less(t, worst, 200*time.Millisecond)
 }
 
-// TestAHopelessWaitEndsAtOnce plays an engine that begins ten requests a second
-// before forty that wait: those that can't begin before they expire are refused
-// long before that, with a time to come back after the queue ahead of them.
-func TestAHopelessWaitEndsAtOnce(t *testing.T) {
-	s := scheduler(server("a", "m"))
+// TestRequestThatWillExpireIsRefusedEarly has 40 requests wait for an engine that starts ten a
+// second. Those that can't start before their deadline must be refused long before it, with a retry
+// delay derived from the queue ahead.
+func TestRequestThatWillExpireIsRefusedEarly(t *testing.T) {
+	s := newScheduler(server("a", "m"))
 	at := start
 	s.Offer(request(1, "m", 2000, 1))
 	require.Len(t, s.Next(at), 1)
@@ -241,7 +240,7 @@
 		s.Offer(r)
 	}
 	running, refused := uint64(1), 0
-	for step := range 16 { // a tenth of a second each
+	for step := range 16 { // steps of 100 ms
 		at = at.Add(100 * time.Millisecond)
 		s.Release(at, running, balance.Good)
 		d := granted(s.Next(at))
@@ -252,68 +251,68 @@
 			require.Equal(t, balance.Busy, d.Why)
 			require.GreaterOrEqual(t, d.After, 400*time.Millisecond)
 			require.LessOrEqual(t, d.After, 4*time.Second)
-			require.Less(t, step, 12, "well before they expire")
+			require.Less(t, step, 12, "refused well before the deadline")
 		}
 	}
 	require.Greater(t, refused, 15)
-	require.Less(t, refused, 26, "the twenty that can begin in two seconds stay")
+	require.Less(t, refused, 26, "the twenty that can start within two seconds stay")
 }
 
-// TestUnderLastingOverloadWhatWouldBeLateIsRefusedEarly plays twice the requests
-// that an engine can begin for ten seconds. Those that would only become late
-// are told soon, and as many begin in time as there are places.
-func TestUnderLastingOverloadWhatWouldBeLateIsRefusedEarly(t *testing.T) {
-	s := scheduler(server("a", "m"))
+// TestLateRequestsAreRefusedEarlyUnderOverload sends twice the requests that an engine can start
+// for ten seconds. Requests that would become late must be refused early, and every free slot must
+// still be used.
+func TestLateRequestsAreRefusedEarlyUnderOverload(t *testing.T) {
+	s := newScheduler(server("a", "m"))
 	const target = 360 * time.Millisecond
-	came := map[uint64]time.Time{}
+	arrived := map[uint64]time.Time{}
 	inTime, late, refused := 0, 0, 0
-	backs := map[time.Duration]bool{}
-	var held time.Duration
+	retryDelays := map[time.Duration]bool{}
+	var totalWait time.Duration
 	running, id := uint64(0), uint64(0)
-	take := func(now time.Time) {
+	handle := func(now time.Time) {
 		for _, d := range s.Next(now) {
 			running = d.ID
-			if now.Sub(came[d.ID]) > target+50*time.Millisecond { // a tick later
+			if now.Sub(arrived[d.ID]) > target+50*time.Millisecond { // decided up to one tick late
 				late++
 				continue
 			}
 			inTime++
 		}
 	}
-	for step := range 1000 { // ten milliseconds each
+	for step := range 1000 { // steps of 10 ms
 		now := start.Add(time.Duration(step) * 10 * time.Millisecond)
 		if step%5 == 0 {
 			id++
 			r := request(id, "m", 2000, 1)
 			r.Target, r.Expire = now.Add(target), now.Add(2100*time.Millisecond)
-			came[id] = now
+			arrived[id] = now
 			s.Offer(r)
 		}
 		if step%10 == 0 && running != 0 {
 			s.Release(now, running, balance.Good)
 		}
-		take(now)
+		handle(now)
 		if step%5 == 0 {
 			for _, d := range s.Tick(now) {
 				refused++
-				held += now.Sub(came[d.ID])
+				totalWait += now.Sub(arrived[d.ID])
 				require.GreaterOrEqual(t, d.After, 300*time.Millisecond)
 				if step > 600 {
-					require.GreaterOrEqual(t, d.After, 2500*time.Millisecond, "it has lasted for six seconds")
-					backs[d.After] = true
+					require.GreaterOrEqual(t, d.After, 2500*time.Millisecond, "the overload has lasted for six seconds")
+					retryDelays[d.After] = true
 				}
 			}
 		}
 	}
-	require.Equal(t, 100, inTime+late, "no place stays empty")
+	require.Equal(t, 100, inTime+late, "every slot is used")
 	require.Greater(t, inTime, 85)
 	require.Greater(t, refused, 80)
-	require.Less(t, held/time.Duration(refused), 500*time.Millisecond, "mean wait of those refused")
-	require.Greater(t, len(backs), 4, "they don't all come back at once")
+	require.Less(t, totalWait/time.Duration(refused), 500*time.Millisecond, "mean wait of refused requests")
+	require.Greater(t, len(retryDelays), 4, "retries are spread")
 }
 
-// BenchmarkBusy is one request that ends and one that comes, at 90 engines of
-// 16 slots that hold 3 of 147 models each, while some 600 requests wait.
+// BenchmarkBusy measures the end of one request and the arrival of another, at 90 engines of 16
+// slots that hold 3 of 147 models each, while some 600 requests wait.
 func BenchmarkBusy(b *testing.B) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var servers []fleet.Server
@@ -322,10 +321,10 @@
 		s.Slots = 16
 		servers = append(servers, s)
 	}
-	s := scheduler(servers...)
+	s := newScheduler(servers...)
 	var running []uint64
 	next := uint64(0)
-	offer := func() {
+	enqueue := func() {
 		next++
 		s.Offer(request(next, fmt.Sprint("m", min(rng.IntN(26), rng.IntN(26))), 1000, rng.IntN(3)))
 		for _, d := range s.Next(start) {
@@ -333,7 +332,7 @@
 		}
 	}
 	for range 700 {
-		offer()
+		enqueue()
 	}
 	b.ResetTimer()
 	for b.Loop() {
@@ -344,30 +343,30 @@
 		s.Release(start, running[i], balance.Good)
 		running[i] = running[len(running)-1]
 		running = running[:len(running)-1]
-		offer()
+		enqueue()
 	}
 }
 
-// TestATeamThatSendsMuchTakesNoOthersPart plays two teams at one engine that can't serve
-// both: one sends ten times as much as the other, and earlier. All requests of the small one
-// begin within their target.
-func TestATeamThatSendsMuchTakesNoOthersPart(t *testing.T) {
-	for _, greedy := range []bool{false, true} {
-		s := scheduler(server("a", "m"))
-		began := map[bool]int{} // by whether the request is of the small team
+// TestTeamOverShareDoesNotStarveOthers has two teams use one engine that can't serve both. One
+// sends nine times as many requests as the other, and sends them earlier. All requests of the small
+// team must start within their target.
+func TestTeamOverShareDoesNotStarveOthers(t *testing.T) {
+	for _, overShare := range []bool{false, true} {
+		s := newScheduler(server("a", "m"))
+		began := map[bool]int{} // by whether the request belongs to the small team
 		small := map[uint64]bool{}
 		id, now := uint64(0), start
-		offer := func(mine, greedy bool) {
+		enqueue := func(isSmall, overShare bool) {
 			id++
-			small[id] = mine
-			s.Offer(grant.Request{ID: id, Pick: balance.Request{Service: "llm", Model: "m", Tokens: 900}, Priority: 1, Greedy: greedy,
+			small[id] = isSmall
+			s.Offer(grant.Request{ID: id, Pick: balance.Request{Service: "llm", Model: "m", Tokens: 900}, Priority: 1, Greedy: overShare,
 				Since: now, Target: now.Add(400 * time.Millisecond), Expire: now.Add(2 * time.Second)})
 		}
-		for range 100 { // the engine reads two prompts in a step
+		for range 100 { // the engine reads two prompts per step
 			for range 9 {
-				offer(false, greedy)
+				enqueue(false, overShare)
 			}
-			offer(true, false)
+			enqueue(true, false)
 			s.Tick(now)
 			list := granted(s.Next(now))
 			now = now.Add(50 * time.Millisecond)
@@ -376,11 +375,11 @@
 				s.Release(now, g, balance.Good)
 			}
 		}
-		if greedy {
+		if overShare {
 			require.Equal(t, 100, began[true], "the small team is served")
-			require.Positive(t, began[false], "and the other one with what is left")
+			require.Positive(t, began[false], "the other team gets the remaining capacity")
 			continue
 		}
-		require.Less(t, began[true], 100, "by arrival alone it isn't")
+		require.Less(t, began[true], 100, "in order of arrival alone it isn't served in full")
 	}
 }
--- a/core/grant/shed_test.go
+++ b/core/grant/shed_test.go
@@ -10,11 +10,11 @@
 	"guavapaddle/core/balance"
 )
 
-// TestAnEngineThatShedsCostsFewRepeats plays 60 requests a second for three engines of which
-// one turns every other request away. Services bear a fifth of their requests as repeats;
-// half of that is left for other faults.
-func TestAnEngineThatShedsCostsFewRepeats(t *testing.T) {
-	s := scheduler(server("a", "m"), server("b", "m"), server("c", "m"))
+// TestSheddingEngineCausesFewRetries sends 60 requests a second to three engines, one of which
+// rejects every other request. Services tolerate retries for a fifth of their requests; half of
+// that is left for other faults.
+func TestSheddingEngineCausesFewRetries(t *testing.T) {
+	s := newScheduler(server("a", "m"), server("b", "m"), server("c", "m"))
 	type run struct {
 		id     uint64
 		end    time.Time
@@ -39,14 +39,14 @@
 		s.Offer(r)
 		for _, d := range s.Next(now) {
 			require.True(t, d.Granted)
-			result, took := balance.Good, 45*time.Millisecond // in which the prompt is read
+			result, duration := balance.Good, 45*time.Millisecond // time to read the prompt
 			if d.Choice.Server.ID == "a" {
 				if atA++; atA%2 == 0 {
-					result, took = balance.Full, 0
+					result, duration = balance.Full, 0
 					shed++
 				}
 			}
-			running = append(running, run{d.ID, now.Add(took), result})
+			running = append(running, run{d.ID, now.Add(duration), result})
 		}
 	}
 	require.Positive(t, shed)
