--- a/core/throttle/doc.go
+++ b/core/throttle/doc.go
@@ -1,29 +1,30 @@
-// Package throttle keeps the requests of all nodes to one backend server within the rate
-// that the server names in its answers.
+// Package throttle limits the requests of all nodes to one backend server to the
+// rate that the server names in its answers.
 //
 // # Method
 //
-// A server names a rate in some of its answers, for as long as it holds. Answers overtake
-// each other: a rate counts as withdrawn only by an answer to a request that was sent after
-// the rate was last named.
+// A server names a rate in some of its answers for as long as the rate applies.
+// Answers may arrive out of order: a rate counts as withdrawn only by an answer to
+// a request that was sent after the rate was last named.
 //
-// Where a scheduler decides for all nodes, a token bucket at the scheduler holds the rate.
-// Where nodes decide each by itself they divide time: a node may send one request in a
-// window that recurs once for each node, with a phase that each draws at random. On average
-// one node has its window open at a time. Buckets at the nodes would add up instead: each
-// that has been idle holds a token, and all of them may be spent at once.
+// Where a scheduler decides for all nodes, it enforces the rate by a token bucket.
+// Where nodes decide on their own they divide time among them: a node may send one
+// request in a window that recurs with a period of one window for each node, at a
+// phase that each node draws at random. On average one node has its window open at
+// a time. Token buckets at the nodes would add up instead: each idle node keeps a
+// token, and all of these may be spent at once.
 //
 // # Usage
 //
 //	t := throttle.New(rng.Float64())
 //	t.Learn(throttle.Named(now, 1.5))     // an answer with a rate
-//	t.Learn(throttle.Withdrawn(sent))     // an answer without one
+//	t.Learn(throttle.Withdrawn(sent))     // an answer without a rate
 //
-//	if t.Free(now) == 0 {                 // at the scheduler
+//	if t.Free(now) == 0 {                 // in a scheduler
 //		t.Take(now)
 //	}
 //	share := throttle.Share{Nodes: 8, Part: 0.5}
-//	if t.Opens(now, share) == 0 {         // at a node by itself
+//	if t.Opens(now, share) == 0 {         // at a node that decides on its own
 //		t.Take(now)
 //	}
 package throttle
--- a/core/throttle/limit.go
+++ b/core/throttle/limit.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Limit is what a backend server has said of its rate as of a time.
+// Limit is the rate limit of a backend server as of a time.
 type Limit struct {
-	Rate   float64 // requests a second from all nodes together; of no meaning if not Active
-	Active bool    // the server names a rate
+	Rate   float64 // requests per second from all nodes together; meaningless unless Active
+	Active bool    // whether the server names a rate
 	At     time.Time
 }
 
-// Named returns a limit that came with an answer at a time.
+// Named returns the limit of an answer that arrived at a time and named a rate.
 func Named(at time.Time, rate float64) Limit { return Limit{Rate: rate, Active: true, At: at} }
 
-// Withdrawn returns what an answer without a rate says, by when its request was sent.
+// Withdrawn returns the limit of an answer without a rate, by the time at which its request was
+// sent.
 func Withdrawn(sent time.Time) Limit { return Limit{At: sent} }
--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -8,63 +8,63 @@
 )
 
 const (
-	// burst is the requests that a scheduler lets follow each other at once.
+	// burst is the number of requests that a scheduler may send without a pause.
 	burst = 2
-	// leastRate, in requests a second, stands for any lower one: only the answer to a
-	// request tells that the rate has changed.
-	leastRate = 0.25
+	// minRate, in requests per second, replaces any lower rate: a change of the rate can only be
+	// learned from the answer to a request.
+	minRate = 0.25
 )
 
 type (
-	// Throttle is the limit of one backend server. The zero value limits nothing.
+	// Throttle enforces the rate limit of one backend server. The zero value limits nothing.
 	Throttle struct {
-		limit  Limit
-		phase  float64       // of this node's windows, in [0, 1)
-		from   time.Time     // begin of the windows
-		taken  time.Time     // of the last request
-		bucket *rate.Limiter // nil without a limit
+		limit       Limit
+		phase       float64       // phase of this node's windows, in [0, 1)
+		windowStart time.Time     // start of the windows
+		lastSent    time.Time     // time of the last request
+		bucket      *rate.Limiter // nil without a limit
 	}
 
-	// Share is the part of a server's rate that a node may use by itself.
+	// Share is the share of a server's rate that a node may use on its own.
 	Share struct {
-		Nodes int     // that share the rate, at least one
-		Part  float64 // of the rate, for all nodes together, above zero
+		Nodes int     // number of nodes that share the rate, at least one
+		Part  float64 // fraction of the rate for all these nodes together, above zero
 	}
 )
 
-// New returns a Throttle without a limit. The phase is uniform in [0, 1) over the nodes.
+// New returns a Throttle without a limit. Over all nodes, phase must be uniformly distributed in
+// [0, 1).
 func New(phase float64) Throttle { return Throttle{phase: phase} }
 
-// Learn takes in what the server said unless something newer is known. It returns whether
-// that changes the limit.
+// Learn records a limit unless a newer one is known. It reports whether the limit changed.
 func (t *Throttle) Learn(l Limit) bool {
 	if !l.At.After(t.limit.At) || !l.Active && !t.limit.Active {
 		return false
 	}
-	was := t.limit
+	previous := t.limit
 	t.limit = l
 	switch {
 	case !l.Active:
 		t.bucket = nil
-	case !was.Active:
-		t.from = l.At
+	case !previous.Active:
+		t.windowStart = l.At
 		t.bucket = rate.NewLimiter(rate.Limit(t.Rate()), burst)
-		t.bucket.ReserveN(l.At, burst) // others may have sent as many just before
-	case l.Rate != was.Rate:
+		t.bucket.ReserveN(l.At, burst) // other nodes may have just sent as many requests
+	case l.Rate != previous.Rate:
 		t.bucket.SetLimitAt(l.At, rate.Limit(t.Rate()))
 	}
-	return l.Active != was.Active || l.Rate != was.Rate
+	return l.Active != previous.Active || l.Rate != previous.Rate
 }
 
-// Limit returns what the server said last.
+// Limit returns the latest limit of the server.
 func (t *Throttle) Limit() Limit { return t.limit }
 
-// Rate returns the requests a second that the server may get, of meaning only while its
+// Rate returns the requests per second that the server may get. It is meaningful only while the
 // limit is active.
-func (t *Throttle) Rate() float64 { return max(t.limit.Rate, leastRate) }
+func (t *Throttle) Rate() float64 { return max(t.limit.Rate, minRate) }
 
-// Free returns the time until the server may get a request from a scheduler that decides
-// for all nodes, zero for now.
+// Free returns the time until a scheduler that decides for all nodes may send the server a request,
+// zero if it may send one now.
 func (t *Throttle) Free(now time.Time) time.Duration {
 	if t.bucket == nil {
 		return 0
@@ -72,35 +72,35 @@
 	return max(0, seconds((1-t.bucket.TokensAt(now))/t.Rate()))
 }
 
-// Opens returns the time until this node may send the server a request by itself, zero for
-// now.
+// Opens returns the time until this node may send the server a request on its own, zero if it may
+// send one now.
 func (t *Throttle) Opens(now time.Time, s Share) time.Duration {
 	if !t.limit.Active {
 		return 0
 	}
 	width := 1 / (t.Rate() * s.Part)
 	period := width * float64(s.Nodes)
-	in := math.Mod(now.Sub(t.from).Seconds()+t.phase*period, period)
-	sinceTaken := now.Sub(t.taken).Seconds()
+	offset := math.Mod(now.Sub(t.windowStart).Seconds()+t.phase*period, period)
+	sinceSent := now.Sub(t.lastSent).Seconds()
 	switch {
-	case in >= width:
-		return seconds(period - in)
-	case sinceTaken >= width:
+	case offset >= width:
+		return seconds(period - offset)
+	case sinceSent >= width:
 		return 0
 	case s.Nodes == 1:
-		return seconds(width - sinceTaken)
+		return seconds(width - sinceSent)
 	default:
-		return seconds(period - in)
+		return seconds(period - offset)
 	}
 }
 
-// Take notes a request to the server.
+// Take records a request to the server.
 func (t *Throttle) Take(now time.Time) {
-	t.taken = now
+	t.lastSent = now
 	if t.bucket != nil {
 		t.bucket.ReserveN(now, 1)
 	}
 }
 
-// seconds returns a duration.
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/throttle/throttle_test.go
+++ b/core/throttle/throttle_test.go
@@ -12,31 +12,31 @@
 
 var start = time.Unix(1000, 0)
 
-// at returns a time so many milliseconds after the start.
+// at returns the time ms milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestOnlyAnAnswerToALaterRequestWithdrawsARate(t *testing.T) {
+func TestOnlyAnswerToLaterRequestWithdrawsRate(t *testing.T) {
 	for name, x := range map[string]struct {
-		said    []throttle.Limit
+		limits  []throttle.Limit
 		active  bool
 		rate    float64
 		changes int
 	}{
-		"none":              {[]throttle.Limit{throttle.Withdrawn(at(1))}, false, 0, 0},
-		"named":             {[]throttle.Limit{throttle.Named(at(1), 2)}, true, 2, 1},
-		"named again":       {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Named(at(2), 2)}, true, 2, 1},
-		"another rate":      {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Named(at(2), 3)}, true, 3, 2},
-		"withdrawn":         {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Withdrawn(at(2))}, false, 0, 2},
-		"sent before":       {[]throttle.Limit{throttle.Named(at(5), 2), throttle.Withdrawn(at(4))}, true, 2, 1},
-		"older news":        {[]throttle.Limit{throttle.Named(at(5), 2), throttle.Named(at(4), 9)}, true, 2, 1},
-		"named once more":   {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Withdrawn(at(2)), throttle.Named(at(3), 2)}, true, 2, 3},
-		"zero is a rate":    {[]throttle.Limit{throttle.Named(at(1), 0)}, true, 0, 1},
-		"withdrawn, before": {[]throttle.Limit{throttle.Named(at(3), 2), throttle.Withdrawn(at(4)), throttle.Named(at(2), 5)}, false, 0, 2},
+		"none":                {[]throttle.Limit{throttle.Withdrawn(at(1))}, false, 0, 0},
+		"named":               {[]throttle.Limit{throttle.Named(at(1), 2)}, true, 2, 1},
+		"named again":         {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Named(at(2), 2)}, true, 2, 1},
+		"another rate":        {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Named(at(2), 3)}, true, 3, 2},
+		"withdrawn":           {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Withdrawn(at(2))}, false, 0, 2},
+		"request sent before": {[]throttle.Limit{throttle.Named(at(5), 2), throttle.Withdrawn(at(4))}, true, 2, 1},
+		"older rate":          {[]throttle.Limit{throttle.Named(at(5), 2), throttle.Named(at(4), 9)}, true, 2, 1},
+		"named once more":     {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Withdrawn(at(2)), throttle.Named(at(3), 2)}, true, 2, 3},
+		"zero is a rate":      {[]throttle.Limit{throttle.Named(at(1), 0)}, true, 0, 1},
+		"withdrawn, before":   {[]throttle.Limit{throttle.Named(at(3), 2), throttle.Withdrawn(at(4)), throttle.Named(at(2), 5)}, false, 0, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var v throttle.Throttle
 			changes := 0
-			for _, l := range x.said {
+			for _, l := range x.limits {
 				if v.Learn(l) {
 					changes++
 				}
@@ -52,8 +52,8 @@
 
 const span = 4 * time.Second
 
-// most returns the most times within any span; they are in order.
-func most(times []time.Time) int {
+// maxInSpan returns the largest number of times within any span. The times must be sorted.
+func maxInSpan(times []time.Time) int {
 	n := 0
 	for i, first := range times {
 		j := i
@@ -65,13 +65,13 @@
 	return n
 }
 
-// scheduled returns a limited throttle and the requests that a scheduler sends by it under
-// any load, in so many milliseconds.
-func scheduled(perSecond float64, lasts int) (throttle.Throttle, []time.Time) {
+// sendScheduled returns a limited throttle and the times at which a scheduler under unlimited load
+// sends requests by it, over duration milliseconds.
+func sendScheduled(perSecond float64, duration int) (throttle.Throttle, []time.Time) {
 	v := throttle.New(0)
 	v.Learn(throttle.Named(start, perSecond))
 	var sent []time.Time
-	for ms := range lasts {
+	for ms := range duration {
 		if now := at(ms); v.Free(now) == 0 {
 			v.Take(now)
 			sent = append(sent, now)
@@ -80,19 +80,19 @@
 	return v, sent
 }
 
-func TestASchedulerKeepsToTheRate(t *testing.T) {
+func TestSchedulerKeepsToTheRate(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.3, 1.3, 2.1, 20} {
-		v, sent := scheduled(perSecond, 60_000)
-		require.LessOrEqual(t, float64(most(sent)), v.Rate()*span.Seconds()+3, "rate %v", perSecond)
+		v, sent := sendScheduled(perSecond, 60_000)
+		require.LessOrEqual(t, float64(maxInSpan(sent)), v.Rate()*span.Seconds()+3, "rate %v", perSecond)
 		require.GreaterOrEqual(t, float64(len(sent)), v.Rate()*60-2, "rate %v", perSecond)
 	}
 }
 
-func TestFreeTellsWhenARequestFits(t *testing.T) {
+func TestFreeReportsTimeUntilRequestFits(t *testing.T) {
 	v := throttle.New(0)
 	require.Zero(t, v.Free(start))
 	v.Learn(throttle.Named(start, 2))
-	require.Equal(t, 500*time.Millisecond, v.Free(start), "others may have sent requests just before")
+	require.Equal(t, 500*time.Millisecond, v.Free(start), "other nodes may have just sent requests")
 	for range 2 {
 		require.Zero(t, v.Free(at(1000)))
 		v.Take(at(1000))
@@ -103,35 +103,35 @@
 	require.Zero(t, v.Free(at(1)))
 }
 
-// TestNodesByThemselvesKeepToTheRateTogether has nodes press that have been idle for long,
-// right after a scheduler has used the whole rate.
-func TestNodesByThemselvesKeepToTheRateTogether(t *testing.T) {
+// TestNodesKeepToTheRateTogether has nodes that have long been idle send as much as they may, right
+// after a scheduler has used the whole rate.
+func TestNodesKeepToTheRateTogether(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		nodes := []int{1, 3, 8, 80, 300}[seed%5]
 		perSecond := 0.5 + 4*rng.Float64()
-		sent := scheduledThenAlone(rng, nodes, perSecond)
-		require.LessOrEqual(t, float64(most(sent)), 1.5*perSecond*span.Seconds()+5, "seed %d: %d nodes, rate %v", seed, nodes, perSecond)
+		sent := sendScheduledThenLocal(rng, nodes, perSecond)
+		require.LessOrEqual(t, float64(maxInSpan(sent)), 1.5*perSecond*span.Seconds()+5, "seed %d: %d nodes, rate %v", seed, nodes, perSecond)
 	}
 }
 
-// TestRatesBelowTheLeastKeepTheBound guards against servers that name a rate below the least
-// one that is used, zero among them, and get more requests than they bear.
-func TestRatesBelowTheLeastKeepTheBound(t *testing.T) {
+// TestRatesBelowMinimumKeepTheBound guards against servers that name a rate below the minimum in
+// use, or zero, and then get more requests than they accept.
+func TestRatesBelowMinimumKeepTheBound(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		nodes := []int{1, 3, 8, 80, 300}[seed%5]
 		perSecond := []float64{0, 0.05, 0.1, 0.2}[seed/5%4]
-		sent := scheduledThenAlone(rng, nodes, perSecond)
-		require.LessOrEqual(t, float64(most(sent)), 1.5*perSecond*span.Seconds()+5, "seed %d: %d nodes, rate %v", seed, nodes, perSecond)
+		sent := sendScheduledThenLocal(rng, nodes, perSecond)
+		require.LessOrEqual(t, float64(maxInSpan(sent)), 1.5*perSecond*span.Seconds()+5, "seed %d: %d nodes, rate %v", seed, nodes, perSecond)
 	}
 }
 
-// scheduledThenAlone returns the requests that a scheduler sends in 8 s and nodes by
-// themselves in the 12 s after.
-func scheduledThenAlone(rng *rand.Rand, nodes int, perSecond float64) []time.Time {
+// sendScheduledThenLocal returns the times of the requests that a scheduler sends in 8 s and of
+// those that nodes send on their own in the following 12 s.
+func sendScheduledThenLocal(rng *rand.Rand, nodes int, perSecond float64) []time.Time {
 	share := throttle.Share{Nodes: nodes, Part: 0.5}
-	_, sent := scheduled(perSecond, 8_000)
+	_, sent := sendScheduled(perSecond, 8_000)
 	all := make([]throttle.Throttle, nodes)
 	for i := range all {
 		all[i] = throttle.New(rng.Float64())
@@ -148,7 +148,7 @@
 	return sent
 }
 
-func TestOpensTellsWhenTheWindowComes(t *testing.T) {
+func TestOpensReportsTimeUntilWindow(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		v := throttle.New(rng.Float64())
