--- a/core/departure/doc.go
+++ b/core/departure/doc.go
@@ -1,13 +1,13 @@
-// Package departure remembers which backend servers have said that they leave.
+// Package departure records which backend servers have announced that they leave.
 //
-// A server's entry in the store may say so late or never, and an entry read before may
-// come after the server's own word. A server that leaves never comes back in the same
-// incarnation, so what it said holds over any list.
+// A server's store entry may show this late or never, and an entry that was read
+// earlier may arrive after the server's own announcement. A server that leaves
+// never returns in the same incarnation, so its announcement overrides any list.
 //
 // # Usage
 //
 //	var s departure.Set
-//	if s.Add(departure.Incarnation{ID: "i-7", Born: born}) { ... }
+//	if s.Add(departure.Incarnation{ID: "i-7", Born: startTime}) { ... }
 //	servers = s.Apply(servers)
 //
 // A Set is not safe for concurrent use.
--- a/core/departure/set.go
+++ b/core/departure/set.go
@@ -6,27 +6,27 @@
 	"guavapaddle/core/fleet"
 )
 
-// setMost bounds the incarnations remembered; the oldest are forgotten first.
-const setMost = 4096
+// maxIncarnations bounds the incarnations that are remembered; the oldest are forgotten first.
+const maxIncarnations = 4096
 
 type (
 	// Incarnation is one run of a backend server.
 	Incarnation struct {
 		ID   string
-		Born int64 // Unix time of its start in milliseconds, 0 if it doesn't tell
+		Born int64 // Unix time of the start in milliseconds, 0 if the server doesn't report it
 	}
 
-	// Set is the incarnations that have said that they leave. The zero value is empty.
+	// Set is the set of incarnations that have announced that they leave. The zero value is empty.
 	Set struct {
 		left  map[Incarnation]bool
-		order []Incarnation // of their coming
+		order []Incarnation // in order of announcement
 	}
 )
 
 // Of returns the incarnation of a server.
 func Of(s fleet.Server) Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
 
-// Add takes in incarnations that leave. It returns whether any of them is new.
+// Add adds incarnations that leave. It reports whether any of them is new.
 func (s *Set) Add(list ...Incarnation) bool {
 	added := false
 	for _, i := range list {
@@ -36,7 +36,7 @@
 		if s.left == nil {
 			s.left = map[Incarnation]bool{}
 		}
-		if len(s.order) >= setMost {
+		if len(s.order) >= maxIncarnations {
 			delete(s.left, s.order[0])
 			s.order = s.order[1:]
 		}
@@ -47,7 +47,7 @@
 	return added
 }
 
-// Apply returns the servers with those marked as leaving that have said so.
+// Apply returns the servers with Leaving set for those in the set. The list itself isn't modified.
 func (s *Set) Apply(list []fleet.Server) []fleet.Server {
 	out := list
 	for i, v := range list {
@@ -62,8 +62,8 @@
 	return out
 }
 
-// Among returns those of the servers that have said that they leave while their entries
-// don't.
+// Among returns those of the servers that have announced that they leave although their store
+// entries don't show it.
 func (s *Set) Among(list []fleet.Server) []Incarnation {
 	var out []Incarnation
 	for _, v := range list {
--- a/core/departure/set_test.go
+++ b/core/departure/set_test.go
@@ -10,7 +10,7 @@
 	"guavapaddle/core/fleet"
 )
 
-func TestWhatAServerSaidHoldsOverAnyList(t *testing.T) {
+func TestAnnouncementOverridesList(t *testing.T) {
 	var s departure.Set
 	list := []fleet.Server{{ID: "a", Born: 1}, {ID: "b", Born: 1}, {ID: "c", Leaving: true}}
 	require.Empty(t, s.Among(list))
@@ -21,13 +21,13 @@
 	require.False(t, got[0].Leaving)
 	require.True(t, got[1].Leaving)
 	require.True(t, got[2].Leaving)
-	require.False(t, list[1].Leaving, "the list itself stays as it was")
+	require.False(t, list[1].Leaving, "the list itself isn't modified")
 	require.Equal(t, []departure.Incarnation{{ID: "b", Born: 1}}, s.Among(list))
-	require.False(t, s.Apply([]fleet.Server{{ID: "b", Born: 2}})[0].Leaving, "it has started again")
+	require.False(t, s.Apply([]fleet.Server{{ID: "b", Born: 2}})[0].Leaving, "the server has restarted")
 	require.Empty(t, s.Apply(nil))
 }
 
-func TestTheOldestAreForgotten(t *testing.T) {
+func TestOldestIncarnationsAreForgotten(t *testing.T) {
 	var s departure.Set
 	for i := range 5000 {
 		s.Add(departure.Incarnation{ID: fmt.Sprint(i)})
