--- a/core/member/changes.go
+++ b/core/member/changes.go
@@ -3,48 +3,48 @@
 import "container/list"
 
 type (
-	// changes holds the keys of records that are still to be pushed, in levels
-	// by the pushes that remain, so that what was pushed least goes first even
-	// while very many records change.
-	changes struct {
-		levels []*list.List // of *change, by pushes that remain
-		at     map[string]*list.Element
+	// changeQueue holds the keys of the records that still have to be pushed, in levels by the
+	// number of remaining pushes. Records with the fewest pushes so far go first, even while very
+	// many records change.
+	changeQueue struct {
+		levels []*list.List // of *change, by remaining pushes
+		byKey  map[string]*list.Element
 	}
 
 	change struct {
-		key  string
-		left int // pushes that remain
+		key       string
+		remaining int // number of pushes
 	}
 )
 
-func newChanges() changes { return changes{at: map[string]*list.Element{}} }
+func newChangeQueue() changeQueue { return changeQueue{byKey: map[string]*list.Element{}} }
 
-func (c *changes) len() int { return len(c.at) }
+func (c *changeQueue) len() int { return len(c.byKey) }
 
-// put makes a key be pushed n times.
-func (c *changes) put(key string, n int) {
-	c.drop(key)
+// put sets the number of pushes that remain for a key.
+func (c *changeQueue) put(key string, n int) {
+	c.remove(key)
 	for len(c.levels) <= n {
 		c.levels = append(c.levels, list.New())
 	}
-	c.at[key] = c.levels[n].PushBack(&change{key: key, left: n})
+	c.byKey[key] = c.levels[n].PushBack(&change{key: key, remaining: n})
 }
 
-// take takes the key out that was pushed least, the oldest of equals.
-func (c *changes) take() (change, bool) {
+// take removes and returns the key with the most remaining pushes, the oldest of equals.
+func (c *changeQueue) take() (change, bool) {
 	for i := len(c.levels) - 1; i >= 0; i-- {
 		if e := c.levels[i].Front(); e != nil {
-			one := *e.Value.(*change)
-			c.drop(one.key)
-			return one, true
+			next := *e.Value.(*change)
+			c.remove(next.key)
+			return next, true
 		}
 	}
 	return change{}, false
 }
 
-func (c *changes) drop(key string) {
-	if e := c.at[key]; e != nil {
-		c.levels[e.Value.(*change).left].Remove(e)
-		delete(c.at, key)
+func (c *changeQueue) remove(key string) {
+	if e := c.byKey[key]; e != nil {
+		c.levels[e.Value.(*change).remaining].Remove(e)
+		delete(c.byKey, key)
 	}
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -17,18 +17,18 @@
 	delay = time.Millisecond
 )
 
-// network carries messages between states, with losses.
+// network delivers messages between states and can lose some of them.
 type network struct {
-	now    time.Time
-	rng    *rand.Rand
-	states map[string]*member.State // by address
-	names  []string                 // of addresses, in order
-	down   map[string]bool          // by address
-	loss   float64
-	cut    func(from, to string) bool // may be nil
-	queue  []member.Send
-	count  int                 // messages
-	sent   func(m member.Send) // told each, may be nil
+	now       time.Time
+	rng       *rand.Rand
+	states    map[string]*member.State // by address
+	addresses []string                 // in order of start
+	down      map[string]bool          // by address
+	loss      float64
+	cut       func(from, to string) bool // may be nil
+	queue     []member.Send
+	count     int                 // number of messages
+	onSend    func(m member.Send) // called for each message; may be nil
 }
 
 func newNetwork(n int, seed uint64) *network {
@@ -48,22 +48,22 @@
 
 func name(i int) string { return fmt.Sprintf("n%d", i) }
 
-// start starts node i, which has node 0 as its seed.
+// start starts node i with nodes 0 and 1 as its seeds.
 func (w *network) start(i int, incarnation uint64) {
 	self := member.Node{Name: name(i), Address: address(i), Incarnation: incarnation}
 	s := member.New(self, member.Settings{}, rand.New(rand.NewPCG(uint64(i), incarnation)))
 	if w.states[address(i)] == nil {
-		w.names = append(w.names, address(i))
+		w.addresses = append(w.addresses, address(i))
 	}
 	w.states[address(i)] = s
 	delete(w.down, address(i))
 	w.queue = append(w.queue, s.Join(w.now, []string{address(0), address(1)})...)
 }
 
-// run advances time.
+// run advances time by d and delivers the messages.
 func (w *network) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tick) {
-		for _, a := range w.names {
+		for _, a := range w.addresses {
 			if !w.down[a] {
 				w.queue = append(w.queue, w.states[a].Tick(w.now)...)
 			}
@@ -73,8 +73,8 @@
 			w.queue = w.queue[1:]
 			to := w.states[m.Address]
 			w.count++
-			if w.sent != nil {
-				w.sent(m)
+			if w.onSend != nil {
+				w.onSend(m)
 			}
 			if to == nil || w.down[m.Address] || w.rng.Float64() < w.loss ||
 				w.cut != nil && w.cut(m.Message.From.Address, m.Address) {
@@ -85,9 +85,9 @@
 	}
 }
 
-// all tells whether every running state holds.
+// all reports whether a condition holds for every running state.
 func (w *network) all(holds func(s *member.State) bool) bool {
-	for _, a := range w.names {
+	for _, a := range w.addresses {
 		if !w.down[a] && !holds(w.states[a]) {
 			return false
 		}
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestDeadNodeIsFound(t *testing.T) {
+func TestDeadNodeIsDetected(t *testing.T) {
 	for _, n := range []int{8, 64} {
 		t.Run(fmt.Sprintf("%d nodes", n), func(t *testing.T) {
 			w := newNetwork(n, 2)
@@ -120,13 +120,13 @@
 	}
 }
 
-// TestNeighboursAreFew shows that a node probes and pushes to few others, and
-// that each is probed, however many nodes there are.
+// TestNeighboursAreFew checks that a node probes and pushes to few others and that every node is
+// probed, regardless of the number of nodes.
 func TestNeighboursAreFew(t *testing.T) {
 	w := newNetwork(100, 7)
 	w.run(time.Minute)
 	peers, probed := map[string]map[string]bool{}, map[string]bool{}
-	w.sent = func(m member.Send) {
+	w.onSend = func(m member.Send) {
 		from := m.Message.From.Address
 		if m.Message.Type != member.Ping && m.Message.Type != member.Gossip {
 			return
@@ -143,13 +143,13 @@
 	}
 	require.Len(t, probed, 100)
 	for from, to := range peers {
-		require.LessOrEqual(t, len(to), 12, from) // 8, and answers to the few comparisons
+		require.LessOrEqual(t, len(to), 12, from) // 8 neighbours, and the replies to the few syncs
 		require.GreaterOrEqual(t, len(to), 6, from)
 	}
 }
 
-// TestInvariantLeavingSpreads shows that what one node learns is everywhere in
-// less than three seconds, at 8 nodes and at 350, with one message in ten lost.
+// TestInvariantLeavingSpreads checks that an entry of one node reaches all others in less than
+// three seconds, with 8 nodes and with 350, while one message in ten is lost.
 func TestInvariantLeavingSpreads(t *testing.T) {
 	for _, n := range []int{8, 350} {
 		t.Run(fmt.Sprintf("%d nodes", n), func(t *testing.T) {
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestEntriesNeverGoBack drives nodes through losses, kills and restarts; an
-// entry that a node has seen is never replaced by an older one.
+// TestEntriesNeverGoBack checks, through message loss, crashes and restarts of nodes, that an entry
+// which a node has seen is never replaced by an older one.
 func TestEntriesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newNetwork(5, rapid.Uint64().Draw(r, "seed"))
@@ -184,7 +184,7 @@
 				delete(w.down, at)
 			}
 			w.run(time.Duration(rapid.IntRange(1, 20).Draw(r, "ticks")) * tick)
-			for _, a := range w.names {
+			for _, a := range w.addresses {
 				for _, e := range w.states[a].Entries("k") {
 					require.GreaterOrEqual(r, e.Major, seen[a])
 					seen[a] = e.Major
@@ -198,12 +198,12 @@
 			require.True(r, w.all(func(s *member.State) bool {
 				e := s.Entries("k")
 				return len(e) == 1 && e[0].Major == version
-			}), "all nodes have the last version in the end")
+			}), "all nodes eventually have the last version")
 		}
 	})
 }
 
-// TestRefute shows that a node that was silent and is back counts as live.
+// TestRefute checks that a node which was silent and has returned counts as live.
 func TestRefute(t *testing.T) {
 	w := newNetwork(8, 4)
 	w.run(12 * time.Second)
@@ -214,25 +214,26 @@
 	require.True(t, w.all(func(s *member.State) bool { return len(s.Live()) == 8 }))
 }
 
-// TestSplitHeals shows that halves that have forgotten each other grow together.
-func TestSplitHeals(t *testing.T) {
+// TestPartitionHeals checks that the sides of a network partition merge again after they have
+// forgotten each other.
+func TestPartitionHeals(t *testing.T) {
 	w := newNetwork(8, 6)
 	w.run(12 * time.Second)
 	half := func(a string) bool { return a < address(4) }
 	w.cut = func(from, to string) bool { return half(from) != half(to) }
 	w.run(3 * time.Minute)
-	require.True(t, w.all(func(s *member.State) bool { return len(s.Nodes()) == 4 }), "halves forgot each other")
+	require.True(t, w.all(func(s *member.State) bool { return len(s.Nodes()) == 4 }), "the sides have forgotten each other")
 	w.cut = nil
 	w.run(time.Minute)
 	require.True(t, w.all(func(s *member.State) bool { return len(s.Live()) == 8 }))
 }
 
-// BenchmarkSecond measures what one second costs a node, by the count of nodes.
+// BenchmarkSecond measures the cost of one second for a node, by the number of nodes.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{8, 50, 100, 200, 350} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			w := newNetwork(n, 5)
-			w.run(2 * time.Minute) // the first flood of records is over
+			w.run(2 * time.Minute) // until the initial distribution of records is over
 			w.count = 0
 			b.ResetTimer()
 			for range b.N {
@@ -244,9 +245,9 @@
 	}
 }
 
-// TestLateNodeIsNamed: a node whose answer to a probe is late is named once, so
-// that its connection is renewed.
-func TestLateNodeIsNamed(t *testing.T) {
+// TestLateNodeIsReported checks that a node whose answer to a probe is late is reported exactly
+// once, so that the connection to it is renewed.
+func TestLateNodeIsReported(t *testing.T) {
 	w := newNetwork(3, 1)
 	w.run(20 * time.Second)
 	require.Empty(t, w.states[address(0)].Late())
--- a/core/member/neighbours.go
+++ b/core/member/neighbours.go
@@ -8,11 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// neighbours returns the live nodes that this node probes and pushes to. If
-// there are few nodes that is all of them. Otherwise each of several rings
-// orders the names by another hash, and the successors in them are the
-// neighbours: every node has as many as there are rings and is one to as many.
-// The slice is shared.
+// neighbours returns the live nodes that this node probes and pushes to. With few nodes these are
+// all of them. Otherwise several rings order the names by different hashes, and this node's
+// successors in the rings are its neighbours, so that every node is in turn the neighbour of as
+// many others. The slice is shared.
 func (s *State) neighbours() []string {
 	live := s.liveNames()
 	if len(live) <= s.settings.Neighbours {
@@ -24,10 +23,10 @@
 	return s.ring
 }
 
-// liveNames returns the names of other nodes that are not dead, sorted.
+// liveNames returns the sorted names of the other nodes that are not dead.
 func (s *State) liveNames() []string {
 	var out []string
-	for _, name := range s.sorted() {
+	for _, name := range s.nodeNames() {
 		if s.nodes[name].node.Status <= Suspect {
 			out = append(out, name)
 		}
@@ -35,7 +34,7 @@
 	return out
 }
 
-// fingerprint returns a hash of names.
+// fingerprint returns a hash of a list of names.
 func fingerprint(names []string) uint64 {
 	h := xxhash.New()
 	for _, n := range names {
@@ -45,16 +44,15 @@
 	return h.Sum64()
 }
 
-// successors returns the next of others after self in each of k rings, sorted
-// and each once.
+// successors returns the node that follows self in each of k rings, sorted and without duplicates.
 func successors(self string, others []string, k int) []string {
 	var out []string
 	for ring := range k {
 		salt := strconv.Itoa(ring) + "/"
-		own := xxhash.Sum64String(salt + self)
-		// The least distance going up, around the end.
+		position := xxhash.Sum64String(salt + self)
+		// The successor has the least clockwise distance; unsigned subtraction wraps around.
 		next := slices.MinFunc(others, func(a, b string) int {
-			return cmp.Compare(xxhash.Sum64String(salt+a)-own, xxhash.Sum64String(salt+b)-own)
+			return cmp.Compare(xxhash.Sum64String(salt+a)-position, xxhash.Sum64String(salt+b)-position)
 		})
 		out = append(out, next)
 	}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Receive takes a message in and returns the messages that answer it.
+// Receive processes a message and returns the messages to send in reply.
 func (s *State) Receive(now time.Time, m Message) []Send {
 	if m.From.Name == s.self.Name {
 		return nil
@@ -16,21 +16,20 @@
 	}
 	switch m.Type {
 	case Ping:
-		return []Send{s.send(m.From.Address, s.loaded(Message{Type: Ack, Sequence: m.Sequence}))}
+		return []Send{s.send(m.From.Address, s.withChanges(Message{Type: Ack, Sequence: m.Sequence}))}
 	case Ack:
-		return s.acked(now, m)
+		return s.handleAck(now, m)
 	case PingRequest:
 		return s.relay(now, m)
 	case Sync:
-		return []Send{s.answerSync(m)}
+		return []Send{s.replySync(m)}
 	case SyncReply:
-		return s.answerWanted(m)
+		return s.replyWanted(m)
 	}
 	return nil
 }
 
-// mergeNode takes a node record in if it is newer, and refutes a wrong one of
-// this node itself.
+// mergeNode stores a node record if it is newer. It refutes a record of this node that is wrong.
 func (s *State) mergeNode(now time.Time, n Node) {
 	if n.Name == "" || n.Address == "" {
 		return
@@ -46,7 +45,7 @@
 		}
 		s.nodes[n.Name] = &peer{node: n, since: now}
 		s.names = nil
-		s.heat(nodePrefix + n.Name)
+		s.enqueueChange(nodePrefix + n.Name)
 		return
 	}
 	if !n.newer(p.node) {
@@ -56,22 +55,22 @@
 		p.since = now
 	}
 	p.node = n
-	s.heat(nodePrefix + n.Name)
+	s.enqueueChange(nodePrefix + n.Name)
 }
 
-// refute raises the own sequence if another node believes this one suspect or
-// dead, or remembers a later record than this process has written.
+// refute increases this node's sequence if another node suspects it or believes it dead, or
+// remembers a later record than this process has written.
 func (s *State) refute(n Node) {
 	if !n.newer(s.self) {
 		return
 	}
 	s.self.Incarnation = max(s.self.Incarnation, n.Incarnation)
 	s.self.Sequence = max(s.self.Sequence, n.Sequence) + 1
-	s.heat(nodePrefix + s.self.Name)
+	s.enqueueChange(nodePrefix + s.self.Name)
 }
 
-// acked ends the probe, or passes the answer on to who asked for it.
-func (s *State) acked(now time.Time, m Message) []Send {
+// handleAck ends the probe, or forwards the answer to the node that requested it.
+func (s *State) handleAck(now time.Time, m Message) []Send {
 	if r, ok := s.relayed[m.Sequence]; ok {
 		delete(s.relayed, m.Sequence)
 		return []Send{s.send(r.address, Message{Type: Ack, Sequence: r.sequence, Target: m.From.Name})}
@@ -90,7 +89,7 @@
 	return nil
 }
 
-// relay pings a target for another node.
+// relay pings a target on behalf of another node.
 func (s *State) relay(now time.Time, m Message) []Send {
 	p := s.nodes[m.Target]
 	if p == nil {
@@ -101,31 +100,31 @@
 	return []Send{s.send(p.node.Address, Message{Type: Ping, Sequence: s.sequence})}
 }
 
-// answerSync returns what the sender lacks and asks for what this node lacks.
-func (s *State) answerSync(m Message) Send {
+// replySync returns the records that the sender lacks and requests those that this node lacks.
+func (s *State) replySync(m Message) Send {
 	reply := Message{Type: SyncReply}
-	theirs := make(map[string]Version, min(len(m.Versions), maxSyncVersions))
+	remote := make(map[string]Version, min(len(m.Versions), maxSyncVersions))
 	for _, v := range m.Versions[:min(len(m.Versions), maxSyncVersions)] {
-		theirs[v.Key] = v
+		remote[v.Key] = v
 	}
-	for _, mine := range s.versions() {
-		v, known := theirs[mine.Key]
-		delete(theirs, mine.Key)
+	for _, own := range s.versions() {
+		v, known := remote[own.Key]
+		delete(remote, own.Key)
 		switch {
-		case !known || less(v, mine):
-			s.attach(&reply, mine.Key)
-		case less(mine, v):
-			reply.Wanted = append(reply.Wanted, mine.Key)
+		case !known || older(v, own):
+			s.attach(&reply, own.Key)
+		case older(own, v):
+			reply.Wanted = append(reply.Wanted, own.Key)
 		}
 	}
-	for key := range theirs {
+	for key := range remote {
 		reply.Wanted = append(reply.Wanted, key)
 	}
 	return s.send(m.From.Address, reply)
 }
 
-// answerWanted returns the records that a peer asked for.
-func (s *State) answerWanted(m Message) []Send {
+// replyWanted returns the records that a peer requested.
+func (s *State) replyWanted(m Message) []Send {
 	if len(m.Wanted) == 0 {
 		return nil
 	}
@@ -136,7 +135,7 @@
 	return []Send{s.send(m.From.Address, out)}
 }
 
-// attach adds the record of a key to m.
+// attach adds the record of a key to a message.
 func (s *State) attach(m *Message, key string) {
 	if n, ok := s.record(key); ok {
 		m.Nodes = append(m.Nodes, n)
@@ -145,8 +144,8 @@
 	}
 }
 
-// less tells whether version a is older than b, both of the same key.
-func less(a, b Version) bool {
+// older reports whether version a is older than version b of the same key.
+func older(a, b Version) bool {
 	if a.Major != b.Major {
 		return a.Major < b.Major
 	}
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -16,29 +16,29 @@
 )
 
 type (
-	// State is what one node knows. It is not safe for concurrent use.
+	// State is what one node knows of the others. It is not safe for concurrent use.
 	State struct {
-		settings Settings
-		self     Node
-		rng      *rand.Rand
-		nodes    map[string]*peer
-		entries  map[string]Entry
-		hot      changes
-		names    []string // of nodes, sorted; nil if stale
-		order    []string // names left to probe in this round
-		ring     []string // neighbours of the live nodes that ringKey stands for
-		ringKey  uint64
-		probe    probe
-		relayed  map[uint64]relay
-		seeds    []string // addresses from outside
-		sequence uint64
-		next     schedule
-		late     []string // addresses, see Late
+		settings      Settings
+		self          Node
+		rng           *rand.Rand
+		nodes         map[string]*peer
+		entries       map[string]Entry
+		pending       changeQueue
+		names         []string // names of nodes, sorted; nil if stale
+		probeOrder    []string // names that remain to be probed in this round
+		ring          []string // cached neighbours
+		ringKey       uint64   // fingerprint of the live nodes from which ring was computed
+		probe         probe
+		relayed       map[uint64]relay
+		seeds         []string // configured addresses
+		sequence      uint64
+		next          schedule
+		lateAnswerers []string // addresses; see Late
 	}
 
 	peer struct {
 		node  Node
-		since time.Time // of the current status
+		since time.Time // start of the current status
 	}
 
 	probe struct {
@@ -49,10 +49,10 @@
 		done     bool
 	}
 
-	// relay is a probe that this node sends for another.
+	// relay is a probe that this node sends on behalf of another.
 	relay struct {
-		address  string // of who asked
-		sequence uint64 // of the asker's probe
+		address  string // address of the requester
+		sequence uint64 // sequence of the requester's probe
 		at       time.Time
 	}
 
@@ -61,8 +61,8 @@
 	}
 )
 
-// New returns the state of node self, which knows only itself. It panics if
-// self has no name or address or if rng is nil.
+// New returns the state of the node self, which knows only itself. It panics if self has no name or
+// address, or if rng is nil.
 func New(self Node, s Settings, rng *rand.Rand) *State {
 	if self.Name == "" || self.Address == "" || rng == nil {
 		panic(ErrNoIdentity)
@@ -73,7 +73,7 @@
 		rng:      rng,
 		nodes:    map[string]*peer{},
 		entries:  map[string]Entry{},
-		hot:      newChanges(),
+		pending:  newChangeQueue(),
 		relayed:  map[uint64]relay{},
 	}
 }
@@ -81,7 +81,7 @@
 // Self returns the node's own record.
 func (s *State) Self() Node { return s.self }
 
-// Nodes returns all known nodes with this one, sorted by name.
+// Nodes returns all known nodes including this one, sorted by name.
 func (s *State) Nodes() []Node {
 	all := []Node{s.self}
 	for _, p := range s.nodes {
@@ -91,8 +91,8 @@
 	return all
 }
 
-// Live returns the names of nodes that are not dead and have not left, this
-// one included, sorted. Suspected nodes count as live.
+// Live returns the sorted names of the nodes that are not dead and have not left, including this
+// one. Suspected nodes count as live.
 func (s *State) Live() []string {
 	var names []string
 	for _, n := range s.Nodes() {
@@ -103,7 +103,7 @@
 	return names
 }
 
-// Node returns what is known of a node.
+// Node returns the record of a node.
 func (s *State) Node(name string) (Node, bool) {
 	if name == s.self.Name {
 		return s.self, true
@@ -114,26 +114,26 @@
 	return Node{}, false
 }
 
-// Update changes the node's own record by f and spreads it. Name, Incarnation
-// and Sequence stay with the State.
+// Update modifies the node's own record by f and distributes it. Name, Incarnation and Sequence
+// can't be modified.
 func (s *State) Update(f func(n *Node)) {
 	n := s.self
 	f(&n)
 	n.Name, n.Incarnation, n.Sequence = s.self.Name, s.self.Incarnation, s.self.Sequence+1
 	s.self = n
-	s.heat(nodePrefix + n.Name)
+	s.enqueueChange(nodePrefix + n.Name)
 }
 
-// Put spreads an entry. It reports whether the entry was newer than the known.
+// Put stores and distributes an entry. It reports whether the entry was newer than the known one.
 func (s *State) Put(e Entry) bool {
 	if old, ok := s.entries[e.Key]; ok && !e.Newer(old) {
 		return false
 	}
 	s.entries[e.Key] = e
 	if e.Light {
-		s.hot.put(e.Key, lightRetransmits)
+		s.pending.put(e.Key, transientRetransmits)
 	} else {
-		s.heat(e.Key)
+		s.enqueueChange(e.Key)
 	}
 	return true
 }
@@ -144,7 +144,7 @@
 	return e, ok
 }
 
-// Entries returns the entries whose key has a prefix, sorted by key.
+// Entries returns the entries whose keys have a prefix, sorted by key.
 func (s *State) Entries(prefix string) []Entry {
 	var all []Entry
 	for k, e := range s.entries {
@@ -156,16 +156,16 @@
 	return all
 }
 
-// Drop forgets an entry here. Other nodes may bring it back.
+// Drop removes an entry from this node. Other nodes may send it again.
 func (s *State) Drop(key string) {
 	delete(s.entries, key)
-	s.hot.drop(key)
+	s.pending.remove(key)
 }
 
-// Join sets the seeds, IP:port each, and returns the messages that make this
-// node known to them. Seeds that are not live nodes are tried again at times,
-// so that a node whose first messages were lost gets in, and a network that was
-// split for long grows together. Call SetSeeds when they change.
+// Join sets the seeds, each as IP:port, and returns the messages that announce this node to them.
+// Seeds that are not live nodes are contacted again periodically, so that a node whose first
+// messages were lost still joins, and the sides of a long network partition merge again. Call
+// SetSeeds when the seeds change.
 func (s *State) Join(now time.Time, seeds []string) []Send {
 	s.SetSeeds(seeds)
 	s.next = schedule{
@@ -175,7 +175,7 @@
 		join:   now.Add(s.settings.JoinPeriod),
 	}
 	var out []Send
-	for _, a := range s.strangers() {
+	for _, a := range s.unknownSeeds() {
 		out = append(out, s.send(a, Message{Type: Sync, Versions: s.versions()}))
 	}
 	return out
@@ -184,8 +184,8 @@
 // SetSeeds replaces the seeds.
 func (s *State) SetSeeds(seeds []string) { s.seeds = slices.Clone(seeds) }
 
-// strangers returns the seeds that are not the address of a live node.
-func (s *State) strangers() []string {
+// unknownSeeds returns the seeds that are not the address of a live node.
+func (s *State) unknownSeeds() []string {
 	known := map[string]bool{s.self.Address: true}
 	for _, p := range s.nodes {
 		if p.node.Status <= Suspect {
@@ -201,7 +201,7 @@
 	return out
 }
 
-// Leave returns messages that tell peers that this node stops.
+// Leave marks this node as left and returns the messages that inform its peers.
 func (s *State) Leave() []Send {
 	s.Update(func(n *Node) { n.Status, n.Leaving = Left, true })
 	var out []Send
@@ -213,18 +213,18 @@
 	return out
 }
 
-// heat makes a record spread.
-func (s *State) heat(key string) {
-	s.hot.put(key, s.settings.Retransmit*bits.Len(uint(len(s.nodes)+1))+spareRetransmits)
+// enqueueChange schedules a record for pushing.
+func (s *State) enqueueChange(key string) {
+	s.pending.put(key, s.settings.Retransmit*bits.Len(uint(len(s.nodes)+1))+extraRetransmits)
 }
 
-// send fills in the sender.
+// send returns a message to an address, with this node as the sender.
 func (s *State) send(address string, m Message) Send {
 	m.From = s.self
 	return Send{Address: address, Message: m}
 }
 
-// versions lists what this node has.
+// versions returns the versions of all records of this node.
 func (s *State) versions() []Version {
 	v := make([]Version, 0, len(s.entries)+len(s.nodes)+1)
 	for _, n := range s.Nodes() {
@@ -236,5 +236,5 @@
 	return v
 }
 
-// nodeMinor orders node records of one incarnation in a single number.
+// nodeMinor encodes the order of node records within an incarnation as a single number.
 func nodeMinor(n Node) uint64 { return n.Sequence<<2 | uint64(n.Status) }
--- a/core/member/tick.go
+++ b/core/member/tick.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Tick does what is due at now and returns the messages to send. It is to be
-// called several times a gossip period.
+// Tick performs all work that is due at now and returns the messages to send. It must be called
+// several times within a gossip period.
 func (s *State) Tick(now time.Time) []Send {
 	var out []Send
 	out = s.continueProbe(now, out)
@@ -17,7 +17,7 @@
 	}
 	if !now.Before(s.next.gossip) {
 		s.next.gossip = now.Add(s.settings.GossipPeriod)
-		s.age(now)
+		s.expire(now)
 		out = s.push(out)
 	}
 	if !now.Before(s.next.sync) {
@@ -26,14 +26,14 @@
 	}
 	if !now.Before(s.next.join) {
 		s.next.join = now.Add(s.settings.JoinPeriod)
-		out = s.rejoin(out)
+		out = s.contactSeed(out)
 	}
 	return out
 }
 
-// rejoin greets one random seed that is not a live node.
-func (s *State) rejoin(out []Send) []Send {
-	all := s.strangers()
+// contactSeed sends a sync to one random seed that is not a live node.
+func (s *State) contactSeed(out []Send) []Send {
+	all := s.unknownSeeds()
 	if len(all) == 0 {
 		return out
 	}
@@ -41,18 +41,19 @@
 	return append(out, s.send(a, Message{Type: Sync, Versions: s.versions()}))
 }
 
-// age turns suspects into dead nodes and forgets old dead ones.
-func (s *State) age(now time.Time) {
+// expire declares suspects dead after the suspicion timeout, removes nodes that have long been
+// dead, and drops expired relays.
+func (s *State) expire(now time.Time) {
 	for name, p := range s.nodes {
 		passed := now.Sub(p.since)
 		switch {
 		case p.node.Status == Suspect && passed >= s.suspectTimeout():
 			p.node.Status, p.since = Dead, now
-			s.heat(nodePrefix + name)
+			s.enqueueChange(nodePrefix + name)
 		case p.node.Status >= Dead && passed >= s.settings.Forget:
 			delete(s.nodes, name)
 			s.names = nil
-			s.hot.drop(nodePrefix + name)
+			s.pending.remove(nodePrefix + name)
 		}
 	}
 	for seq, r := range s.relayed {
@@ -62,20 +63,20 @@
 	}
 }
 
-// suspectTimeout grows with the logarithm of the count of nodes, since a
-// refutation needs that many rounds to come back.
+// suspectTimeout returns the suspicion timeout. It grows with the logarithm of the number of nodes,
+// since a refutation needs that many rounds to arrive.
 func (s *State) suspectTimeout() time.Duration {
 	rounds := bits.Len(uint(len(s.nodes) + 1))
 	return max(s.settings.SuspectTimeout, time.Duration(2*rounds)*s.settings.GossipPeriod)
 }
 
-// syncPeriod grows with the count of records, whose versions a comparison
-// carries, so that comparing costs no more in a large system.
+// syncPeriod returns the time between syncs. It grows with the number of records, because a sync
+// carries the versions of all of them and should cost no more per second in a large system.
 func (s *State) syncPeriod() time.Duration {
 	return max(s.settings.SyncPeriod, time.Duration(len(s.nodes)+len(s.entries))*syncPerRecord)
 }
 
-// startProbe pings the next node of a shuffled round.
+// startProbe suspects the target of an unanswered probe and pings the next node of the round.
 func (s *State) startProbe(now time.Time, out []Send) []Send {
 	if s.probe.target != "" && !s.probe.done {
 		s.suspect(now, s.probe.target)
@@ -89,36 +90,37 @@
 	p := s.nodes[target]
 	m := Message{Type: Ping, Sequence: s.sequence}
 	if p.node.Status != Alive {
-		m.Nodes = append(m.Nodes, p.node) // so that it can refute
+		m.Nodes = append(m.Nodes, p.node) // lets the node refute its status
 	}
-	return append(out, s.send(p.node.Address, s.loaded(m)))
+	return append(out, s.send(p.node.Address, s.withChanges(m)))
 }
 
-// nextTarget returns the next name to probe, or "".
+// nextTarget returns the name of the next node to probe, or "". A round probes the neighbours and
+// some of the dead nodes in random order.
 func (s *State) nextTarget() string {
 	for range 2 {
-		for len(s.order) > 0 {
-			name := s.order[0]
-			s.order = s.order[1:]
+		for len(s.probeOrder) > 0 {
+			name := s.probeOrder[0]
+			s.probeOrder = s.probeOrder[1:]
 			p := s.nodes[name]
 			if p == nil || p.node.Status == Left {
 				continue
 			}
-			if p.node.Status == Dead && s.rng.IntN(deadProbeShare) != 0 {
+			if p.node.Status == Dead && s.rng.IntN(deadProbeInterval) != 0 {
 				continue
 			}
 			return name
 		}
-		s.order = append(slices.Clone(s.neighbours()), s.dead()...)
-		s.rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+		s.probeOrder = append(slices.Clone(s.neighbours()), s.dead()...)
+		s.rng.Shuffle(len(s.probeOrder), func(i, j int) { s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i] })
 	}
 	return ""
 }
 
-// dead returns the nodes that count as dead, each of which may be back.
+// dead returns the nodes that count as dead, any of which may have returned.
 func (s *State) dead() []string {
 	var out []string
-	for _, name := range s.sorted() {
+	for _, name := range s.nodeNames() {
 		if s.nodes[name].node.Status == Dead {
 			out = append(out, name)
 		}
@@ -126,7 +128,7 @@
 	return out
 }
 
-// continueProbe asks other nodes to ping the target once it is late.
+// continueProbe asks other nodes to ping the target when its answer is late.
 func (s *State) continueProbe(now time.Time, out []Send) []Send {
 	p := &s.probe
 	if p.done || p.indirect || p.target == "" || now.Sub(p.sent) < s.settings.ProbeTimeout {
@@ -134,45 +136,45 @@
 	}
 	p.indirect = true
 	if t := s.nodes[p.target]; t != nil {
-		s.late = append(s.late, t.node.Address)
+		s.lateAnswerers = append(s.lateAnswerers, t.node.Address)
 	}
-	for _, name := range s.sample(s.settings.Indirect, p.target) {
+	for _, name := range s.sampleLive(s.settings.Indirect, p.target) {
 		m := Message{Type: PingRequest, Sequence: p.sequence, Target: p.target}
 		out = append(out, s.send(s.nodes[name].node.Address, m))
 	}
 	return out
 }
 
-// suspect marks a node that did not answer.
+// suspect marks a node that did not answer as suspect.
 func (s *State) suspect(now time.Time, name string) {
 	p := s.nodes[name]
 	if p == nil || p.node.Status != Alive {
 		return
 	}
 	p.node.Status, p.since = Suspect, now
-	s.heat(nodePrefix + name)
+	s.enqueueChange(nodePrefix + name)
 }
 
-// Unreachable tells the state that a connection to a node failed, which makes
-// it a suspect at once. The node refutes if it lives.
+// Unreachable records that a connection to a node failed. The node becomes a suspect at once, and
+// refutes that if it is alive.
 func (s *State) Unreachable(now time.Time, name string) { s.suspect(now, name) }
 
-// Late returns the addresses of nodes whose answers have become late since the
-// last call. The connections to them may have gone silent although the nodes
-// live, so what is sent to them next should go over new ones.
+// Late returns the addresses of the nodes whose answers have become late since the last call.
+// Connections to them may be dead although the nodes are alive, so the next messages to them should
+// use new connections.
 func (s *State) Late() []string {
-	all := s.late
-	s.late = nil
+	all := s.lateAnswerers
+	s.lateAnswerers = nil
 	return all
 }
 
-// push sends changed records to a few random peers.
+// push sends changed records to a few random neighbours.
 func (s *State) push(out []Send) []Send {
-	if s.hot.len() == 0 {
+	if s.pending.len() == 0 {
 		return out
 	}
-	for _, name := range s.some(s.neighbours(), s.settings.Fanout, "") {
-		m := s.loaded(Message{Type: Gossip})
+	for _, name := range s.sampleOf(s.neighbours(), s.settings.Fanout, "") {
+		m := s.withChanges(Message{Type: Gossip})
 		if len(m.Nodes)+len(m.Entries) == 0 {
 			break
 		}
@@ -181,36 +183,36 @@
 	return out
 }
 
-// startSync compares everything with one random peer.
+// startSync sends the versions of all records to one random peer.
 func (s *State) startSync(out []Send) []Send {
-	for _, name := range s.sample(1, "") {
+	for _, name := range s.sampleLive(1, "") {
 		m := Message{Type: Sync, Versions: s.versions()}
 		out = append(out, s.send(s.nodes[name].node.Address, m))
 	}
 	return out
 }
 
-// sample returns up to k random live names without one.
-func (s *State) sample(k int, without string) []string {
-	return s.some(s.liveNames(), k, without)
+// sampleLive returns up to k random names of live nodes, except one.
+func (s *State) sampleLive(k int, except string) []string {
+	return s.sampleOf(s.liveNames(), k, except)
 }
 
-// some returns up to k random names of all without one.
-func (s *State) some(all []string, k int, without string) []string {
+// sampleOf returns up to k random names from a list, except one.
+func (s *State) sampleOf(all []string, k int, except string) []string {
 	var names []string
 	for _, i := range s.rng.Perm(len(all)) {
 		if len(names) == k {
 			break
 		}
-		if all[i] != without {
+		if all[i] != except {
 			names = append(names, all[i])
 		}
 	}
 	return names
 }
 
-// sorted returns the names of all other nodes. The slice is shared.
-func (s *State) sorted() []string {
+// nodeNames returns the sorted names of all other nodes. The slice is shared.
+func (s *State) nodeNames() []string {
 	if s.names == nil {
 		for name := range s.nodes {
 			s.names = append(s.names, name)
@@ -220,38 +222,36 @@
 	return s.names
 }
 
-// loaded returns m with as many changed records as fit, those that were pushed
-// least first.
-func (s *State) loaded(m Message) Message {
+// withChanges returns m with as many changed records as fit, those with the fewest pushes first.
+func (s *State) withChanges(m Message) Message {
 	room := s.settings.MessageBytes
 	var taken []change
 	for room >= entryOverhead {
-		c, ok := s.hot.take()
+		c, ok := s.pending.take()
 		if !ok {
 			break
 		}
-		left, fits := s.load(&m, c.key, room)
+		remaining, fits := s.addRecord(&m, c.key, room)
 		if fits {
-			c.left--
+			c.remaining--
 		}
 		taken = append(taken, c)
 		if !fits {
 			break
 		}
-		room = left
+		room = remaining
 	}
 	for _, c := range taken {
-		if c.left > 0 {
-			s.hot.put(c.key, c.left)
+		if c.remaining > 0 {
+			s.pending.put(c.key, c.remaining)
 		}
 	}
 	return m
 }
 
-// load adds the record of a key to m if there is room and returns what is left.
-// A record larger than a message goes alone. The record of a key that is gone
-// counts as added.
-func (s *State) load(m *Message, key string, room int) (left int, fits bool) {
+// addRecord adds the record of a key to m if it fits in room, and returns the remaining room. A
+// record larger than a message is sent alone. A record that no longer exists counts as added.
+func (s *State) addRecord(m *Message, key string, room int) (remaining int, fits bool) {
 	n, isNode := s.record(key)
 	e, isEntry := s.entries[key]
 	size := nodeBytes
@@ -272,7 +272,7 @@
 	return room - size, true
 }
 
-// record returns the node record of a key with the node prefix.
+// record returns the node record of a key that has the node prefix.
 func (s *State) record(key string) (Node, bool) {
 	if len(key) <= len(nodePrefix) || key[:len(nodePrefix)] != nodePrefix {
 		return Node{}, false
