--- a/core/place/anchor.go
+++ b/core/place/anchor.go
@@ -9,23 +9,23 @@
 	"guavapaddle/core/backend"
 )
 
-// rank returns the place of a server among the holders of an item: the lower
-// the earlier.
-func rank(item, server string) uint64 {
-	var buf [128]byte
-	key := append(buf[:0], item...)
-	key = append(key, 0)
-	key = append(key, server...)
-	return xxhash.Sum64(key)
+// rendezvousHash returns the weight by which a server is ranked among the holders of an
+// item; lower values rank first.
+func rendezvousHash(item, server string) uint64 {
+	var buffer [128]byte
+	input := append(buffer[:0], item...)
+	input = append(input, 0)
+	input = append(input, server...)
+	return xxhash.Sum64(input)
 }
 
-// Anchors returns the n holders of an item, of those given, that must not drop
-// it. Give only live, reachable servers where the item is resident.
+// Anchors returns the n of the given holders that must not drop the item. Pass only live,
+// reachable servers on which the item is resident.
 func Anchors(item backend.Item, holders []string, n int) []string {
 	name := item.String()
 	sorted := slices.Clone(holders)
 	slices.SortFunc(sorted, func(a, b string) int {
-		ra, rb := rank(name, a), rank(name, b)
+		ra, rb := rendezvousHash(name, a), rendezvousHash(name, b)
 		switch {
 		case ra < rb:
 			return -1
@@ -38,8 +38,8 @@
 	return sorted[:min(n, len(sorted))]
 }
 
-// MayDrop tells whether server may drop a declared item that the given live
-// servers hold, minCopies being its least number of copies.
+// MayDrop reports whether server may drop a declared item with the given minimum number of
+// copies, where holders are the live servers that hold it.
 func MayDrop(item backend.Item, server string, holders []string, minCopies int) bool {
 	minCopies = max(1, minCopies)
 	if !slices.Contains(holders, server) {
--- a/core/place/baseline.go
+++ b/core/place/baseline.go
@@ -9,80 +9,83 @@
 )
 
 type (
-	// Static places by the document and the list of servers alone, whatever the
-	// demand, and replaces nothing that a lost server held: a baseline.
+	// Static places items from the configuration document and the list of servers alone. It
+	// ignores demand and does not replace what a lost server held. It serves as a baseline.
 	Static struct{}
 
-	// LRU loads an item when requests wait for it or when it is asked for more
-	// than its copies can carry with lruShare of their slots, and drops what
-	// was used least recently to have room, last copies included: a baseline.
+	// LRU loads an item when requests wait for it, or when its load exceeds lruSlotShare of
+	// the slots of its holders, and evicts the least recently used copies to make room,
+	// including last copies. It serves as a baseline.
 	LRU struct{}
 )
 
-// lruShare is the part of a server's slots that LRU takes one item to get.
-const lruShare = 0.5
+// lruSlotShare is the fraction of its holders' slots that an item may use before LRU loads
+// another copy.
+const lruSlotShare = 0.5
 
-// Name returns "static".
+// Name returns NameStatic.
 func (Static) Name() string { return NameStatic }
 
-// Plan packs the declared items in rounds, one copy each a round, until nothing
-// more fits. Lost servers take part, so that the plan doesn't change with them.
+// Plan places the declared items round by round, one more copy of each per round, until
+// nothing more fits. Lost servers are planned for as well, so that a loss does not change
+// the plan of the others.
 func (Static) Plan(now time.Time, in Input) Output {
-	all := in
-	all.Servers = slices.Clone(in.Servers)
-	for j := range all.Servers {
-		all.Servers[j].Reachable, all.Servers[j].Leaving = true, false
-		all.Servers[j].HeldBytes = 0
+	full := in
+	full.Servers = slices.Clone(in.Servers)
+	for j := range full.Servers {
+		full.Servers[j].Reachable, full.Servers[j].Leaving = true, false
+		full.Servers[j].HeldBytes = 0
 	}
-	all.Demand = nil
+	full.Demand = nil
 	g := (&Gain{}).withDefaults()
-	s := newState(now, all, g)
-	order := s.bySize()
+	s := newState(now, full, g)
+	order := s.sortedBySize()
 	for placed := true; placed; {
 		placed = false
 		for _, i := range order {
-			if j := g.roomiest(s, i, false); j >= 0 {
+			if j := g.bestWithoutEviction(s, i, false); j >= 0 {
 				s.load(j, i, Declared, 0)
 				placed = true
 			}
 		}
 	}
-	return withoutPresent(s.output(), in)
+	return restrictToLive(s.output(), in)
 }
 
-// withoutPresent leaves out servers that are lost and loads of what is there.
-func withoutPresent(out Output, in Input) Output {
-	present := map[string]map[backend.Item]bool{}
+// restrictToLive removes lost and leaving servers from the plan, removes loads of items that
+// are already on their server, and adds unloads of items that are not in the plan.
+func restrictToLive(out Output, in Input) Output {
+	current := map[string]map[backend.Item]bool{}
 	for _, sv := range in.Servers {
 		if !sv.Reachable || sv.Leaving {
 			delete(out.Plan, sv.Name)
 			continue
 		}
-		items := map[backend.Item]bool{}
+		copies := map[backend.Item]bool{}
 		for _, c := range slices.Concat(sv.Resident, sv.Loading) {
-			items[c.Item] = true
+			copies[c.Item] = true
 			if !slices.Contains(out.Plan[sv.Name], c.Item) {
 				out.Moves = append(out.Moves, Move{Op: backend.Unload, Server: sv.Name, Item: c.Item, Bytes: c.Bytes, Why: Undeclared})
 			}
 		}
-		present[sv.Name] = items
+		current[sv.Name] = copies
 	}
 	out.Moves = slices.DeleteFunc(out.Moves, func(m Move) bool {
-		items, live := present[m.Server]
-		return !live || m.Op == backend.Load && items[m.Item]
+		copies, live := current[m.Server]
+		return !live || m.Op == backend.Load && copies[m.Item]
 	})
 	return out
 }
 
-// Name returns "lru".
+// Name returns NameLRU.
 func (LRU) Name() string { return NameLRU }
 
-// Plan keeps what is there and loads one copy of each item that is in demand,
-// on the server where room costs the longest unused copies.
+// Plan keeps the current copies and loads one copy of each item that is in demand, on the
+// server where the copies to be evicted have been unused for longest.
 func (LRU) Plan(now time.Time, in Input) Output {
 	s := newState(now, in, Gain{UrgentWeight: defaultUrgentWeight})
-	s.keepPresent()
-	for _, i := range s.byWaiting() {
+	s.addCurrentCopies()
+	for _, i := range s.sortedByWaiting() {
 		if s.inDemand(i) && !s.isLoading(i) {
 			s.loadLRU(i)
 		}
@@ -93,26 +96,28 @@
 	return out
 }
 
-// inDemand tells whether requests wait for an item, or more come than half of
-// the slots of its servers can carry.
+// inDemand reports whether requests wait for an item or its load exceeds lruSlotShare of the
+// slots of its holders.
 func (s *state) inDemand(item int) bool {
 	i := &s.items[item]
 	slots := 0
-	for _, j := range i.on {
+	for _, j := range i.holders {
 		slots += s.servers[j].Slots
 	}
-	return i.waiting > 0 || i.load > lruShare*float64(slots)
+	return i.waiting > 0 || i.load > lruSlotShare*float64(slots)
 }
 
-// byWaiting returns the declared items, those that most requests wait for first.
-func (s *state) byWaiting() []int {
-	order := s.bySize()
+// sortedByWaiting returns the declared items in descending order of waiting requests.
+func (s *state) sortedByWaiting() []int {
+	order := s.sortedBySize()
 	slices.SortStableFunc(order, func(a, b int) int { return s.items[b].waiting - s.items[a].waiting })
 	return order
 }
 
+// isLoading reports whether a copy of an item is planned or being loaded but not yet
+// resident.
 func (s *state) isLoading(item int) bool {
-	for _, j := range s.items[item].on {
+	for _, j := range s.items[item].holders {
 		for _, h := range s.servers[j].items {
 			if h.item == item && !h.resident {
 				return true
@@ -122,17 +127,18 @@
 	return false
 }
 
-// loadLRU loads an item on the server whose latest used copy that must go was
-// used the longest ago; one with room as it is comes first.
+// loadLRU loads an item on the server whose most recently used victim was used the longest
+// ago. A server that needs no eviction is preferred. A load that the previous plan proposed
+// stays on its server.
 func (s *state) loadLRU(item int) {
 	best, found := candidate{}, false
 	var oldest time.Time
-	pending := s.pendingOn(item)
+	pending := s.proposedServer(item)
 	for j := range s.servers {
 		if s.holds(j, item) || pending >= 0 && j != pending {
 			continue
 		}
-		evict, used, ok := s.leastRecent(j, item)
+		evict, used, ok := s.leastRecentlyUsed(j, item)
 		if ok && (!found || used.Before(oldest)) {
 			best, oldest, found = candidate{server: j, evict: evict}, used, true
 		}
@@ -144,10 +150,10 @@
 	s.load(best.server, item, Demanded, 0)
 }
 
-// leastRecent returns which copies on server j to drop so that an item fits,
-// and when the last of them was used.
-func (s *state) leastRecent(j, item int) (evict []int, used time.Time, ok bool) {
-	lacking := s.lacking(j, item)
+// leastRecentlyUsed returns the indices of the copies on server j to evict so that an item
+// fits, and the latest time at which one of them was used.
+func (s *state) leastRecentlyUsed(j, item int) (evict []int, used time.Time, ok bool) {
+	shortfall := s.shortfall(j, item)
 	items := s.servers[j].items
 	order := make([]int, 0, len(items))
 	for k, h := range items {
@@ -162,20 +168,20 @@
 		return strings.Compare(s.items[items[a].item].name, s.items[items[b].item].name)
 	})
 	for _, k := range order {
-		if lacking <= 0 {
+		if shortfall <= 0 {
 			break
 		}
-		for _, d := range s.dependents(j, k) {
+		for _, d := range s.withDependents(j, k) {
 			if slices.Contains(evict, d) {
 				continue
 			}
 			evict = append(evict, d)
-			lacking -= s.items[items[d].item].bytes
+			shortfall -= s.items[items[d].item].bytes
 			if items[d].used.After(used) {
 				used = items[d].used
 			}
 		}
 	}
 	slices.Sort(evict)
-	return evict, used, lacking <= 0
+	return evict, used, shortfall <= 0
 }
--- a/core/place/doc.go
+++ b/core/place/doc.go
@@ -1,32 +1,34 @@
-// Package place decides which backend server holds which models and adapters.
+// Package place computes which backend server should hold which models and adapters.
 //
-// A Planner turns the declared items, the servers with what they hold, and the
-// demand that nodes told of into a plan: the items each server should hold.
-// Only the owner of a server gives orders; a plan is a proposal. The same input
-// gives the same plan at every node.
+// A Planner maps the declared items, the servers with their current contents, and the demand
+// reported by the nodes to a plan: the set of items that each server should hold. A plan is
+// a proposal; only the owner of a server orders changes on it. Planners are deterministic:
+// equal inputs give equal plans on every node.
 //
 // # Method
 //
-// Gain starts from what the servers hold now, so that nothing moves without a
-// cause. First every declared item without a copy gets one, then every item its
-// least number of copies, in two data centres where memory allows. Then copies
-// are added one after the other, the highest net gain per byte first.
-//
-// The gain of a copy, in requests a second met in time and weighted by urgency,
-// is the share of the item's requests that its present servers have no capacity
-// for and the new server has, plus a part that halves with each copy for bursts
-// and the loss of a server. A copy is added only if its gain over Horizon, less
-// the loss of the copies that make room for it, exceeds the price of a move.
-// Copies are not dropped to have room, only to use it.
-//
-// The memory of a plan is the bytes of all its items on a server plus the
-// largest load peak among them, and never exceeds the server's memory less its
-// KV reserve and what else is held there.
-//
-// Anchors makes dropping safe although owners act on different, old views: the
-// holders of an item are ranked by rendezvous hash, and the first of them never
-// drop it. The first of all holders sees no better one in any view, new or old,
-// so it stays whatever the others believe.
+// Gain starts from the current contents of the servers, so that it proposes no move without
+// a reason. It first gives every declared item without a copy one, then brings every item to
+// its minimum number of copies, in two data centres where memory allows. It then adds copies
+// greedily, in descending order of net gain per byte.
+//
+// The gain of a copy is measured in requests a second that are served in time, weighted by
+// urgency. It is the fraction of the item's requests that exceeds the capacity of its
+// present servers and that the new server can take, plus a redundancy term for bursts and
+// the loss of a server; the part of it for losses halves with each copy. A copy is added
+// only if its gain over Horizon, minus the loss from the copies evicted for it, exceeds the
+// price of a move. Copies are evicted only to make room for another copy, never to keep
+// memory free.
+//
+// The memory that a plan uses on a server is the sum of the sizes of its items plus the
+// largest load peak among them. It never exceeds the server's memory minus its KV reserve
+// and the memory that is otherwise held there.
+//
+// Owners may act on different and outdated views, so the last copy of an item needs
+// protection against concurrent drops. Anchors ranks the holders of an item by rendezvous
+// hash, and the first minCopies of them must not drop it. The holder that ranks first among
+// all holders ranks first in every view, old or new, so it keeps its copy whatever the other
+// owners believe.
 //
 // # Usage
 //
@@ -34,6 +36,6 @@
 //	out := p.Plan(now, in)
 //	load(out.Plan["e1"])
 //
-// Before an owner drops an item it must check MayDrop with its own view, unless
-// the output says MayDropLast.
+// Before an owner drops an item it must check MayDrop against its own view, unless
+// Output.MayDropLast is set.
 package place
--- a/core/place/gain.go
+++ b/core/place/gain.go
@@ -20,123 +20,123 @@
 	defaultMaxMoves     = 4
 )
 
-// Gain adds copies by marginal gain per byte. The zero value of each field
-// stands for its default. A move's price and the least residence come with the
+// Gain is a planner that adds copies by marginal gain per byte. The zero value of each field
+// selects its default. The price of a move and the minimum residence time come with the
 // input.
 type Gain struct {
-	// Target is the share of a server's slots that its load may keep busy,
-	// default 0.95.
+	// Target is the maximum fraction of a server's slots that its load may occupy; default
+	// 0.95.
 	Target float64
-	// Spare is the share of an item's requests that a second copy is assumed
-	// to save from bursts and losses, default 0.05. It halves with each copy.
+	// Spare is the fraction of an item's requests that a second copy is assumed to save when
+	// a server is lost; default 0.05. It halves with each further copy.
 	Spare float64
-	// Burst is how many times an item's requests may rise without warning,
+	// Burst is the factor by which the request rate of an item may rise without warning;
 	// default 10.
 	Burst float64
-	// BurstShare is the share of time that an item is assumed to be in a burst,
-	// default 0.1; negative for none.
+	// BurstShare is the fraction of time that an item is assumed to be in a burst; default
+	// 0.1, negative for none.
 	BurstShare float64
-	// BurstSlots is how many slots of a server a burst is assumed to find free,
+	// BurstSlots is the number of free slots that a burst is assumed to find on each server;
 	// default 4.
 	BurstSlots float64
-	// Horizon is the time over which a copy must earn the price of its move,
+	// Horizon is the time over which the gain of a copy must exceed the price of its move;
 	// default 30 s.
 	Horizon time.Duration
-	// UrgentWeight is how much more an urgent request counts, default 4.
+	// UrgentWeight is the extra weight of an urgent request; default 4.
 	UrgentWeight float64
-	// MaxMoves bounds the loads for gain that are under way at the same time,
-	// default Input.Loads, or 4 if that is zero. Loads that are required are
-	// not bounded.
+	// MaxMoves limits the number of concurrent loads for gain. The default is Input.Loads,
+	// or 4 if that is zero. Required loads are not limited.
 	MaxMoves int
 }
 
-// candidate is a copy that could be added, with the copies that make room.
+// candidate is a copy that could be added, with the copies to evict for it.
 type candidate struct {
 	server  int
 	item    int
-	evict   []int // places in the server's items, ascending
+	evict   []int // indices into the server's items, ascending
 	gain    float64
-	net     float64 // gain less losses over the horizon, less the price
+	net     float64 // (gain - eviction loss) * horizon - price of the move
 	perByte float64
 }
 
-// Name returns "gain".
+// Name returns NameGain.
 func (*Gain) Name() string { return NameGain }
 
-// Plan returns the plan. It is a function of its arguments alone.
+// Plan returns the plan. The result depends only on the arguments and the settings.
 func (p *Gain) Plan(now time.Time, in Input) Output {
-	set := p.withDefaults()
+	settings := p.withDefaults()
 	if p.MaxMoves <= 0 && in.Loads > 0 {
-		set.MaxMoves = in.Loads
+		settings.MaxMoves = in.Loads
 	}
-	s := newState(now, in, set)
-	s.keepPresent()
-	set.placePrevious(s)
-	set.placeRequired(s)
-	set.placeGains(s)
+	s := newState(now, in, settings)
+	s.addCurrentCopies()
+	settings.placePrevious(s)
+	settings.placeRequired(s)
+	settings.placeByGain(s)
 	return s.output()
 }
 
 func (p *Gain) withDefaults() Gain {
-	set := *p
-	if set.Target <= 0 {
-		set.Target = defaultTarget
+	settings := *p
+	if settings.Target <= 0 {
+		settings.Target = defaultTarget
 	}
-	if set.Spare <= 0 {
-		set.Spare = defaultSpare
+	if settings.Spare <= 0 {
+		settings.Spare = defaultSpare
 	}
-	if set.Burst <= 0 {
-		set.Burst = defaultBurst
+	if settings.Burst <= 0 {
+		settings.Burst = defaultBurst
 	}
-	if set.BurstShare == 0 {
-		set.BurstShare = defaultBurstShare
+	if settings.BurstShare == 0 {
+		settings.BurstShare = defaultBurstShare
 	}
-	set.BurstShare = max(0, set.BurstShare)
-	if set.BurstSlots <= 0 {
-		set.BurstSlots = defaultBurstSlots
+	settings.BurstShare = max(0, settings.BurstShare)
+	if settings.BurstSlots <= 0 {
+		settings.BurstSlots = defaultBurstSlots
 	}
-	if set.Horizon <= 0 {
-		set.Horizon = defaultHorizon
+	if settings.Horizon <= 0 {
+		settings.Horizon = defaultHorizon
 	}
-	if set.UrgentWeight <= 0 {
-		set.UrgentWeight = defaultUrgentWeight
+	if settings.UrgentWeight <= 0 {
+		settings.UrgentWeight = defaultUrgentWeight
 	}
-	if set.MaxMoves <= 0 {
-		set.MaxMoves = defaultMaxMoves
+	if settings.MaxMoves <= 0 {
+		settings.MaxMoves = defaultMaxMoves
 	}
-	return set
+	return settings
 }
 
-// placeRequired gives every declared item a copy, then its least number of
-// copies, then a second data centre. Large items are placed first, since small
-// ones fit into what is left; the loads are ordered by importance afterwards.
+// placeRequired gives every declared item a copy, then its minimum number of copies, then a
+// copy in a second data centre. Large items are placed first, since small ones fit into the
+// remaining memory; the resulting loads are sorted by importance afterwards.
 func (p *Gain) placeRequired(s *state) {
-	order := s.bySize()
+	order := s.sortedBySize()
 	for _, i := range order {
-		if len(s.items[i].on) == 0 {
-			p.require(s, i, Unreachable, true)
+		if len(s.items[i].holders) == 0 {
+			p.placeRequiredCopy(s, i, Unreachable, true)
 		}
 	}
 	for _, i := range order {
-		for n := s.sound(i); n < s.items[i].minCopies; n++ {
-			if !p.require(s, i, TooFew, true) {
+		for n := s.validCopies(i); n < s.items[i].minCopies; n++ {
+			if !p.placeRequiredCopy(s, i, TooFew, true) {
 				break
 			}
 		}
 	}
 	for _, i := range order {
-		if len(s.items[i].on) > 0 && s.oneDataCentre(i) {
-			p.require(s, i, OneDataCentre, false)
+		if len(s.items[i].holders) > 0 && s.inOneDataCentre(i) {
+			p.placeRequiredCopy(s, i, OneDataCentre, false)
 		}
 	}
 	s.sortMoves()
 }
 
-// bySize returns the declared items, models before adapters, the largest first.
-func (s *state) bySize() []int {
+// sortedBySize returns the declared items, models before adapters, in descending order of
+// size.
+func (s *state) sortedBySize() []int {
 	var order []int
 	for i := range s.items {
-		if !s.items[i].retired {
+		if !s.items[i].superseded {
 			order = append(order, i)
 		}
 	}
@@ -147,11 +147,11 @@
 	return order
 }
 
-// oneDataCentre tells whether all copies of an item are in one data centre, and
-// there is another one.
-func (s *state) oneDataCentre(item int) bool {
-	first := s.servers[s.items[item].on[0]].DataCentre
-	for _, j := range s.items[item].on {
+// inOneDataCentre reports whether all copies of an item are in one data centre although live
+// servers exist in another.
+func (s *state) inOneDataCentre(item int) bool {
+	first := s.servers[s.items[item].holders[0]].DataCentre
+	for _, j := range s.items[item].holders {
 		if s.servers[j].DataCentre != first {
 			return false
 		}
@@ -164,73 +164,72 @@
 	return false
 }
 
-// require places one more copy of an item. With evict it drops copies beyond
-// the least number to have room.
-func (p *Gain) require(s *state, item int, why Why, evict bool) bool {
-	best := p.roomiest(s, item, why == OneDataCentre)
+// placeRequiredCopy places one more copy of an item and reports whether it could. If evict
+// is set, copies that are not needed for their items' minimum may be evicted for it.
+func (p *Gain) placeRequiredCopy(s *state, item int, reason Why, evict bool) bool {
+	best := p.bestWithoutEviction(s, item, reason == OneDataCentre)
 	if best < 0 && evict {
 		best = p.makeRoom(s, item)
 	}
 	if best < 0 {
 		return false
 	}
-	s.load(best, item, why, 0)
+	s.load(best, item, reason, 0)
 	return true
 }
 
-// roomiest returns the best server that an item fits on as it is, -1 if none:
-// one in a data centre without a copy, then one that holds the adapter's model,
-// then the one with the most headroom.
-func (p *Gain) roomiest(s *state, item int, elsewhere bool) int {
-	best, most := -1, math.Inf(-1)
+// bestWithoutEviction returns the best server on which an item fits without evictions, or -1
+// if there is none. It prefers servers in a data centre without a copy, then servers that
+// hold the adapter's model, then those with the most headroom.
+func (p *Gain) bestWithoutEviction(s *state, item int, onlyNewDataCentre bool) int {
+	best, bestScore := -1, math.Inf(-1)
 	bytes := s.items[item].bytes
 	for j := range s.servers {
-		if sv := &s.servers[j]; sv.used+bytes+sv.peak > sv.room {
+		if sv := &s.servers[j]; sv.used+bytes+sv.peak > sv.capacity {
 			continue
 		}
-		if s.holds(j, item) || s.lacking(j, item) > 0 {
+		if s.holds(j, item) || s.shortfall(j, item) > 0 {
 			continue
 		}
-		fresh := s.freshDataCentre(j, item)
-		if elsewhere && !fresh {
+		isNew := s.newDataCentre(j, item)
+		if onlyNewDataCentre && !isNew {
 			continue
 		}
 		score := p.headroomScore(s, j)
-		if fresh {
+		if isNew {
 			score += 4
 		}
-		if s.suits(j, item) {
+		if s.holdsBaseOf(j, item) {
 			score += 2
 		}
-		if score > most {
-			best, most = j, score
+		if score > bestScore {
+			best, bestScore = j, score
 		}
 	}
 	return best
 }
 
-// suits tells whether server j holds the model of an adapter, or an older
-// version of a model, whose adapters can then stay.
-func (s *state) suits(j, item int) bool {
+// holdsBaseOf reports whether server j holds the model of an adapter or, for a model, any
+// version of it, since the adapters of an older version can then stay.
+func (s *state) holdsBaseOf(j, item int) bool {
 	if base := s.items[item].base; base >= 0 {
 		return s.holds(j, base)
 	}
-	return s.hasBase(j, item)
+	return s.holdsModelVersion(j, item)
 }
 
-// headroomScore returns a number from -1 to 1 that is higher the more slots and
-// memory are free.
+// headroomScore returns a score between -1 and 1 that increases with the free slots and free
+// memory of server j.
 func (p *Gain) headroomScore(s *state, j int) float64 {
 	sv := &s.servers[j]
 	slots := s.headroom(j, p.Target) / (p.Target * float64(max(1, sv.Slots)))
-	memory := float64(sv.room-sv.used) / float64(max(1, sv.room))
+	memory := float64(sv.capacity-sv.used) / float64(max(1, sv.capacity))
 	return (max(-1, slots) + memory) / 2
 }
 
-// freshDataCentre tells whether no copy of the item is in the data centre of
-// server j.
-func (s *state) freshDataCentre(j, item int) bool {
-	for _, k := range s.items[item].on {
+// newDataCentre reports whether the data centre of server j has no copy of the item.
+func (s *state) newDataCentre(j, item int) bool {
+	for _, k := range s.items[item].holders {
 		if s.servers[k].DataCentre == s.servers[j].DataCentre {
 			return false
 		}
@@ -238,18 +237,18 @@
 	return true
 }
 
-// makeRoom drops the copies whose loss is least so that an item fits, and
-// returns the server, -1 if there is none.
+// makeRoom evicts the copies with the smallest loss that let an item fit on one server. It
+// returns the server, or -1 if there is none.
 func (p *Gain) makeRoom(s *state, item int) int {
 	best := candidate{server: -1}
-	least := math.Inf(1)
+	minLoss := math.Inf(1)
 	for j := range s.servers {
 		if s.holds(j, item) {
 			continue
 		}
-		evict, loss, fits := p.evictions(s, j, item)
-		if fits && loss < least {
-			best, least = candidate{server: j, evict: evict}, loss
+		evict, loss, fits := p.planEvictions(s, j, item)
+		if fits && loss < minLoss {
+			best, minLoss = candidate{server: j, evict: evict}, loss
 		}
 	}
 	if best.server >= 0 {
@@ -258,51 +257,52 @@
 	return best.server
 }
 
-// evict drops the copies that make room for c.
+// evict removes the copies that c replaces.
 func (s *state) evict(c candidate) {
 	for k := len(c.evict) - 1; k >= 0; k-- {
-		s.take(c.server, c.evict[k], GaveWay)
+		s.remove(c.server, c.evict[k], GaveWay)
 	}
 }
 
-// option is a copy that can be dropped, with the adapters that need it.
-type option struct {
-	places  []int // in the server's items
+// evictionGroup is a copy that may be evicted together with the adapters that depend on it.
+type evictionGroup struct {
+	indices []int // into the server's items
 	loss    float64
 	perByte float64
 }
 
-// evictions returns which copies on server j to drop so that an item fits, the
-// least loss per byte first, with the summed loss.
-func (p *Gain) evictions(s *state, j, item int) (evict []int, loss float64, ok bool) {
-	lacking := s.lacking(j, item)
-	if lacking <= 0 {
+// planEvictions returns the indices of the copies on server j to evict so that an item fits,
+// and their total loss. Copies are chosen in ascending order of loss per byte.
+func (p *Gain) planEvictions(s *state, j, item int) (evict []int, loss float64, ok bool) {
+	shortfall := s.shortfall(j, item)
+	if shortfall <= 0 {
 		return nil, 0, true
 	}
-	for _, o := range p.options(s, j) {
-		if lacking <= 0 {
+	for _, o := range p.evictionGroups(s, j) {
+		if shortfall <= 0 {
 			break
 		}
-		if s.servers[j].items[o.places[0]].item == s.items[item].base {
+		if s.servers[j].items[o.indices[0]].item == s.items[item].base {
 			continue
 		}
-		for _, k := range o.places {
+		for _, k := range o.indices {
 			if slices.Contains(evict, k) {
 				continue
 			}
 			h := s.servers[j].items[k]
 			evict = append(evict, k)
 			loss += p.loss(s, j, h.item)
-			lacking -= s.items[h.item].bytes
+			shortfall -= s.items[h.item].bytes
 		}
 	}
-	evict, loss = p.prune(s, j, evict, loss, -lacking)
-	return evict, loss, lacking <= 0
+	evict, loss = p.pruneEvictions(s, j, evict, loss, -shortfall)
+	return evict, loss, shortfall <= 0
 }
 
-// prune takes out of evict the copies whose bytes turned out not to be needed,
-// given how many bytes more than needed would be free.
-func (p *Gain) prune(s *state, j int, evict []int, loss float64, spare int64) ([]int, float64) {
+// pruneEvictions removes from evict the adapters whose memory is not needed after all, where
+// spare is the number of bytes that would be freed beyond what is needed. Adapters whose
+// model is evicted remain in the list.
+func (p *Gain) pruneEvictions(s *state, j int, evict []int, loss float64, spare int64) ([]int, float64) {
 	items := s.servers[j].items
 	kept := evict[:0]
 	for _, k := range evict {
@@ -319,20 +319,20 @@
 	return kept, loss
 }
 
-// options returns what may be dropped on server j, the least loss per byte
-// first. They are kept until the server's items change; that other servers'
-// loads change meanwhile is left out.
-func (p *Gain) options(s *state, j int) []option {
+// evictionGroups returns what may be evicted on server j, in ascending order of loss per
+// byte. The result is cached until the items of server j change; load changes on other
+// servers do not invalidate it.
+func (p *Gain) evictionGroups(s *state, j int) []evictionGroup {
 	sv := &s.servers[j]
-	if sv.optionsKnown {
-		return sv.options
+	if sv.groupsValid {
+		return sv.evictionGroups
 	}
-	sv.options, sv.optionsKnown = nil, true
+	sv.evictionGroups, sv.groupsValid = nil, true
 	for k := range sv.items {
-		o := option{places: s.dependents(j, k)}
+		o := evictionGroup{indices: s.withDependents(j, k)}
 		var bytes int64
 		ok := true
-		for _, d := range o.places {
+		for _, d := range o.indices {
 			if ok = p.evictable(s, sv.items[d]); !ok {
 				break
 			}
@@ -341,43 +341,45 @@
 		}
 		if ok {
 			o.perByte = o.loss / float64(max(1, bytes))
-			sv.options = append(sv.options, o)
+			sv.evictionGroups = append(sv.evictionGroups, o)
 		}
 	}
-	slices.SortStableFunc(sv.options, func(a, b option) int {
-		return cmp.Or(cmp.Compare(a.perByte, b.perByte), cmp.Compare(len(a.places), len(b.places)))
+	slices.SortStableFunc(sv.evictionGroups, func(a, b evictionGroup) int {
+		return cmp.Or(cmp.Compare(a.perByte, b.perByte), cmp.Compare(len(a.indices), len(b.indices)))
 	})
-	return sv.options
+	return sv.evictionGroups
 }
 
-// evictable tells whether a copy may be dropped for another item: it is neither
-// an anchor nor under way nor young. Anchors keep the least number of copies.
-func (p *Gain) evictable(s *state, h held) bool {
-	if h.anchor || !h.resident || s.items[h.item].retired {
+// evictable reports whether a copy may be evicted for another item. Anchors, copies that are
+// not resident yet, superseded versions and copies younger than the minimum residence time
+// may not. Protecting the anchors preserves the minimum number of copies.
+func (p *Gain) evictable(s *state, h placedCopy) bool {
+	if h.anchor || !h.resident || s.items[h.item].superseded {
 		return false
 	}
-	young := time.Duration(s.in.Placement.MinResidenceMS) * time.Millisecond
-	return h.since.IsZero() || s.now.Sub(h.since) >= young
+	minResidence := time.Duration(s.in.Placement.MinResidenceMS) * time.Millisecond
+	return h.since.IsZero() || s.now.Sub(h.since) >= minResidence
 }
 
-// load adds a copy to the plan, with the adapter's model if that is missing.
-func (s *state) load(j, item int, why Why, gain float64) {
+// load adds a copy to the plan, preceded by the adapter's model if server j does not hold
+// it.
+func (s *state) load(j, item int, reason Why, gain float64) {
 	i := &s.items[item]
 	if i.base >= 0 && !s.holds(j, i.base) {
 		s.load(j, i.base, NeededByAdapter, 0)
 	}
-	s.put(j, held{item: item})
-	s.moves = append(s.moves, Move{Op: backend.Load, Server: s.servers[j].Name, Item: i.item, Bytes: i.bytes, Why: why, Gain: gain})
+	s.add(j, placedCopy{item: item})
+	s.moves = append(s.moves, Move{Op: backend.Load, Server: s.servers[j].Name, Item: i.item, Bytes: i.bytes, Why: reason, Gain: gain})
 }
 
-// sortMoves orders required loads: items without a copy first, then by value.
-// A model comes before an adapter that needs it.
+// sortMoves sorts the required loads: items without a copy first, then by descending value.
+// A model precedes the adapters that need it.
 func (s *state) sortMoves() {
-	class := map[Why]int{Unreachable: 0, NeededByAdapter: 0, TooFew: 1, OneDataCentre: 2}
+	priority := map[Why]int{Unreachable: 0, NeededByAdapter: 0, TooFew: 1, OneDataCentre: 2}
 	value := func(m Move) float64 { return s.items[s.byItem[m.Item]].value }
 	slices.SortStableFunc(s.moves, func(a, b Move) int {
 		return cmp.Or(
-			cmp.Compare(class[a.Why], class[b.Why]),
+			cmp.Compare(priority[a.Why], priority[b.Why]),
 			cmp.Compare(len(a.Item.Base), 0)-cmp.Compare(len(b.Item.Base), 0),
 			cmp.Compare(value(b), value(a)))
 	})
--- a/core/place/marginal.go
+++ b/core/place/marginal.go
@@ -5,14 +5,13 @@
 	"math"
 )
 
-// candidates orders copies that could be added, the best first, for
-// container/heap.
+// candidates is a max-heap of candidates by net gain per byte.
 type candidates []candidate
 
-// Len returns the number of candidates.
+// Len implements heap.Interface.
 func (c candidates) Len() int { return len(c) }
 
-// Less tells whether candidate i gains more per byte than candidate j.
+// Less implements heap.Interface. Ties are broken by item, for determinism.
 func (c candidates) Less(i, j int) bool {
 	if c[i].perByte != c[j].perByte {
 		return c[i].perByte > c[j].perByte
@@ -20,23 +19,23 @@
 	return c[i].item < c[j].item
 }
 
-// Swap swaps candidates i and j.
+// Swap implements heap.Interface.
 func (c candidates) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
-// Push adds a candidate at the end.
+// Push implements heap.Interface.
 func (c *candidates) Push(x any) { *c = append(*c, x.(candidate)) }
 
-// Pop takes the last candidate off.
+// Pop implements heap.Interface.
 func (c *candidates) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
 }
 
-// placeGains adds the copies that earn their price, the highest net gain per
-// byte first. Gains are computed again when a candidate comes up, since each
-// copy changes the load of servers.
-func (p *Gain) placeGains(s *state) {
+// placeByGain adds copies whose gain exceeds the price of a move, in descending order of net
+// gain per byte. Each candidate is re-evaluated when it reaches the top of the heap, since
+// every added copy changes the load of servers.
+func (p *Gain) placeByGain(s *state) {
 	var queue candidates
 	for i := range s.items {
 		if c, ok := p.best(s, i); ok {
@@ -44,7 +43,7 @@
 		}
 	}
 	heap.Init(&queue)
-	for moves := s.underWay(); moves < p.MaxMoves && len(queue) > 0; {
+	for moves := s.loadsInProgress(); moves < p.MaxMoves && len(queue) > 0; {
 		old := heap.Pop(&queue).(candidate)
 		c, ok := p.best(s, old.item)
 		if !ok {
@@ -63,25 +62,26 @@
 	}
 }
 
-// underWay returns the loads that the servers have begun or are to begin.
-func (s *state) underWay() int {
-	n := s.pending
+// loadsInProgress returns the number of loads that have started or that the previous plan
+// proposed for gain.
+func (s *state) loadsInProgress() int {
+	n := s.pendingLoads
 	for j := range s.servers {
 		n += len(s.servers[j].Loading)
 	}
 	return n
 }
 
-// best returns the copy of an item that gains most, or false if none earns its
-// price.
+// best returns the additional copy of an item with the highest net gain per byte,
+// or false if no copy is worth its price.
 func (p *Gain) best(s *state, item int) (candidate, bool) {
 	i := &s.items[item]
-	if i.retired || len(i.on) == 0 || i.value <= 0 {
+	if i.superseded || len(i.holders) == 0 || i.value <= 0 {
 		return candidate{}, false
 	}
-	over := p.overload(s, i)
+	overload := p.overloadShare(s, i)
 	horizon, price := p.Horizon.Seconds(), s.in.Placement.MovePrice
-	if p.gain(i, over, math.Inf(1))*horizon <= price {
+	if p.gain(i, overload, math.Inf(1))*horizon <= price {
 		return candidate{}, false
 	}
 	best, found := candidate{perByte: math.Inf(-1)}, false
@@ -89,14 +89,14 @@
 		if s.holds(j, item) {
 			continue
 		}
-		gain := p.gain(i, over, s.headroom(j, p.Target))
-		bytes, _ := s.needs(j, item)
-		most := gain*horizon - price
-		if most <= 0 || most/float64(max(1, bytes)) <= best.perByte {
+		gain := p.gain(i, overload, s.headroom(j, p.Target))
+		bytes, _ := s.requiredMemory(j, item)
+		maxNet := gain*horizon - price
+		if maxNet <= 0 || maxNet/float64(max(1, bytes)) <= best.perByte {
 			continue
 		}
-		evict, loss, fits := p.evictions(s, j, item)
-		net := most - loss*horizon
+		evict, loss, fits := p.planEvictions(s, j, item)
+		net := maxNet - loss*horizon
 		c := candidate{server: j, item: item, evict: evict, gain: gain, net: net, perByte: net / float64(max(1, bytes))}
 		if fits && net > 0 && c.perByte > best.perByte {
 			best, found = c, true
@@ -105,29 +105,29 @@
 	return best, found
 }
 
-// gain returns the requests a second, weighted, that one more copy of i on a
-// server with the given headroom, in slots, would meet in time.
-func (p *Gain) gain(i *itemState, over, headroom float64) float64 {
+// gain returns the weighted requests a second that one more copy of i would serve in time on
+// a server with the given headroom in slots.
+func (p *Gain) gain(i *itemState, overload, headroom float64) float64 {
 	if headroom <= 0 {
 		return 0
 	}
-	fit := 1.0
-	if share := i.load / float64(len(i.on)+1); share > headroom {
-		fit = headroom / share
+	servedShare := 1.0
+	if share := i.load / float64(len(i.holders)+1); share > headroom {
+		servedShare = headroom / share
 	}
-	return i.value * (over + p.spare(i, len(i.on))) * fit
+	return i.value * (overload + p.redundancyShare(i, len(i.holders))) * servedShare
 }
 
-// spare returns the part of an item's requests that the copy after the n-th is
-// assumed to save from the loss of a server and from a burst.
-func (p *Gain) spare(i *itemState, n int) float64 {
+// redundancyShare returns the fraction of an item's requests that copy n+1 is assumed to
+// save when a server is lost or a burst arrives.
+func (p *Gain) redundancyShare(i *itemState, n int) float64 {
 	loss := p.Spare * math.Pow(0.5, float64(n-1))
-	return loss + p.BurstShare*p.Burst*(p.short(i, n)-p.short(i, n+1))
+	return loss + p.BurstShare*p.Burst*(p.burstShortfall(i, n)-p.burstShortfall(i, n+1))
 }
 
-// short returns the part of an item's requests in a burst for which n copies
-// have no slots, each having BurstSlots free.
-func (p *Gain) short(i *itemState, n int) float64 {
+// burstShortfall returns the fraction of an item's requests in a burst that n copies have no
+// slots for, each having BurstSlots free.
+func (p *Gain) burstShortfall(i *itemState, n int) float64 {
 	load := p.Burst * i.load
 	if load <= 0 {
 		return 0
@@ -135,33 +135,33 @@
 	return max(0, 1-float64(n)*p.BurstSlots/load)
 }
 
-// overload returns the share of an item's requests for which its servers have
-// no capacity: each copy gets an equal share, and a server beyond its target
+// overloadShare returns the fraction of an item's requests that exceeds the capacity of its
+// servers, assuming that each copy gets an equal share and that a server above its target
 // serves all its items alike.
-func (p *Gain) overload(s *state, i *itemState) float64 {
+func (p *Gain) overloadShare(s *state, i *itemState) float64 {
 	var sum float64
-	for _, j := range i.on {
+	for _, j := range i.holders {
 		if load := s.servers[j].load; load > 0 {
 			sum += max(0, -s.headroom(j, p.Target)/load)
 		}
 	}
-	return sum / float64(len(i.on))
+	return sum / float64(len(i.holders))
 }
 
-// loss returns the requests a second, weighted, that would no longer be met in
-// time without the copy on server j.
+// loss returns the weighted requests a second that would no longer be served in time without
+// the copy on server j.
 func (p *Gain) loss(s *state, j, item int) float64 {
 	i := &s.items[item]
-	rest := len(i.on) - 1
-	if rest == 0 {
+	remaining := len(i.holders) - 1
+	if remaining == 0 {
 		return math.Inf(1)
 	}
-	more := i.load/float64(rest) - i.load/float64(len(i.on))
-	var over float64
-	for _, k := range i.on {
-		if load := s.servers[k].load + more; k != j && load > 0 {
-			over += max(0, (more-s.headroom(k, p.Target))/load)
+	extraLoad := i.load/float64(remaining) - i.load/float64(len(i.holders))
+	var overload float64
+	for _, k := range i.holders {
+		if load := s.servers[k].load + extraLoad; k != j && load > 0 {
+			overload += max(0, (extraLoad-s.headroom(k, p.Target))/load)
 		}
 	}
-	return i.value * (over/float64(rest) + p.spare(i, rest))
+	return i.value * (overload/float64(remaining) + p.redundancyShare(i, remaining))
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -89,9 +89,9 @@
 			require.Len(t, on, 2)
 			require.Contains(t, on, "s3")
 		}
-		require.Empty(t, (&place.Gain{}).Plan(now, apply(in, out)).Moves, "nothing moves without a cause")
+		require.Empty(t, (&place.Gain{}).Plan(now, apply(in, out)).Moves, "a plan that is in force needs no moves")
 	})
-	t.Run("a hot model gets copies, a cold one gives way", func(t *testing.T) {
+	t.Run("copies of an idle model are evicted for a busy one", func(t *testing.T) {
 		in := place.Input{Models: []config.Model{a, b}, Servers: []place.Server{
 			server("s1", "d1", 20, a.Item()), server("s2", "d2", 20, b.Item()), server("s3", "d3", 20, b.Item()), server("s4", "d4", 20, b.Item()),
 		}, Demand: []view.Demand{{Name: "a", Rate: 10, Urgent: 10, Seconds: 1.5}}}
@@ -99,14 +99,14 @@
 		require.Greater(t, len(copies(out, a.Item())), 1)
 		require.NotEmpty(t, copies(out, b.Item()))
 		in.Placement.MovePrice = 1e6
-		require.Empty(t, (&place.Gain{}).Plan(now, in).Moves, "the price forbids it")
+		require.Empty(t, (&place.Gain{}).Plan(now, in).Moves, "the price of a move exceeds the gain")
 		in.Placement.MovePrice, in.Placement.MinResidenceMS = 0, 60_000
 		for j := range in.Servers {
 			in.Servers[j].Resident[0].Since = now.Add(-time.Second)
 		}
-		require.Empty(t, (&place.Gain{}).Plan(now, in).Moves, "young copies stay")
+		require.Empty(t, (&place.Gain{}).Plan(now, in).Moves, "copies below the minimum residence time stay")
 	})
-	t.Run("demand of several nodes adds up", func(t *testing.T) {
+	t.Run("demand of several nodes is summed", func(t *testing.T) {
 		in := place.Input{Models: []config.Model{a}, Servers: []place.Server{
 			server("s1", "d1", 20, a.Item()), server("s2", "d2", 20, a.Item()), server("s3", "d1", 20),
 		}}
@@ -115,7 +115,7 @@
 		}
 		require.Len(t, copies((&place.Gain{}).Plan(now, in), a.Item()), 3)
 	})
-	t.Run("a lost server's items come first, urgent ones before", func(t *testing.T) {
+	t.Run("items of a lost server are loaded first, the most valuable ahead", func(t *testing.T) {
 		c := model("c", 10)
 		in := place.Input{Models: []config.Model{a, b, c}, Servers: []place.Server{
 			server("s1", "d1", 60, a.Item()), server("s2", "d2", 60), server("s3", "d1", 60, b.Item(), c.Item()),
@@ -127,13 +127,13 @@
 		require.Equal(t, place.Unreachable, out.Moves[0].Why)
 		require.NotContains(t, out.Plan, "s3")
 	})
-	t.Run("an adapter comes with its model", func(t *testing.T) {
+	t.Run("an adapter is loaded with its model", func(t *testing.T) {
 		in := place.Input{Models: []config.Model{a}, Adapters: []config.Adapter{adapter("x", "a")}, Servers: []place.Server{server("s1", "d1", 40)}}
 		out := (&place.Gain{}).Plan(now, in)
 		require.Equal(t, []backend.Item{a.Item(), in.Adapters[0].Item()}, out.Plan["s1"])
 		require.Equal(t, a.Item(), out.Moves[0].Item, "the model is loaded first")
 	})
-	t.Run("spare copies give way to an item without a copy", func(t *testing.T) {
+	t.Run("surplus copies are evicted for an item without a copy", func(t *testing.T) {
 		in := place.Input{Models: []config.Model{a, b, model("c", 10)}, Servers: []place.Server{
 			server("s1", "d1", 16, a.Item()), server("s2", "d2", 16, a.Item()), server("s3", "d3", 16, b.Item()),
 		}}
@@ -141,7 +141,7 @@
 		require.Empty(t, out.Unplaced)
 		require.Len(t, copies(out, a.Item()), 1)
 	})
-	t.Run("a proposed load stays where room was made for it", func(t *testing.T) {
+	t.Run("a proposed load keeps the room made for it", func(t *testing.T) {
 		in := place.Input{Models: []config.Model{a, b}, Servers: []place.Server{
 			server("s1", "d1", 16, a.Item()), server("s2", "d1", 16, b.Item()), server("s3", "d1", 16, b.Item()), server("s4", "d1", 16, b.Item()),
 		}, Demand: []view.Demand{{Name: "a", Rate: 3, Urgent: 3, Seconds: 1}}, Placement: config.Placement{MovePrice: 5}}
@@ -157,25 +157,25 @@
 		in.Previous = out.Plan
 		for j := range in.Servers {
 			if in.Servers[j].Name == load.Server {
-				in.Servers[j].Resident = nil // it has made room and has not begun to load
+				in.Servers[j].Resident = nil // room has been made, but the load has not started
 			}
 		}
-		in.Demand[0].Rate, in.Demand[0].Urgent = 0.5, 0.5 // worth half the price
+		in.Demand[0].Rate, in.Demand[0].Urgent = 0.5, 0.5 // gain is still above half the price
 		again := plan(now, in)
 		require.Equal(t, []backend.Item{a.Item()}, again.Plan[load.Server])
 		in.Demand[0].Rate, in.Demand[0].Urgent = 0.1, 0.1
-		gone := plan(now, in)
-		require.NotContains(t, gone.Plan[load.Server], a.Item(), "its gain is gone")
+		withoutGain := plan(now, in)
+		require.NotContains(t, withoutGain.Plan[load.Server], a.Item(), "its gain is below half the price")
 	})
-	t.Run("a copy that a burst would need stays", func(t *testing.T) {
+	t.Run("a copy that a burst would need is kept", func(t *testing.T) {
 		in := place.Input{Models: []config.Model{a, b}, Servers: []place.Server{
 			server("s1", "d1", 16, a.Item()), server("s2", "d2", 16, a.Item()), server("s3", "d1", 16, b.Item()), server("s4", "d2", 16, b.Item()),
 		}, Demand: []view.Demand{{Name: "a", Rate: 0.4, Urgent: 0.4, Seconds: 2}, {Name: "b", Rate: 1.2, Urgent: 1.2, Seconds: 5}}}
-		blind := (&place.Gain{BurstShare: -1}).Plan(now, in)
-		require.Len(t, copies(blind, a.Item()), 1)
+		withoutBurst := (&place.Gain{BurstShare: -1}).Plan(now, in)
+		require.Len(t, copies(withoutBurst, a.Item()), 1)
 		require.Len(t, copies((&place.Gain{}).Plan(now, in), a.Item()), 2)
 	})
-	t.Run("adapters stay that need not go", func(t *testing.T) {
+	t.Run("adapters are not evicted needlessly", func(t *testing.T) {
 		x := adapter("x", "b")
 		in := place.Input{Models: []config.Model{a, b, model("c", 9)}, Adapters: []config.Adapter{x}, Servers: []place.Server{
 			server("s1", "d1", 27, b.Item(), a.Item()), server("s2", "d2", 27, b.Item(), a.Item()),
@@ -193,7 +193,7 @@
 		}
 		require.Equal(t, 1, drops, "%v", out.Moves)
 	})
-	t.Run("what fits nowhere is named", func(t *testing.T) {
+	t.Run("an item that fits on no server is reported as unplaced", func(t *testing.T) {
 		in := place.Input{Models: []config.Model{model("huge", 100)}, Servers: []place.Server{server("s1", "d1", 40)}}
 		require.Equal(t, []backend.Item{{Name: "huge", Version: "1"}}, (&place.Gain{}).Plan(now, in).Unplaced)
 	})
@@ -213,20 +213,20 @@
 				out := (&place.Gain{}).Plan(now, in)
 				requireServed(t, in, out, "a")
 				requireServed(t, in, out, "x")
-				in = applySlowly(in, out)
+				in = applyDropsAndFirstLoad(in, out)
 			}
 			out := (&place.Gain{}).Plan(now, in)
-			require.Empty(t, copies(out, old), "the old version is dropped in the end")
+			require.Empty(t, copies(out, old), "the old version is unloaded eventually")
 			require.NotEmpty(t, copies(out, x.Item()))
 			require.Empty(t, out.Moves)
 		})
 	}
 }
 
-// TestInvariantReachableOldVersionsMakeWay: two configuration changes in quick
-// succession leave two old versions on servers without room for a third. They
-// make way, and some version is resident at every step.
-func TestInvariantReachableOldVersionsMakeWay(t *testing.T) {
+// TestInvariantReachableWithTwoOldVersions guards against a deadlock after two configuration
+// changes in quick succession: two old versions fill the servers, and the new one never
+// fits. The old versions must be unloaded, with some version resident at every step.
+func TestInvariantReachableWithTwoOldVersions(t *testing.T) {
 	first, second := backend.Item{Name: "a", Version: "0"}, backend.Item{Name: "a", Version: "0b"}
 	a := model("a", 10)
 	a.MinCopies = 2
@@ -240,7 +240,7 @@
 			for range 6 {
 				out := (&place.Gain{}).Plan(now, in)
 				requireServed(t, in, out, "a")
-				in = applySlowly(in, out)
+				in = applyDropsAndFirstLoad(in, out)
 			}
 			out := (&place.Gain{}).Plan(now, in)
 			require.Len(t, copies(out, a.Item()), len(servers))
@@ -248,7 +248,8 @@
 	}
 }
 
-// requireServed shows that some version of the name that is resident now stays.
+// requireServed checks that the plan keeps a copy of some version of the named item that is
+// resident now.
 func requireServed(t require.TestingT, in place.Input, out place.Output, name string) {
 	for _, s := range in.Servers {
 		for _, c := range s.Resident {
@@ -257,11 +258,11 @@
 			}
 		}
 	}
-	require.Fail(t, "no copy stays", name)
+	require.Fail(t, "no resident copy is kept", name)
 }
 
-// applySlowly carries out all drops and the first load of a plan.
-func applySlowly(in place.Input, out place.Output) place.Input {
+// applyDropsAndFirstLoad carries out all unloads and the first load of a plan.
+func applyDropsAndFirstLoad(in place.Input, out place.Output) place.Input {
 	loads := 0
 	for _, m := range out.Moves {
 		if m.Op != backend.Load {
@@ -274,8 +275,9 @@
 	return apply(in, out)
 }
 
-// fleet draws an input whose servers hold items that fit.
-func fleet(t *rapid.T) place.Input {
+// drawFleet generates an input with empty servers, models, adapters, demand and a move
+// price.
+func drawFleet(t *rapid.T) place.Input {
 	var in place.Input
 	for i := range rapid.IntRange(1, 8).Draw(t, "models") {
 		m := model(fmt.Sprint("m", i), int64(rapid.IntRange(2, 16).Draw(t, "size")))
@@ -296,8 +298,8 @@
 	return in
 }
 
-// disturb changes demand and loses or returns a server.
-func disturb(t *rapid.T, in place.Input) place.Input {
+// perturb changes the demand, and makes a random server unreachable or reachable again.
+func perturb(t *rapid.T, in place.Input) place.Input {
 	in.Servers = slices.Clone(in.Servers)
 	in.Demand = slices.Clone(in.Demand)
 	for i := range in.Demand {
@@ -325,7 +327,7 @@
 			sum += bytes[i.Name]
 			peak = max(peak, peaks[i.Name])
 			if i.Base != "" {
-				require.True(t, slices.ContainsFunc(out.Plan[s.Name], func(m backend.Item) bool { return m.Name == i.Base }), "adapter without model")
+				require.True(t, slices.ContainsFunc(out.Plan[s.Name], func(m backend.Item) bool { return m.Name == i.Base }), "adapter planned without its model")
 			}
 		}
 		require.LessOrEqual(t, sum+peak, s.MemoryBytes-s.KVReserveBytes-s.HeldBytes, "server %s is overcommitted", s.Name)
@@ -334,7 +336,7 @@
 
 func TestInvariantPlanFitsMemoryAndKeepsLastCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := fleet(t)
+		in := drawFleet(t)
 		for range 6 {
 			for _, name := range place.Names() {
 				p, err := place.New(name)
@@ -354,18 +356,19 @@
 						holders = append(holders, s.Name)
 					}
 				}
-				require.True(t, place.MayDrop(m.Item, m.Server, holders, 1), "%v may not be dropped", m)
+				require.True(t, place.MayDrop(m.Item, m.Server, holders, 1), "%v must not be dropped", m)
 			}
-			in = disturb(t, apply(in, out))
+			in = perturb(t, apply(in, out))
 		}
 	})
 }
 
-// TestInvariantReachableAfterPlan shows that a declared item is without a copy
-// only if no server could take it with every spare copy dropped.
-func TestInvariantReachableAfterPlan(t *testing.T) {
+// TestInvariantUnplacedOnlyWithoutMemory checks that a declared item is left without a copy
+// only if no server could hold it with every surplus copy evicted: after the plan no
+// reachable server has memory left for it.
+func TestInvariantUnplacedOnlyWithoutMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := fleet(t)
+		in := drawFleet(t)
 		for range 4 {
 			out := (&place.Gain{}).Plan(now, in)
 			after := apply(in, out)
@@ -386,8 +389,8 @@
 					for _, c := range s.Resident {
 						used += c.Bytes
 					}
-					room := s.MemoryBytes - s.KVReserveBytes - used - gb
-					require.False(t, s.Reachable && room >= need, "%v fits on %s", i, s.Name)
+					freeBytes := s.MemoryBytes - s.KVReserveBytes - used - gb
+					require.False(t, s.Reachable && freeBytes >= need, "%v fits on %s", i, s.Name)
 				}
 			}
 			declared := len(in.Models) + len(in.Adapters)
@@ -398,21 +401,21 @@
 				}
 			}
 			require.Equal(t, declared, len(reached)+len(out.Unplaced))
-			in = disturb(t, after)
+			in = perturb(t, after)
 		}
 	})
 }
 
-// TestInvariantLastCopyStaysWithOldViews lets owners drop by views of any age.
-func TestInvariantLastCopyStaysWithOldViews(t *testing.T) {
+// TestInvariantLastCopyKeptWithStaleViews lets owners drop copies based on views of any age.
+func TestInvariantLastCopyKeptWithStaleViews(t *testing.T) {
 	item := backend.Item{Name: "a", Version: "1"}
 	rapid.Check(t, func(t *rapid.T) {
 		holders := []string{"s0", "s1", "s2", "s3", "s4"}[:rapid.IntRange(1, 5).Draw(t, "holders")]
 		history := [][]string{slices.Clone(holders)}
 		for range 20 {
 			s := rapid.SampledFrom(holders).Draw(t, "server")
-			old := history[rapid.IntRange(0, len(history)-1).Draw(t, "age")]
-			if slices.Contains(old, s) && place.MayDrop(item, s, old, 1) {
+			staleView := history[rapid.IntRange(0, len(history)-1).Draw(t, "age")]
+			if slices.Contains(staleView, s) && place.MayDrop(item, s, staleView, 1) {
 				holders = slices.DeleteFunc(slices.Clone(holders), func(h string) bool { return h == s })
 				require.NotEmpty(t, holders, "the last copy was dropped")
 				history = append(history, holders)
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -8,40 +8,41 @@
 	"guavapaddle/core/view"
 )
 
-// Why tells why a copy is loaded or dropped.
+// Why is the reason for a load or an unload.
 type Why string
 
 const (
-	// NameGain places by marginal gain.
+	// NameGain selects placement by marginal gain.
 	NameGain = "gain"
-	// NameStatic places by the document alone.
+	// NameStatic selects placement from the configuration document alone.
 	NameStatic = "static"
-	// NameLRU loads on demand and drops what was used least recently.
+	// NameLRU selects loading on demand with eviction of the least recently used copies.
 	NameLRU = "lru"
 )
 
 const (
 	// Unreachable means that no live server holds the item.
 	Unreachable Why = "no-copy"
-	// TooFew means that the item has less than its least number of copies.
+	// TooFew means that the item has fewer than its minimum number of copies.
 	TooFew Why = "min-copies"
-	// OneDataCentre means that all copies are in one data centre.
+	// OneDataCentre means that all copies of the item are in one data centre.
 	OneDataCentre Why = "one-data-centre"
-	// NeededByAdapter means that an adapter needs the model on the server.
+	// NeededByAdapter means that an adapter on the server needs the model.
 	NeededByAdapter Why = "adapter"
-	// Gained means that the copy's gain exceeds the price of a move.
+	// Gained means that the gain of the copy exceeds the price of a move.
 	Gained Why = "gain"
-	// Demanded means that requests wait for the item.
+	// Demanded means that requests wait for the item or that it overloads its holders.
 	Demanded Why = "demand"
-	// Declared means that the document alone says so.
+	// Declared means that the configuration document alone requires the copy.
 	Declared Why = "declared"
-	// Superseded means that the new version of the item is resident.
+	// Superseded means that a newer version of the item replaces the copy.
 	Superseded Why = "superseded"
-	// Undeclared means that the document no longer has the item.
+	// Undeclared means that the configuration document no longer has the item. It is also
+	// used for an adapter whose model is gone and for what Static leaves out of its plan.
 	Undeclared Why = "undeclared"
-	// GaveWay means that the copy made room for another one.
+	// GaveWay means that the copy was evicted for another one.
 	GaveWay Why = "gave-way"
-	// NoRoom means that the item fits nowhere.
+	// NoRoom means that the item fits on no server.
 	NoRoom Why = "no-room"
 )
 
@@ -50,17 +51,17 @@
 	Copy struct {
 		Item  backend.Item
 		Bytes int64
-		Since time.Time // when it became resident; zero counts as long ago
-		Used  time.Time // when it was last asked for, for LRU
+		Since time.Time // when it became resident; zero means long ago
+		Used  time.Time // when it was last requested; used by LRU
 	}
 
-	// Server is a model engine with what it holds.
+	// Server is a model engine with its current contents.
 	Server struct {
 		Name           string
 		DataCentre     string
 		MemoryBytes    int64
 		KVReserveBytes int64
-		HeldBytes      int64 // of items that are unloading or uncertain
+		HeldBytes      int64 // taken by items that are unloading or in an unknown state
 		Slots          int
 		Reachable      bool
 		Leaving        bool
@@ -68,64 +69,65 @@
 		Loading        []Copy
 	}
 
-	// Input is all that a plan depends on, besides the time.
+	// Input holds everything that a plan depends on except the time.
 	Input struct {
 		Models    []config.Model
 		Adapters  []config.Adapter
 		Servers   []Server
-		Demand    []view.Demand // of all nodes; rates of the same name add up
+		Demand    []view.Demand // of all nodes; rates with the same name are summed
 		Placement config.Placement
-		Loads     int // at once at the weight store's full speed, zero if unknown
-		// Previous is the plan before this one, nil if there is none. A load
-		// that it proposed and that has not begun is proposed again unless its
-		// gain is gone, so that room which was made for it is not given away.
+		Loads     int // concurrent loads that the weight store serves at full speed; zero if unknown
+		// Previous is the preceding plan, nil if there is none. A load that it proposed and
+		// that has not started is proposed again while it is still justified, so that the
+		// room made for it is not given to another item.
 		Previous map[string][]backend.Item
 	}
 
-	// Move is a copy that is to be loaded or dropped.
+	// Move is a copy to load or unload.
 	Move struct {
 		Op     backend.Op
 		Server string
 		Item   backend.Item
 		Bytes  int64
 		Why    Why
-		Gain   float64 // requests a second met in time, weighted; zero if required
+		Gain   float64 // weighted requests a second served in time; zero for required loads
 	}
 
 	// Output is a plan.
 	Output struct {
-		// Plan names the items that each live server should hold, models
-		// before adapters, each sorted.
+		// Plan lists the items that each live server should hold, models before adapters,
+		// each group sorted by name.
 		Plan map[string][]backend.Item
-		// Moves are the differences to what the servers hold, loads in the order
-		// of importance, then drops, adapters before models. A model must not be
-		// dropped while an adapter on the server needs it.
+		// Moves are the differences between the plan and the current contents: loads in
+		// order of importance, then unloads, adapters before models. A model must not be
+		// unloaded while an adapter on the server needs it.
 		Moves []Move
-		// Unplaced are declared items that fit nowhere.
+		// Unplaced lists the declared items without a copy in the plan, because they fit on
+		// no server.
 		Unplaced []backend.Item
-		// MayDropLast tells that the policy drops last copies: a baseline that
-		// breaks reachability on purpose.
+		// MayDropLast is set by policies that may drop the last copy of an item. Such a
+		// baseline breaks reachability on purpose.
 		MayDropLast bool
 	}
 
-	// Planner proposes which server holds what.
+	// Planner proposes the contents of each server.
 	Planner interface {
 		Name() string
 		Plan(now time.Time, in Input) Output
 	}
 
-	// UnknownPlannerError tells that no planner has the name.
+	// UnknownPlannerError reports a planner name that New does not know.
 	UnknownPlannerError struct{ Name string }
 )
 
-// Error names the unknown planner.
+// Error implements the error interface.
 func (e *UnknownPlannerError) Error() string { return "place: no planner named " + e.Name }
 
-// Names returns the names that New knows.
+// Names returns the planner names that New accepts.
 func Names() []string { return []string{NameGain, NameStatic, NameLRU} }
 
-// New returns the planner of a name with its default settings, or an
-// *UnknownPlannerError.
+// New returns the named planner with default settings. The error is an *UnknownPlannerError
+// if the name is not known.
 func New(name string) (Planner, error) {
 	switch name {
 	case NameGain:
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -12,25 +12,26 @@
 )
 
 type (
-	// itemState is a declared item, or an old version that is kept for now.
+	// itemState is a declared item, or a superseded version of one that is kept until it is
+	// replaced.
 	itemState struct {
-		item      backend.Item
-		name      string // item.String()
-		bytes     int64
-		peak      int64
-		minCopies int
-		base      int     // index of an adapter's model, -1 for a model
-		rate      float64 // requests a second
-		value     float64 // rate weighted by urgency
-		load      float64 // slots that the rate keeps busy
-		waiting   int     // requests that wait for a copy
-		on        []int   // servers of the plan that hold it
-		resident  int     // live servers where it is resident now
-		retired   bool    // an old version
+		item       backend.Item
+		name       string // item.String()
+		bytes      int64
+		peak       int64
+		minCopies  int
+		base       int     // index of the adapter's model, -1 for a model
+		rate       float64 // requests a second
+		value      float64 // rate, weighted by urgency
+		load       float64 // slots that the rate occupies
+		waiting    int     // requests waiting for a copy
+		holders    []int   // servers that hold it in the plan
+		resident   int     // live servers on which it can serve now
+		superseded bool    // not the declared version
 	}
 
-	// held is an item in the plan of a server.
-	held struct {
+	// placedCopy is an item in the plan of a server.
+	placedCopy struct {
 		item     int
 		resident bool
 		loading  bool
@@ -39,39 +40,39 @@
 		anchor   bool
 	}
 
-	// serverState is a live server with its plan.
+	// serverState is a live server with its planned contents.
 	serverState struct {
 		*Server
-		room  int64 // memory for items and load peak
-		used  int64 // bytes of the plan's items
-		peak  int64 // largest load peak of the plan's items
-		load  float64
-		items []held
-
-		options      []option // what may be dropped, see Gain.options
-		optionsKnown bool
+		capacity int64 // memory for items and the load peak
+		used     int64 // bytes of the planned items
+		peak     int64 // largest load peak of the planned items
+		load     float64
+		items    []placedCopy
+
+		evictionGroups []evictionGroup // cache of Gain.evictionGroups
+		groupsValid    bool
 	}
 
-	// state is a plan in the making.
+	// state is a plan under construction.
 	state struct {
-		now     time.Time
-		in      Input
-		items   []itemState
-		byItem  map[backend.Item]int
-		byName  map[string]int // declared items by name
-		servers []serverState
-		moves   []Move
-		drops   []Move
-		pending int // loads for gain that the previous plan proposed
+		now          time.Time
+		in           Input
+		items        []itemState
+		byItem       map[backend.Item]int
+		byName       map[string]int // declared items by name
+		servers      []serverState
+		moves        []Move
+		drops        []Move
+		pendingLoads int // loads for gain repeated from the previous plan
 	}
 )
 
-// newState indexes the input. Servers and items are sorted by name, so that
-// the order of the input doesn't matter.
-func newState(now time.Time, in Input, set Gain) *state {
+// newState indexes the input. Servers and items are sorted by name, so that the order of the
+// input does not affect the plan.
+func newState(now time.Time, in Input, settings Gain) *state {
 	s := &state{now: now, in: in, byItem: map[backend.Item]int{}, byName: map[string]int{}}
 	s.addItems()
-	s.addDemand(set)
+	s.addDemand(settings)
 	s.addServers()
 	return s
 }
@@ -87,7 +88,7 @@
 	for _, a := range adapters {
 		base, ok := s.byName[a.Model]
 		if !ok {
-			continue // refused when the document is checked
+			continue // the configuration checker rejects such documents
 		}
 		s.addItem(itemState{item: a.Item(), bytes: a.Bytes, peak: a.LoadPeakBytes, minCopies: max(1, a.MinCopies), base: base})
 	}
@@ -98,15 +99,15 @@
 	s.items = append(s.items, i)
 	index := len(s.items) - 1
 	s.byItem[i.item] = index
-	if !i.retired {
+	if !i.superseded {
 		s.byName[i.item.Name] = index
 	}
 	return index
 }
 
-// addDemand sums the demand of all nodes up, in the order of names and rates so
-// that rounding is the same everywhere.
-func (s *state) addDemand(set Gain) {
+// addDemand sums the demand of all nodes. Entries are sorted first, so that floating-point
+// rounding is the same on every node.
+func (s *state) addDemand(settings Gain) {
 	demand := slices.Clone(s.in.Demand)
 	slices.SortFunc(demand, func(a, b view.Demand) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.Rate, b.Rate),
@@ -119,7 +120,7 @@
 		}
 		i := &s.items[index]
 		i.rate += d.Rate
-		i.value += d.Rate + set.UrgentWeight*d.Urgent
+		i.value += d.Rate + settings.UrgentWeight*d.Urgent
 		i.load += d.Rate * d.Seconds
 		i.waiting += d.Waiting
 	}
@@ -133,62 +134,66 @@
 			continue
 		}
 		s.servers = append(s.servers, serverState{
-			Server: &sv, room: sv.MemoryBytes - sv.KVReserveBytes - sv.HeldBytes,
+			Server: &sv, capacity: sv.MemoryBytes - sv.KVReserveBytes - sv.HeldBytes,
 		})
 	}
 }
 
-// keepPresent puts what live servers hold into their plans: declared items, and
-// one old version a server until the new one is resident there or often enough.
-func (s *state) keepPresent() {
+// addCurrentCopies adds the current contents of the live servers to the plan: declared
+// items, and at most one superseded version of an item per server until the declared version
+// is resident there or on enough servers.
+func (s *state) addCurrentCopies() {
 	s.countResident()
 	for j := range s.servers {
 		for _, c := range s.servers[j].Resident {
-			s.keep(j, c, true)
+			s.addCurrentCopy(j, c, true)
 		}
 		for _, c := range s.servers[j].Loading {
-			s.keep(j, c, false)
+			s.addCurrentCopy(j, c, false)
 		}
 	}
 	s.dropOrphans()
 	s.markAnchors()
 }
 
-// countResident counts the live servers where each declared item serves: for an
-// adapter, those where the declared version of its model does too.
+// countResident counts the live servers on which each declared item can serve. An adapter
+// counts only where the declared version of its model is resident too.
 func (s *state) countResident() {
 	for j := range s.servers {
 		for _, c := range s.servers[j].Resident {
-			if i, ok := s.byItem[c.Item]; ok && s.hasDeclaredBase(j, i) {
+			if i, ok := s.byItem[c.Item]; ok && s.holdsDeclaredBase(j, i) {
 				s.items[i].resident++
 			}
 		}
 	}
 }
 
-func (s *state) hasDeclaredBase(j, item int) bool {
+// holdsDeclaredBase reports whether an item is a model, or the declared version of its model
+// is resident on server j.
+func (s *state) holdsDeclaredBase(j, item int) bool {
 	base := s.items[item].base
 	return base < 0 || slices.ContainsFunc(s.servers[j].Resident, func(c Copy) bool { return c.Item == s.items[base].item })
 }
 
-// carriesLast tells whether server j holds an adapter of the model that is not
-// yet resident often enough with the declared version of the model.
-func (s *state) carriesLast(j, model int) bool {
+// neededByAdapters reports whether server j holds an adapter of the model, without the
+// model's declared version, that has fewer than its minimum number of copies with the
+// declared version.
+func (s *state) neededByAdapters(j, model int) bool {
 	return slices.ContainsFunc(s.servers[j].Resident, func(c Copy) bool {
 		i, ok := s.byItem[c.Item]
-		return ok && s.items[i].base == model && !s.hasDeclaredBase(j, i) && s.items[i].resident < s.items[i].minCopies
+		return ok && s.items[i].base == model && !s.holdsDeclaredBase(j, i) && s.items[i].resident < s.items[i].minCopies
 	})
 }
 
-// sound returns the copies of an item in the plan: for an adapter, those with
-// the declared version of its model.
-func (s *state) sound(item int) int {
+// validCopies returns the number of planned copies of an item. A copy of an adapter counts
+// only where the declared version of its model is planned too.
+func (s *state) validCopies(item int) int {
 	i := &s.items[item]
 	if i.base < 0 {
-		return len(i.on)
+		return len(i.holders)
 	}
 	n := 0
-	for _, j := range i.on {
+	for _, j := range i.holders {
 		if s.holds(j, i.base) {
 			n++
 		}
@@ -196,9 +201,9 @@
 	return n
 }
 
-// dependents returns the k-th place of server j and the places of adapters
-// there that need it.
-func (s *state) dependents(j, k int) []int {
+// withDependents returns k and the indices of the adapters on server j that need the k-th
+// copy there.
+func (s *state) withDependents(j, k int) []int {
 	out := []int{k}
 	item := s.servers[j].items[k].item
 	for d, h := range s.servers[j].items {
@@ -209,35 +214,35 @@
 	return out
 }
 
-// keep puts a present copy into the plan, or records why it is dropped.
-func (s *state) keep(j int, c Copy, resident bool) {
+// addCurrentCopy adds a present copy to the plan, or records an unload with its reason.
+func (s *state) addCurrentCopy(j int, c Copy, resident bool) {
 	i, ok := s.byItem[c.Item]
-	if !ok || s.items[i].retired {
+	if !ok || s.items[i].superseded {
 		current, declared := s.byName[c.Item.Name]
 		if !declared || s.items[current].item.Base != c.Item.Base {
-			s.drop(j, c, Undeclared)
+			s.recordDrop(j, c, Undeclared)
 			return
 		}
-		if !resident || s.superseded(j, current) {
-			s.drop(j, c, Superseded)
+		if !resident || s.oldVersionUnneeded(j, current) {
+			s.recordDrop(j, c, Superseded)
 			return
 		}
 		if !ok {
 			i = s.addItem(itemState{
 				item: c.Item, bytes: c.Bytes, peak: s.items[current].peak, minCopies: 1,
-				base: s.items[current].base, retired: true,
+				base: s.items[current].base, superseded: true,
 			})
 		}
 	}
-	s.put(j, held{item: i, resident: resident, loading: !resident, since: c.Since, used: c.Used})
+	s.add(j, placedCopy{item: i, resident: resident, loading: !resident, since: c.Since, used: c.Used})
 }
 
-// superseded tells whether server j needs no further old version of an item,
-// given the index of the declared one. It keeps one at most: two could take up
-// the room that the declared version needs, and none would ever go.
-func (s *state) superseded(j, current int) bool {
+// oldVersionUnneeded reports whether server j need not keep another old version of the item
+// whose declared version has index current. At most one old version stays per server: two
+// could take the room that the declared version needs, and neither would ever be unloaded.
+func (s *state) oldVersionUnneeded(j, current int) bool {
 	declared := &s.items[current]
-	if declared.resident >= declared.minCopies && !s.carriesLast(j, current) {
+	if declared.resident >= declared.minCopies && !s.neededByAdapters(j, current) {
 		return true
 	}
 	for _, c := range s.servers[j].Resident {
@@ -247,30 +252,31 @@
 	}
 	for _, h := range s.servers[j].items {
 		old := &s.items[h.item]
-		if old.retired && old.item.Name == declared.item.Name && old.item.Base == declared.item.Base {
+		if old.superseded && old.item.Name == declared.item.Name && old.item.Base == declared.item.Base {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *state) drop(j int, c Copy, why Why) {
-	s.drops = append(s.drops, Move{Op: backend.Unload, Server: s.servers[j].Name, Item: c.Item, Bytes: c.Bytes, Why: why})
+// recordDrop records the unload of a copy on server j.
+func (s *state) recordDrop(j int, c Copy, reason Why) {
+	s.drops = append(s.drops, Move{Op: backend.Unload, Server: s.servers[j].Name, Item: c.Item, Bytes: c.Bytes, Why: reason})
 }
 
-// dropOrphans drops adapters whose model is not on the server.
+// dropOrphans removes the adapters without any version of their model on the same server.
 func (s *state) dropOrphans() {
 	for j := range s.servers {
 		for k := len(s.servers[j].items) - 1; k >= 0; k-- {
 			h := s.servers[j].items[k]
-			if base := s.items[h.item].base; base >= 0 && !s.hasBase(j, base) {
-				s.take(j, k, Undeclared)
+			if base := s.items[h.item].base; base >= 0 && !s.holdsModelVersion(j, base) {
+				s.remove(j, k, Undeclared)
 			}
 		}
 	}
 }
 
-// markAnchors marks the copies that must not be dropped.
+// markAnchors marks the copies that must not be evicted.
 func (s *state) markAnchors() {
 	holders := make([][]string, len(s.items))
 	for j := range s.servers {
@@ -291,50 +297,50 @@
 	}
 }
 
-// put adds a copy to the plan of server j. The load of an item is spread
-// equally over its copies.
-func (s *state) put(j int, h held) {
+// add adds a copy to the plan of server j. The load of an item is divided equally among its
+// copies.
+func (s *state) add(j int, h placedCopy) {
 	i, sv := &s.items[h.item], &s.servers[j]
-	s.spread(i, -1)
-	i.on = append(i.on, j)
-	s.spread(i, 1)
+	s.distributeLoad(i, -1)
+	i.holders = append(i.holders, j)
+	s.distributeLoad(i, 1)
 	sv.items = append(sv.items, h)
 	sv.used += i.bytes
 	sv.peak = max(sv.peak, i.peak)
-	sv.optionsKnown = false
+	sv.groupsValid = false
 }
 
-// take removes the k-th copy from the plan of server j.
-func (s *state) take(j, k int, why Why) {
+// remove removes the k-th copy from the plan of server j.
+func (s *state) remove(j, k int, reason Why) {
 	sv := &s.servers[j]
 	h := sv.items[k]
 	i := &s.items[h.item]
-	s.spread(i, -1)
-	i.on = slices.Delete(i.on, slices.Index(i.on, j), slices.Index(i.on, j)+1)
-	s.spread(i, 1)
+	s.distributeLoad(i, -1)
+	i.holders = slices.Delete(i.holders, slices.Index(i.holders, j), slices.Index(i.holders, j)+1)
+	s.distributeLoad(i, 1)
 	sv.items = slices.Delete(sv.items, k, k+1)
 	sv.used -= i.bytes
 	sv.peak = 0
-	sv.optionsKnown = false
+	sv.groupsValid = false
 	for _, h := range sv.items {
 		sv.peak = max(sv.peak, s.items[h.item].peak)
 	}
 	if h.resident || h.loading {
-		s.drop(j, Copy{Item: i.item, Bytes: i.bytes}, why)
+		s.recordDrop(j, Copy{Item: i.item, Bytes: i.bytes}, reason)
 	}
 }
 
-// spread adds the item's load, times sign, to its servers.
-func (s *state) spread(i *itemState, sign float64) {
-	for _, j := range i.on {
-		s.servers[j].load += sign * i.load / float64(len(i.on))
+// distributeLoad adds the item's load, multiplied by sign, to its holders in equal shares.
+func (s *state) distributeLoad(i *itemState, sign float64) {
+	for _, j := range i.holders {
+		s.servers[j].load += sign * i.load / float64(len(i.holders))
 	}
 }
 
-func (s *state) holds(j, item int) bool { return slices.Contains(s.items[item].on, j) }
+func (s *state) holds(j, item int) bool { return slices.Contains(s.items[item].holders, j) }
 
-// hasBase tells whether server j holds a version of the model.
-func (s *state) hasBase(j, base int) bool {
+// holdsModelVersion reports whether server j holds any version of a model in the plan.
+func (s *state) holdsModelVersion(j, base int) bool {
 	if s.holds(j, base) {
 		return true
 	}
@@ -347,9 +353,9 @@
 	return false
 }
 
-// needs returns the bytes and the peak of loading an item on server j, with the
-// adapter's model if that is not there.
-func (s *state) needs(j, item int) (bytes, peak int64) {
+// requiredMemory returns the bytes and the load peak of an item on server j, including the
+// adapter's model if that is not planned there.
+func (s *state) requiredMemory(j, item int) (bytes, peak int64) {
 	i := &s.items[item]
 	bytes, peak = i.bytes, i.peak
 	if i.base >= 0 && !s.holds(j, i.base) {
@@ -359,25 +365,26 @@
 	return bytes, peak
 }
 
-// lacking returns by how many bytes server j is too small for an item.
-func (s *state) lacking(j, item int) int64 {
-	bytes, peak := s.needs(j, item)
+// shortfall returns the number of bytes that server j lacks to hold an item; it is zero or
+// negative if the item fits.
+func (s *state) shortfall(j, item int) int64 {
+	bytes, peak := s.requiredMemory(j, item)
 	sv := &s.servers[j]
-	return sv.used + bytes + max(sv.peak, peak) - sv.room
+	return sv.used + bytes + max(sv.peak, peak) - sv.capacity
 }
 
-// headroom returns the slots of server j below the target that are not busy.
+// headroom returns the number of unoccupied slots of server j below the target.
 func (s *state) headroom(j int, target float64) float64 {
 	return target*float64(max(1, s.servers[j].Slots)) - s.servers[j].load
 }
 
-// output sorts the plan.
+// output sorts the plan and returns it.
 func (s *state) output() Output {
 	out := Output{Plan: make(map[string][]backend.Item, len(s.servers))}
 	for j := range s.servers {
 		sv := &s.servers[j]
 		items := make([]backend.Item, 0, len(sv.items))
-		slices.SortFunc(sv.items, func(a, b held) int {
+		slices.SortFunc(sv.items, func(a, b placedCopy) int {
 			x, y := &s.items[a.item], &s.items[b.item]
 			return cmp.Or(cmp.Compare(min(x.base, 0), min(y.base, 0)), strings.Compare(x.name, y.name))
 		})
@@ -387,7 +394,7 @@
 		out.Plan[sv.Name] = items
 	}
 	for i := range s.items {
-		if len(s.items[i].on) == 0 && !s.items[i].retired {
+		if len(s.items[i].holders) == 0 && !s.items[i].superseded {
 			out.Unplaced = append(out.Unplaced, s.items[i].item)
 		}
 	}
