--- a/core/loads/doc.go
+++ b/core/loads/doc.go
@@ -1,20 +1,20 @@
-// Package loads counts the loads of models from the weight store, so that no more of
-// them begin within a window than the store bears, whoever ordered them.
+// Package loads limits the rate at which models are loaded from the weight store, whichever
+// node orders the loads.
 //
 // # Method
 //
-// A load counts from the moment when it is planned. Once an engine has begun it, it
-// counts for a window more. An order without an answer may begin seconds later, at any
-// moment, as long as the engine has accepted just as many orders as it names: it counts
-// until that is ruled out, and for a window beyond. Of several orders with one number
-// an engine begins one at most, so they count once.
+// A load counts from the moment it is planned. Once an engine has started it, it counts for
+// one window more. An order without an answer may start seconds later, at any time while the
+// engine has accepted exactly as many orders as the order states: it counts until that is
+// ruled out, and for one window beyond. An engine starts at most one of several orders with
+// the same number, so these count once.
 //
-// A node that begins to order for all inherits what the one before told. If that one
-// fell silent, it may have begun as many as a window allows.
+// A node that takes over the ordering inherits the counts that its predecessor handed over.
+// If the predecessor fell silent, it may have started as many loads as a window allows.
 //
-// The weight store bears a little more than its rate. What is certain keeps within the
-// rate, and what is certain and what is possible together keep within what it bears, so
-// that a few orders without an answer hold nothing up.
+// The weight store can serve slightly more than its rate. Definite loads stay within the
+// rate, and definite and possible loads together stay within the capacity, so that a few
+// unacknowledged orders do not delay others.
 //
 // # Usage
 //
@@ -22,8 +22,8 @@
 //	if b.Left(now, rate) > 0 {
 //		b.Plan(now, "engine-1")
 //	}
-//	b.Send(now, "engine-1", 7)           // the order names seven accepted ones
-//	b.Accept(now, "engine-1", 7, true)   // it has begun
+//	b.Send(now, "engine-1", 7)           // valid while the engine has accepted seven orders
+//	b.Accept(now, "engine-1", 7, true)   // the engine has started the load
 //
 // A Budget is not safe for concurrent use.
 package loads
