--- a/core/losses/doc.go
+++ b/core/losses/doc.go
@@ -1,12 +1,12 @@
-// Package losses counts what became of requests, from the lines that nodes log of them:
-// by route, by reason and by the time at which they ended.
+// Package losses counts the outcomes of requests from the log lines of nodes: by route, by
+// reason and by the time at which the requests ended.
 //
 // # Method
 //
-// A node writes one line for each request that has ended. A line may have words before
-// its pairs, as a collector of logs puts them there; lines of other events, and lines that
-// can't be read, count for nothing. A request ends at one node, so that the lines of all
-// nodes can be added in any order.
+// A node logs one line for each completed request. A line may have other text before its
+// key-value pairs, as log collectors add it. Lines of other events and malformed lines are
+// ignored. Each request ends on exactly one node, so the lines of all nodes can be added in
+// any order.
 //
 // # Usage
 //
--- a/core/losses/table.go
+++ b/core/losses/table.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	// event is the event of the lines that count.
-	event = "request"
-	// Served is the reason of a request that was answered.
+	// requestEvent is the event name of the log lines that are counted.
+	requestEvent = "request"
+	// Served is the reason logged for a request that was answered.
 	Served = "served"
 )
 
 type (
-	// Reason is how many requests on a route ended for one reason.
+	// Reason is the number of requests on a route that ended for one reason.
 	Reason struct {
 		Route  string `json:"route"`
 		Reason string `json:"reason"`
 		Count  int    `json:"count"`
 	}
 
-	// Window is how the requests that ended within a time did.
+	// Window holds the number of requests that ended within a period, by reason.
 	Window struct {
 		From    time.Time      `json:"from"`
 		Reasons map[string]int `json:"reasons"`
 	}
 
-	// Table counts requests. The zero value counts in windows of a second.
+	// Table counts requests. The zero value counts in windows of one second.
 	Table struct {
-		Every time.Duration // length of a window, zero for a second
+		Every time.Duration // length of a window; zero means one second
 
-		reasons map[Reason]int // with a count of zero
+		reasons map[Reason]int // keyed by Reason with Count zero
 		windows map[time.Time]map[string]int
 	}
 )
 
-// Add counts the request that a line tells of, and returns false if it tells of none.
+// Add counts the request that a log line describes, and reports whether the line describes
+// one.
 func (t *Table) Add(line string) bool {
-	pairs := read(line)
+	pairs := parsePairs(line)
 	at, err := time.Parse(time.RFC3339Nano, pairs["time"])
-	if pairs["event"] != event || err != nil || pairs["reason"] == "" {
+	if pairs["event"] != requestEvent || err != nil || pairs["reason"] == "" {
 		return false
 	}
 	if t.reasons == nil {
@@ -58,8 +59,8 @@
 	return true
 }
 
-// read returns the pairs of a line, without those behind what can't be read.
-func read(line string) map[string]string {
+// parsePairs returns the key-value pairs of a line up to the first syntax error.
+func parsePairs(line string) map[string]string {
 	pairs := map[string]string{}
 	d := logfmt.NewDecoder(strings.NewReader(line))
 	for d.ScanRecord() {
@@ -70,7 +71,7 @@
 	return pairs
 }
 
-// Reasons returns the counts by route and reason, the most first.
+// Reasons returns the counts by route and reason, in descending order.
 func (t *Table) Reasons() []Reason {
 	out := make([]Reason, 0, len(t.reasons))
 	for r, n := range t.reasons {
@@ -83,7 +84,7 @@
 	return out
 }
 
-// Windows returns the counts by the time at which requests ended, the earliest first.
+// Windows returns the counts by window, in ascending order of time.
 func (t *Table) Windows() []Window {
 	out := make([]Window, 0, len(t.windows))
 	for from, reasons := range t.windows {
