--- a/core/loads/budget.go
+++ b/core/loads/budget.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// windowMargin lengthens the window to allow for differences in response times between
-	// engines.
+	// windowMargin lengthens the window, since some orders take longer to be answered than
+	// others.
 	windowMargin = 1.1
 	// rateTolerance and extraLoads are what the weight store can serve in a window beyond
 	// its rate: a tenth of it and three loads.
--- a/core/residency/doc.go
+++ b/core/residency/doc.go
@@ -2,12 +2,13 @@
 //
 // # Method
 //
-// Every declared model gets one copy as far as memory allows. The remaining places go to the
-// models in use in proportion to their load, by the D'Hondt method of highest averages: each
-// place goes to the model with the highest load per copy after the addition. The contents of
-// the engines are moved towards that allocation one copy at a time, and only where the new
-// copy serves at least Gain times the load that the evicted one serves. A model with waiting
-// requests and no copy goes first and need not reach that gain.
+// Every declared model gets one copy as far as memory allows. The remaining places go to
+// the models in use in proportion to their load, by the D'Hondt method of highest
+// averages: each place goes to the model with the highest load per copy after the
+// addition. The contents of the engines are moved towards that allocation one copy at a
+// time, and only where the new copy serves at least Gain times the cost of the eviction,
+// which is the resulting load per remaining copy of the evicted model. A model with
+// waiting requests and no copy goes first and need not reach that gain.
 //
 // Where there are more models than places, the last copy of a model may be evicted for a
 // model with more demand. The load that a requested model is credited with grows while it
--- a/core/residency/load_test.go
+++ b/core/residency/load_test.go
@@ -137,13 +137,13 @@
 	for seed := range uint64(3) {
 		w := newPlanSimulation(seed, 60, 98, 9)
 		capacity := 100.0 / 60 / 0.75
-		runUntilStable := func(what string, least float64) {
+		runUntilStable := func(stage string, least float64) {
 			rounds := 0
 			for rounds < 60 && w.round() > 0 {
 				rounds++
 			}
 			require.Less(t, rounds, 60, "the plan does not converge")
-			require.Greater(t, w.servedLoad(capacity), least, "seed %d, %s", seed, what)
+			require.Greater(t, w.servedLoad(capacity), least, "seed %d, %s", seed, stage)
 		}
 		runUntilStable("start", 99.5)
 		w.setDemand(9, 40)
--- a/core/residency/plan.go
+++ b/core/residency/plan.go
@@ -314,7 +314,7 @@
 	return unloads
 }
 
-// rebalance adds copies of the models with the highest load per copy while that is
+// rebalance moves copies to the models with the highest load per copy while that is
 // worthwhile.
 func (p *planner) rebalance() {
 	p.ranking = p.rank()
--- a/core/residency/sizes.go
+++ b/core/residency/sizes.go
@@ -2,9 +2,9 @@
 
 import "guavapaddle/core/fleet"
 
-// Sizes holds the memory requirements of an engine's models and adapters, computed once per
-// plan: with hundreds of models, scanning all of them for each model and server took most of
-// the planning time.
+// Sizes holds the memory requirements of an engine's models and adapters, computed once for
+// all queries: with hundreds of models, scanning all of them for each model and server took
+// most of the planning time.
 type Sizes struct {
 	engine   fleet.Engine
 	smallest float64 // MB, of the models
--- a/core/residency/spread.go
+++ b/core/residency/spread.go
@@ -31,16 +31,16 @@
 			return
 		}
 		tried[to] = true
-		from, busy := p.mostLoadedSource(to)
+		from, busyModel := p.mostLoadedSource(to)
 		if from == nil {
 			return
 		}
-		quiet, ok := p.leastLoadedModel(to, from)
+		idleModel, ok := p.leastLoadedModel(to, from)
 		if !ok {
 			continue
 		}
-		from.Kept, from.KeptWhy = quiet, Spread
-		p.unload(from, busy, Spread, quiet)
+		from.Kept, from.KeptWhy = idleModel, Spread
+		p.unload(from, busyModel, Spread, idleModel)
 	}
 }
 
