--- a/core/config/address.go
+++ b/core/config/address.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	ipv4Octets   = 4
-	ipv6Groups   = 8
-	ipv6MaxDigit = 4
+	ipv4Octets    = 4
+	ipv6Groups    = 8
+	ipv6MaxDigits = 4 // hex digits per group
 )
 
-// isAddress tells whether s is an IP number and a port, as in "10.0.0.7:8080"
-// or "[fd00::7]:8080". Host names, zones, IPv4 parts inside IPv6 numbers and
-// port zero are refused. Packages of core may not import net, so the form is
-// checked here; the tests compare it with net/netip.
+// isAddress reports whether s is an IP address and a port, such as
+// "10.0.0.7:8080" or "[fd00::7]:8080". Host names, zones, IPv4 addresses
+// embedded in IPv6 addresses and port zero are rejected. Packages in core may
+// not import net, so the format is checked here; the tests compare the result
+// with net/netip.
 func isAddress(s string) bool {
 	colon := strings.LastIndexByte(s, ':')
 	if colon < 0 || !isPort(s[colon+1:]) {
@@ -48,25 +49,26 @@
 }
 
 func isIPv6(s string) bool {
-	head, tail, short := strings.Cut(s, "::")
-	if !short {
+	head, tail, compressed := strings.Cut(s, "::")
+	if !compressed {
 		return ipv6GroupCount(s) == ipv6Groups
 	}
-	h, t := 0, 0
+	headGroups, tailGroups := 0, 0
 	if head != "" {
-		h = ipv6GroupCount(head)
+		headGroups = ipv6GroupCount(head)
 	}
 	if tail != "" {
-		t = ipv6GroupCount(tail)
+		tailGroups = ipv6GroupCount(tail)
 	}
-	return h >= 0 && t >= 0 && h+t < ipv6Groups
+	return headGroups >= 0 && tailGroups >= 0 && headGroups+tailGroups < ipv6Groups
 }
 
-// ipv6GroupCount returns how many groups s has, or -1 if one is malformed.
+// ipv6GroupCount returns the number of groups in s, or -1 if one is malformed or
+// there are too many.
 func ipv6GroupCount(s string) int {
 	groups := strings.Split(s, ":")
 	for _, g := range groups {
-		if len(g) == 0 || len(g) > ipv6MaxDigit || strings.Trim(g, "0123456789abcdefABCDEF") != "" {
+		if len(g) == 0 || len(g) > ipv6MaxDigits || strings.Trim(g, "0123456789abcdefABCDEF") != "" {
 			return -1
 		}
 	}
--- a/core/config/bounds.go
+++ b/core/config/bounds.go
@@ -1,25 +1,26 @@
 package config
 
 const (
-	// MaxNameLength bounds names and versions, in bytes.
+	// MaxNameLength is the maximum length of names and versions, in bytes.
 	MaxNameLength = 128
-	// MaxBytes bounds every size of an item and of a memory: 16 TiB.
+	// MaxBytes is the maximum size of an item and of an engine's memory, 16 TiB.
 	MaxBytes = int64(1) << 44
-	// MaxDayMS bounds deadlines and other times: one day.
+	// MaxDayMS is the maximum of deadlines and other durations, one day.
 	MaxDayMS = int64(86_400_000)
-	// MaxCount bounds slots, streams and queues.
+	// MaxCount is the maximum of slots, streams, queue lengths and copies.
 	MaxCount = int64(1_000_000)
-	// MaxNumber bounds values, weights and prices.
+	// MaxNumber is the maximum of values, weights and prices.
 	MaxNumber = 1e9
 )
 
-// intBound is the bounds of a whole number, both inclusive.
+// intBound is an inclusive range of integers.
 type intBound struct{ min, max int64 }
 
-// floatBound is the bounds of a number, max inclusive, min as aboveMin says.
+// floatBound is a range of numbers that includes max. It includes min unless
+// aboveMin is set.
 type floatBound struct {
 	min, max float64
-	aboveMin bool // min itself is refused
+	aboveMin bool // min is excluded
 }
 
 var (
--- a/core/config/canonical.go
+++ b/core/config/canonical.go
@@ -10,23 +10,24 @@
 	"strings"
 )
 
-// Canonical returns the document as JSON without white space, defaults filled
-// in, entries sorted by name, and sets of names sorted. Two documents that mean
-// the same have the same canonical bytes. The order of a service's calls is
-// kept, as the first match counts.
+// Canonical returns the document as JSON without white space, with the defaults
+// filled in and with entries and sets of names sorted. Equivalent documents have
+// the same canonical bytes. The order of a service's calls is kept, because the
+// first matching call applies.
 func (d *Document) Canonical() []byte {
 	b, err := json.Marshal(d.sorted())
 	if err != nil {
-		// Only NaN or an infinity gets here, which JSON can't have given.
+		// Marshal fails only for NaN or an infinity, which JSON can't represent,
+		// so a parsed document has none.
 		panic(fmt.Errorf("config: canonical form: %w", err))
 	}
 	return b
 }
 
-// Hash returns the SHA-256 of the canonical bytes in 64 hex digits.
+// Hash returns the SHA-256 of the canonical bytes as 64 hex digits.
 func (d *Document) Hash() string { return HashBytes(d.Canonical()) }
 
-// HashBytes returns the SHA-256 of body in 64 hex digits.
+// HashBytes returns the SHA-256 of body as 64 hex digits.
 func HashBytes(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
@@ -53,18 +54,21 @@
 	return &c
 }
 
+// byName returns a copy of list sorted by name.
 func byName[T any](list []T, name func(T) string) []T {
 	c := append([]T{}, list...)
 	slices.SortStableFunc(c, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
 	return c
 }
 
+// sortedNames returns a sorted copy of names, never nil.
 func sortedNames(names []string) []string {
 	c := append([]string{}, names...)
 	slices.Sort(c)
 	return c
 }
 
+// lower returns a copy of names in lower case.
 func lower(names []string) []string {
 	c := make([]string, len(names))
 	for i, n := range names {
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -1,8 +1,8 @@
 package config
 
-// ValidateChange returns what is wrong with putting d in place of old: a
-// version that keeps its name may not change what it is, as copies of it may be
-// resident and are accounted for by its sizes. Paths are those of d.
+// ValidateChange returns the problems of replacing old by d. A model or adapter
+// version must keep its sizes, type and base model, because copies of it may be
+// resident and their memory is accounted for by these sizes. Paths refer to d.
 func ValidateChange(old, d *Document) []Problem {
 	c := &checker{doc: d}
 	models := make(map[string]Model, len(old.Models))
@@ -13,42 +13,46 @@
 	for _, a := range old.Adapters {
 		adapters[a.Name] = a
 	}
-	c.changedModels(models, adapters)
-	c.changedAdapters(models, adapters)
+	c.checkChangedModels(models, adapters)
+	c.checkChangedAdapters(models, adapters)
 	return c.problems
 }
 
-func (c *checker) changedModels(models map[string]Model, adapters map[string]Adapter) {
+// checkChangedModels checks the models of the document against the old models
+// and adapters.
+func (c *checker) checkChangedModels(models map[string]Model, adapters map[string]Adapter) {
 	for i, m := range c.doc.Models {
-		p := at("models", i)
-		if was, ok := models[m.Name]; ok && was.Version == m.Version {
-			c.sameSize(p, m.Name, m.Version, was.Bytes, m.Bytes, was.LoadPeakBytes, m.LoadPeakBytes)
+		p := elementPath("models", i)
+		if old, ok := models[m.Name]; ok && old.Version == m.Version {
+			c.checkSameSize(p, m.Name, m.Version, old.Bytes, m.Bytes, old.LoadPeakBytes, m.LoadPeakBytes)
 		}
-		if was, ok := adapters[m.Name]; ok && was.Version == m.Version {
+		if old, ok := adapters[m.Name]; ok && old.Version == m.Version {
 			c.add(p+".version", ImmutableVersion, "version %q of %q is an adapter in force; give a new version", m.Version, m.Name)
 		}
 	}
 }
 
-func (c *checker) changedAdapters(models map[string]Model, adapters map[string]Adapter) {
+// checkChangedAdapters checks the adapters of the document against the old
+// models and adapters.
+func (c *checker) checkChangedAdapters(models map[string]Model, adapters map[string]Adapter) {
 	for i, a := range c.doc.Adapters {
-		p := at("adapters", i)
-		if was, ok := models[a.Name]; ok && was.Version == a.Version {
+		p := elementPath("adapters", i)
+		if old, ok := models[a.Name]; ok && old.Version == a.Version {
 			c.add(p+".version", ImmutableVersion, "version %q of %q is a model in force; give a new version", a.Version, a.Name)
 		}
-		was, ok := adapters[a.Name]
-		if !ok || was.Version != a.Version {
+		old, ok := adapters[a.Name]
+		if !ok || old.Version != a.Version {
 			continue
 		}
-		if was.Model != a.Model {
-			c.add(p+".model", ImmutableVersion, "version %q of %q has %q in force; give a new version", a.Version, a.Name, was.Model)
+		if old.Model != a.Model {
+			c.add(p+".model", ImmutableVersion, "version %q of %q has %q in force; give a new version", a.Version, a.Name, old.Model)
 		}
-		c.sameSize(p, a.Name, a.Version, was.Bytes, a.Bytes, was.LoadPeakBytes, a.LoadPeakBytes)
+		c.checkSameSize(p, a.Name, a.Version, old.Bytes, a.Bytes, old.LoadPeakBytes, a.LoadPeakBytes)
 	}
 }
 
-// sameSize checks that a version keeps its sizes.
-func (c *checker) sameSize(path, name, version string, oldBytes, newBytes, oldPeak, newPeak int64) {
+// checkSameSize checks that a version keeps its sizes.
+func (c *checker) checkSameSize(path, name, version string, oldBytes, newBytes, oldPeak, newPeak int64) {
 	if oldBytes != newBytes {
 		c.add(path+".bytes", ImmutableVersion, "version %q of %q has %d in force; give a new version", version, name, oldBytes)
 	}
--- a/core/config/checker.go
+++ b/core/config/checker.go
@@ -7,29 +7,30 @@
 	"strings"
 )
 
+// keyDigits is the number of hex digits of a SHA-256 hash.
 const keyDigits = 64
 
-// checker gathers the problems of one document.
+// checker collects the problems of one document.
 type checker struct {
 	doc      *Document
 	problems []Problem
 
 	kinds    map[string]bool
-	models   map[string]int // index in the document
-	adapters map[string]int
-	services map[string]int
-	engines  int // servers of type engine
+	models   map[string]int // index in the document by name
+	adapters map[string]int // index in the document by name
+	services map[string]int // index in the document by name
+	engines  int            // number of servers of type engine
 }
 
 func (c *checker) add(path string, code Code, format string, args ...any) {
 	c.problems = append(c.problems, Problem{Path: path, Code: code, Detail: fmt.Sprintf(format, args...)})
 }
 
-// at returns the path of an element.
-func at(list string, i int) string { return list + "[" + strconv.Itoa(i) + "]" }
+// elementPath returns the path of element i of a list.
+func elementPath(list string, i int) string { return list + "[" + strconv.Itoa(i) + "]" }
 
-// name checks a name or version: letters, digits and ". _ - / :", the first
-// a letter or digit.
+// name checks that a name or version consists of letters, digits and
+// ". _ - / :" and starts with a letter or digit.
 func (c *checker) name(path, name string) {
 	if name == "" {
 		c.add(path, Missing, "a name is required")
@@ -52,7 +53,8 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 }
 
-// unique checks that value was not seen in seen, which maps to its first path.
+// unique checks that value is not yet in seen, which maps each value to
+// the path of its first occurrence, and adds it. Empty values are ignored.
 func (c *checker) unique(seen map[string]string, path, value, what string) {
 	if value == "" {
 		return
@@ -74,16 +76,17 @@
 	if b.aboveMin && v > b.min && v <= b.max || !b.aboveMin && v >= b.min && v <= b.max {
 		return
 	}
-	from := "from"
+	lower := "from"
 	if b.aboveMin {
-		from = "above"
+		lower = "above"
 	}
-	c.add(path, OutOfRange, "%s, allowed is %s %s to %s", number(v), from, number(b.min), number(b.max))
+	c.add(path, OutOfRange, "%s, allowed is %s %s to %s", formatNumber(v), lower, formatNumber(b.min), formatNumber(b.max))
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// reference checks that name is one of known.
+// reference checks that a referenced name is given and, by known, that it is
+// declared.
 func (c *checker) reference(path, name, what string, known bool) {
 	if name == "" {
 		c.add(path, Missing, "the name of a %s is required", what)
@@ -94,6 +97,7 @@
 	}
 }
 
+// keyHash checks that hash is KeyHashPrefix followed by a SHA-256 hash in hex.
 func (c *checker) keyHash(path, hash string) {
 	digits, ok := strings.CutPrefix(hash, KeyHashPrefix)
 	if _, err := hex.DecodeString(digits); ok && err == nil && len(digits) == keyDigits {
--- a/core/config/defaults.go
+++ b/core/config/defaults.go
@@ -3,13 +3,13 @@
 import "encoding/json"
 
 const (
-	// DefaultMinCopies is a model's or adapter's min-copies if it is omitted.
+	// DefaultMinCopies is the min-copies of a model or adapter that omits it.
 	DefaultMinCopies = 1
-	// DefaultWeight is a team's weight if it is omitted.
+	// DefaultWeight is the weight of a team that omits it.
 	DefaultWeight = 1.0
 )
 
-// DefaultLimits returns the limits of a document that omits them.
+// DefaultLimits returns the limits that apply where a document omits them.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:       1 << 20,
@@ -23,23 +23,24 @@
 	}
 }
 
-// DefaultPlacement returns the placement of a document that omits it.
+// DefaultPlacement returns the placement parameters that apply where a document
+// omits them.
 func DefaultPlacement() Placement {
 	return Placement{MovePrice: 1, MinResidenceMS: 60_000, PeriodMS: 1000}
 }
 
-// UnmarshalJSON reads a team over its defaults.
-func (c *Team) UnmarshalJSON(b []byte) error {
+// UnmarshalJSON decodes a team; omitted fields get their defaults.
+func (t *Team) UnmarshalJSON(b []byte) error {
 	type plain Team
 	p := plain{Weight: DefaultWeight}
 	if err := json.Unmarshal(b, &p); err != nil {
 		return err
 	}
-	*c = Team(p)
+	*t = Team(p)
 	return nil
 }
 
-// UnmarshalJSON reads a model over its defaults.
+// UnmarshalJSON decodes a model; omitted fields get their defaults.
 func (m *Model) UnmarshalJSON(b []byte) error {
 	type plain Model
 	p := plain{MinCopies: DefaultMinCopies}
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// UnmarshalJSON reads an adapter over its defaults.
+// UnmarshalJSON decodes an adapter; omitted fields get their defaults.
 func (a *Adapter) UnmarshalJSON(b []byte) error {
 	type plain Adapter
 	p := plain{MinCopies: DefaultMinCopies}
--- a/core/config/diff.go
+++ b/core/config/diff.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// ChangeOp tells how two documents differ at one place.
+// ChangeOp is the type of a difference between two documents.
 type ChangeOp string
 
 const (
@@ -20,8 +20,9 @@
 	Replaced ChangeOp = "replace"
 )
 
-// Change is one difference of two documents. An entry of a list is named in
-// its path, as in `models["drafter"].version`; calls are counted from zero.
+// Change is one difference between two documents. Paths identify list entries by
+// name, as in `models["drafter"].version`; calls are identified by their index,
+// counted from zero.
 type Change struct {
 	Path string          `json:"path"`
 	Op   ChangeOp        `json:"op"`
@@ -29,7 +30,7 @@
 	New  json.RawMessage `json:"new,omitempty"` // JSON of the new value, absent if removed
 }
 
-// String returns op, path and values in one line.
+// String returns the operation, path and values on one line.
 func (c Change) String() string {
 	switch c.Op {
 	case Added:
@@ -41,14 +42,14 @@
 	}
 }
 
-// Diff returns what differs from a to b in the order of paths, compared in
-// canonical form. A nil document has nothing.
+// Diff returns the differences from a to b, compared in canonical form and
+// ordered by path. A nil document is treated as empty.
 func Diff(a, b *Document) []Change {
-	return diffValue("", a.tree(), b.tree())
+	return diffValue("", a.jsonTree(), b.jsonTree())
 }
 
-// tree returns the canonical document as plain JSON values.
-func (d *Document) tree() any {
+// jsonTree returns the canonical document as decoded JSON.
+func (d *Document) jsonTree() any {
 	if d == nil {
 		return map[string]any{}
 	}
@@ -59,6 +60,7 @@
 	return t
 }
 
+// diffValue returns the differences between the JSON values a and b at path.
 func diffValue(path string, a, b any) []Change {
 	if ma, ok := asMap(a); ok {
 		if mb, ok := asMap(b); ok {
@@ -72,6 +74,8 @@
 	return []Change{{Path: path, Op: Replaced, Old: old, New: replacement}}
 }
 
+// diffEntries returns the differences between the entries of two objects, or of
+// two lists if list is set, ordered by name.
 func diffEntries(path string, a, b map[string]any, list bool) []Change {
 	names := slices.Collect(maps.Keys(a))
 	for n := range b {
@@ -82,21 +86,21 @@
 	slices.Sort(names)
 	var changes []Change
 	for _, n := range names {
-		var at string
+		var entryPath string
 		if list {
-			at = path + "[" + n + "]"
+			entryPath = path + "[" + n + "]"
 		} else {
-			at = join(path, n)
+			entryPath = joinPath(path, n)
 		}
 		old, inA := a[n]
 		replacement, inB := b[n]
 		switch {
 		case !inA:
-			changes = append(changes, Change{Path: at, Op: Added, New: encode(replacement)})
+			changes = append(changes, Change{Path: entryPath, Op: Added, New: encode(replacement)})
 		case !inB:
-			changes = append(changes, Change{Path: at, Op: Removed, Old: encode(old)})
+			changes = append(changes, Change{Path: entryPath, Op: Removed, Old: encode(old)})
 		default:
-			changes = append(changes, diffValue(at, old, replacement)...)
+			changes = append(changes, diffValue(entryPath, old, replacement)...)
 		}
 	}
 	return changes
@@ -107,8 +111,8 @@
 	return ok
 }
 
-// asMap returns an object's or a list's entries by name: an entry with a name
-// by that, a string by itself, any other by its index.
+// asMap returns the entries of an object or list by name. List entries are named
+// as entryName does.
 func asMap(v any) (map[string]any, bool) {
 	if m, ok := v.(map[string]any); ok {
 		return m, true
@@ -124,6 +128,8 @@
 	return m, true
 }
 
+// entryName returns the key of list entry e at index i: a quoted string or
+// "name" field, or the index if e is neither a string nor a named object.
 func entryName(i int, e any) string {
 	switch v := e.(type) {
 	case string:
--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -1,24 +1,25 @@
-// Package config holds the configuration document that operators apply as a
-// whole, with its checks and the questions that requests ask of it.
+// Package config defines the configuration document that operators apply as a
+// whole, its validation, and an index for look-ups on the request path.
 //
-// A document is read strictly: names that are not defined, names given twice
-// and missing values are refused, each with its JSON path. Validate finds
-// contradictions and computes whether the least copies of everything declared
-// fit in the engines' memory. The canonical form gives a document its hash, by
-// which its body is stored and fetched.
+// Parsing is strict: unknown names, duplicate names and missing values are
+// rejected, and each problem carries its JSON path. Validate finds
+// contradictions and checks that the minimum number of copies of all declared
+// models and adapters fits in the engines' memory. A document's hash is the
+// hash of its canonical form; the body is stored and fetched by that hash.
 //
 // # Usage
 //
-// An operator's file goes through Load, which gives an *InvalidError with all
-// problems; a body that was accepted before goes through Parse:
+// Load parses and validates an operator's file and returns an *InvalidError
+// that lists all problems. Parse reads a body that was accepted before:
 //
 //	doc, err := config.Load(text)
 //	index := config.NewIndex(doc, version)
 //	team, ok := index.TeamByKey(bearer)
 //	item, ok := index.Resolve("drafter")
 //
-// Diff lists what differs between two documents. Package core/config/head
+// Diff lists the differences between two documents. Package core/config/head
 // decides which version is in force.
 //
-// All sizes are bytes, all times milliseconds unless a name says otherwise.
+// All sizes are in bytes and all times in milliseconds unless a name says
+// otherwise.
 package config
--- a/core/config/document_test.go
+++ b/core/config/document_test.go
@@ -67,11 +67,11 @@
 	require.Equal(t, config.DefaultWeight, doc.Teams[0].Weight)
 	zero, err := config.Parse([]byte(strings.Replace(small, `"deployment"`, `"limits": {"retry-share": 0}, "deployment"`, 1)))
 	require.NoError(t, err)
-	require.Zero(t, zero.Limits.RetryShare, "a zero that is given is no omission")
+	require.Zero(t, zero.Limits.RetryShare, "an explicit zero is not replaced by the default")
 	require.Equal(t, config.DefaultLimits().BodyBytes, zero.Limits.BodyBytes)
 }
 
-func TestANameOfEarlierVersionsTellsTheNewOne(t *testing.T) {
+func TestErrorForRenamedFieldGivesNewName(t *testing.T) {
 	_, err := config.Parse([]byte(strings.Replace(small, `"teams"`, `"customers"`, 1)))
 	require.ErrorContains(t, err, "it is called teams")
 }
@@ -96,10 +96,10 @@
 
 	calls := document(t).Services[0].Calls
 	shuffled.Services[0].Calls = []config.Call{calls[1], calls[0]}
-	require.NotEqual(t, doc.Hash(), shuffled.Hash(), "the first call that matches counts")
+	require.NotEqual(t, doc.Hash(), shuffled.Hash(), "the first matching call applies, so the order matters")
 }
 
-func TestDiffNamesEntries(t *testing.T) {
+func TestDiffIdentifiesEntriesByName(t *testing.T) {
 	a, b := document(t), document(t)
 	require.Empty(t, config.Diff(a, b))
 	b.Models[0].Version = "2"
@@ -117,10 +117,10 @@
 		`add teams["shire"].models["checker"]: "checker"`,
 		`remove teams["shire"].models["drafter"]: "drafter"`,
 	}, lines)
-	require.Len(t, config.Diff(nil, a), 9, "one line each top-level name")
+	require.Len(t, config.Diff(nil, a), 9, "one change per top-level name")
 }
 
-func TestIndexAnswersRequestPath(t *testing.T) {
+func TestIndexLookups(t *testing.T) {
 	x := config.NewIndex(document(t), 7)
 	require.Equal(t, uint64(7), x.Version())
 	shire, ok := x.TeamByKey(key)
@@ -160,8 +160,8 @@
 		name, method, path, service, kind string
 	}{
 		{"confirm", "POST", "/bookings/confirm", "bookings", "confirm"},
-		{"below confirm", "POST", "/bookings/confirm/7", "bookings", "confirm"},
-		{"only begins like confirm", "POST", "/bookings/confirmed", "bookings", ""},
+		{"path below confirm", "POST", "/bookings/confirm/7", "bookings", "confirm"},
+		{"same prefix, other segment", "POST", "/bookings/confirmed", "bookings", ""},
 		{"any path", "GET", "/bookings/x/y", "bookings", "live"},
 		{"method not declared", "DELETE", "/bookings/confirm", "bookings", ""},
 		{"longest path of a service", "DELETE", "/bookings/audit/1", "audit", "live"},
--- a/core/config/head/doc.go
+++ b/core/config/head/doc.go
@@ -1,25 +1,27 @@
 // Package head decides which version of the configuration is in force.
 //
-// The head row of the table service holds the version, hash and apply id of
-// the newest accepted document. It is advanced by compare-and-set from the
-// revision that the operator read, together with a history row of the new
-// version, so that of two racing operators one wins and both can find out who
-// did, also when the answer to their write was lost and others have advanced
-// the head since. The body is in the object store under its hash before the
-// head names it.
+// The head row of the table service holds the version, hash and apply id of the
+// newest accepted document. One transaction advances it by compare-and-set from
+// the revision that the operator read and writes a history row of the new
+// version. If two operators race, exactly one wins, and both can determine the
+// winner, even if the response to their write was lost and others have advanced
+// the head since. A document's body is written to the object store under its
+// hash before the head refers to it.
 //
 // # Usage
 //
-// An operator proposes and, if the answer is lost, judges:
+// An operator sends a proposal and, if the response is lost, determines the
+// outcome:
 //
 //	p, err := head.Propose(headRow, hash, applyID, operator, nowUnixMS)
 //	result, err := table.Transact(ctx, p.Tx)
 //	verdict := head.Judge(p.Head, headRow, historyRow)
 //
-// A proposal whose verdict is Pending may be sent again as it is: it takes
-// effect at most once.
+// A proposal whose verdict is Pending may be resent unchanged, as it takes effect
+// at most once.
 //
-// A node keeps a Follower, an immutable value that only moves forward:
+// A node tracks the head with a Follower, an immutable value whose versions
+// never decrease:
 //
 //	t := f.Ticket()
 //	read the head row
--- a/core/config/head/follower.go
+++ b/core/config/head/follower.go
@@ -3,76 +3,81 @@
 import "fmt"
 
 type (
-	// Ticket tells when a question was asked. An answer to a question from
-	// before a pause is old and confirms nothing.
+	// Ticket records when a query was sent, as the number of pauses of the node
+	// until then. A reply to a query from before the last pause may be outdated,
+	// so it doesn't confirm the head.
 	Ticket uint64
 
-	// Follower is what one node knows of the head. It is immutable; the zero
-	// Follower is that of a node that just started. The version in force never
-	// falls.
+	// Follower is a node's knowledge of the head. It is immutable; the zero value
+	// is the state of a node that just started. The version in force never
+	// decreases.
 	Follower struct {
 		inForce   Ref
 		target    Ref
-		confirmed bool // the target was confirmed since the start or last pause
-		fresh     bool // a confirmed target was adopted since then
+		confirmed bool // the target was confirmed since the start or the last pause
+		fresh     bool // a confirmed target has been in force since then
 		pauses    Ticket
 	}
 
-	// ForkError means that two documents claim the same version. The one known
-	// first counts. It can't come from the table, where one row decides.
+	// ForkError means that two documents have the same version. The one known
+	// first is kept. The table can't cause this error, because a single row
+	// determines the head.
 	ForkError struct {
 		Known Ref
 		Other Ref
 	}
 )
 
-// Error tells the version and both hashes.
+// Error returns the version and both hashes.
 func (e *ForkError) Error() string {
 	return fmt.Sprintf("version %d has hash %s and also %s", e.Known.Version, e.Known.Hash, e.Other.Hash)
 }
 
-// InForce returns what is in force, the zero Ref if nothing is.
+// InForce returns the document in force, or the zero Ref if there is none.
 func (f Follower) InForce() Ref { return f.inForce }
 
-// Target returns the newest that was seen.
+// Target returns the newest document seen.
 func (f Follower) Target() Ref { return f.target }
 
-// Want returns the document to fetch, if one newer than that in force is known.
+// Want returns the newest document seen and reports whether it is newer than the
+// one in force, so that it has to be fetched.
 func (f Follower) Want() (Ref, bool) { return f.target, f.target.Version > f.inForce.Version }
 
-// Fresh tells whether the node may admit requests: since its start or last
-// pause the head was confirmed and put in force. A node that is only behind a
-// new version stays fresh while it fetches it.
+// Fresh reports whether the node may admit requests. This is the case if the head
+// was confirmed and put in force since the node's start or last pause. A node
+// stays fresh while it fetches a new version.
 func (f Follower) Fresh() bool { return f.fresh }
 
-// Ticket is to be taken before a question is sent.
+// Ticket returns a ticket for a query. It must be taken before the query is
+// sent.
 func (f Follower) Ticket() Ticket { return f.pauses }
 
-// WithRead returns f after ref was read from the head row, the zero Ref if the
-// row is absent; t was taken before the reading. A lower version than the
-// newest seen changes no version: the version in force never falls. The error
-// is a *ForkError.
+// WithRead returns f after ref was read from the head row; ref is the zero Ref if
+// the row is absent, and t was taken before the read. A version lower than the
+// newest one seen changes neither the target nor the version in force, which
+// never decreases. The error is a *ForkError.
 func (f Follower) WithRead(t Ticket, ref Ref) (Follower, error) {
 	f, err := f.WithHint(ref)
 	if err == nil && t == f.pauses {
 		f.confirmed = true
 	}
-	return f.settled(), err
+	return f.withFresh(), err
 }
 
-// WithAnswer returns f after a peer, asked when t was taken, answered that ref
-// is in force there. It confirms only if the peer was fresh itself; what it
-// answers then may be lower than what f has seen. The error is a *ForkError.
+// WithAnswer returns f after a peer, queried after t was taken, replied that ref
+// is in force there. The reply confirms the head only if the peer is fresh; its
+// version may then be lower than the newest one that f has seen. The error is a
+// *ForkError.
 func (f Follower) WithAnswer(t Ticket, ref Ref, fresh bool) (Follower, error) {
 	f, err := f.WithHint(ref)
 	if err == nil && fresh && t == f.pauses {
 		f.confirmed = true
 	}
-	return f.settled(), err
+	return f.withFresh(), err
 }
 
-// WithHint returns f after it was told, nobody knows how long ago, that ref was
-// accepted. It confirms nothing. The error is a *ForkError.
+// WithHint returns f after a message of unknown age reported that ref was
+// accepted. It doesn't confirm the head. The error is a *ForkError.
 func (f Follower) WithHint(ref Ref) (Follower, error) {
 	if f.target.forks(ref) {
 		return f, &ForkError{Known: f.target, Other: ref}
@@ -81,21 +86,24 @@
 	return f, nil
 }
 
-// forks tells whether o is another document of the same version.
-func (r Ref) forks(o Ref) bool { return r.Version > 0 && r.Version == o.Version && r.Hash != o.Hash }
+// forks reports whether other is a different document with the same version.
+func (r Ref) forks(other Ref) bool {
+	return r.Version > 0 && r.Version == other.Version && r.Hash != other.Hash
+}
 
-// WithAdopted returns f after the body of ref was fetched, checked and put in
-// force. An older version than that in force changes nothing.
+// WithAdopted returns f after the body of ref was fetched, validated and put in
+// force. A version that isn't newer than the one in force changes nothing.
 func (f Follower) WithAdopted(ref Ref) Follower {
 	if ref.Version <= f.inForce.Version {
 		return f
 	}
 	f.inForce = ref
 	f.target = Highest(f.target, ref)
-	return f.settled()
+	return f.withFresh()
 }
 
-// WithPause returns f after the node found that it did not run for a while.
+// WithPause returns f after the node detected that it didn't run for a while. The
+// head must then be confirmed again.
 func (f Follower) WithPause() Follower {
 	f.confirmed = false
 	f.fresh = false
@@ -103,32 +111,33 @@
 	return f
 }
 
-// WithTrust returns f after it takes the newest version seen as confirmed,
-// asked when t was taken: because all other nodes answered and none is fresh,
-// or because neither table nor a fresh peer answered for long. Else nodes that
-// all were paused in an outage would wait for each other.
+// WithTrust returns f with the newest version seen assumed to be confirmed. The
+// caller may assume so if, since t was taken, all other nodes replied and none is
+// fresh, or if neither the table nor a fresh peer has replied for a long time.
+// Without this, nodes that were all paused during an outage would wait for each
+// other forever.
 func (f Follower) WithTrust(t Ticket) Follower {
 	if t == f.pauses {
 		f.confirmed = true
 	}
-	return f.settled()
+	return f.withFresh()
 }
 
-// settled makes f fresh once the confirmed target is in force.
-func (f Follower) settled() Follower {
+// withFresh returns f, marked as fresh if its confirmed target is in force.
+func (f Follower) withFresh() Follower {
 	if f.confirmed && f.inForce.Version > 0 && f.inForce == f.target {
 		f.fresh = true
 	}
 	return f
 }
 
-// Highest returns the newest of refs, the zero Ref if there is none.
+// Highest returns the newest of refs, or the zero Ref if there is none.
 func Highest(refs ...Ref) Ref {
-	var best Ref
+	var newest Ref
 	for _, r := range refs {
-		if r.Version > best.Version {
-			best = r
+		if r.Version > newest.Version {
+			newest = r
 		}
 	}
-	return best
+	return newest
 }
--- a/core/config/head/judge.go
+++ b/core/config/head/judge.go
@@ -2,33 +2,35 @@
 
 import "guavapaddle/core/row"
 
-// Verdict tells what became of a proposal.
+// Verdict is the outcome of a proposal.
 type Verdict string
 
 const (
 	// Won means that the proposal was accepted and is the newest.
 	Won Verdict = "won"
-	// Superseded means that the proposal was accepted and another came after.
+	// Superseded means that the proposal was accepted and a later one after it.
 	Superseded Verdict = "superseded"
-	// Lost means that another was accepted in its place; it never takes effect.
+	// Lost means that another proposal was accepted for the same version. This one
+	// never takes effect.
 	Lost Verdict = "lost"
-	// Pending means that the proposal has not taken effect and still may, if
-	// its transaction is on its way. Sending the transaction again settles it.
+	// Pending means that the proposal has not taken effect but still may if its
+	// transaction is in flight. Resending the transaction resolves this.
 	Pending Verdict = "pending"
-	// Forgotten means that the history no longer reaches back to the proposal.
+	// Forgotten means that the history row of the proposal's version was pruned,
+	// so the outcome can't be determined.
 	Forgotten Verdict = "forgotten"
 )
 
-// Judgement is a verdict with the head that decided it.
+// Judgement is a verdict and the head that it is based on.
 type Judgement struct {
 	Verdict Verdict
-	Rival   Head // accepted in its place if Lost; the newest if Superseded
+	Rival   Head // if Lost, the head accepted for the same version; otherwise the newest head
 }
 
-// Judge tells what became of the proposal mine from the head row and the
-// history row of its version, both read after the proposal was sent. The error
-// is a *MalformedError.
-func Judge(mine Head, headRow, historyRow row.Row) (Judgement, error) {
+// Judge determines the outcome of a proposal from the head row and the history
+// row of its version, which must both be read after the proposal was sent. The
+// error is a *MalformedError.
+func Judge(own Head, headRow, historyRow row.Row) (Judgement, error) {
 	newest, err := Parse(headRow)
 	if err != nil {
 		return Judgement{}, err
@@ -38,13 +40,13 @@
 		return Judgement{}, err
 	}
 	switch {
-	case newest.ApplyID == mine.ApplyID:
+	case newest.ApplyID == own.ApplyID:
 		return Judgement{Verdict: Won, Rival: newest}, nil
-	case historyRow.Revision != 0 && accepted.ApplyID == mine.ApplyID:
+	case historyRow.Revision != 0 && accepted.ApplyID == own.ApplyID:
 		return Judgement{Verdict: Superseded, Rival: newest}, nil
 	case historyRow.Revision != 0:
 		return Judgement{Verdict: Lost, Rival: accepted}, nil
-	case newest.Version < mine.Version:
+	case newest.Version < own.Version:
 		return Judgement{Verdict: Pending, Rival: newest}, nil
 	default:
 		return Judgement{Verdict: Forgotten, Rival: newest}, nil
--- a/core/config/index.go
+++ b/core/config/index.go
@@ -9,53 +9,54 @@
 )
 
 const (
-	// AnyName in a team's list allows all models and adapters.
+	// AnyName in a team's list of models allows all models and adapters.
 	AnyName = "*"
 	// AnyMethod in a call matches every method.
 	AnyMethod = "*"
-	// KeyHashPrefix begins each key hash of a document.
+	// KeyHashPrefix is the prefix of each key hash in a document.
 	KeyHashPrefix = "sha256:"
 )
 
 type (
-	// Index answers the questions of the request path about one version of the
-	// document. It is built once and never changes; it may be shared.
+	// Index provides the look-ups of the request path for one version of the
+	// document. It is immutable and safe for concurrent use.
 	Index struct {
 		doc       *Document
 		version   uint64
 		hash      string
 		keys      apikey.Index[Team]
-		teams     map[string]access
+		teams     map[string]teamAccess
 		items     map[string]backend.Item
 		kinds     map[string]Kind
-		services  []PlainService // longest path first
+		services  []PlainService // sorted by descending length of path
 		byService map[string]PlainService
 		servers   map[string]BackendServer
 	}
 
-	access struct {
-		all      bool // any model or adapter
-		names    map[string]bool
+	// teamAccess holds what a team may use.
+	teamAccess struct {
+		all      bool            // all models and adapters are allowed
+		names    map[string]bool // allowed models and adapters
 		services map[string]bool
 		kinds    map[string]bool
 	}
 )
 
 // NewIndex returns an index of doc, which was accepted as the given version.
-// doc must come from Parse and may not be changed afterwards.
+// doc must have been returned by Parse and must not be changed afterwards.
 func NewIndex(doc *Document, version uint64) *Index {
 	x := &Index{
 		doc:       doc,
 		version:   version,
 		hash:      doc.Hash(),
-		teams:     make(map[string]access, len(doc.Teams)),
+		teams:     make(map[string]teamAccess, len(doc.Teams)),
 		items:     make(map[string]backend.Item, len(doc.Models)+len(doc.Adapters)),
 		kinds:     make(map[string]Kind, len(doc.Kinds)),
 		byService: make(map[string]PlainService, len(doc.Services)),
 		servers:   make(map[string]BackendServer, len(doc.Servers)),
 	}
-	for _, c := range doc.Teams {
-		x.addTeam(c)
+	for _, t := range doc.Teams {
+		x.addTeam(t)
 	}
 	for _, m := range doc.Models {
 		x.items[m.Name] = m.Item()
@@ -77,21 +78,22 @@
 	return x
 }
 
-func (x *Index) addTeam(c Team) {
-	x.teams[c.Name] = access{
-		all:      slices.Contains(c.Models, AnyName),
-		names:    set(c.Models),
-		services: set(c.Services),
-		kinds:    set(c.Kinds),
+// addTeam adds a team's permissions and keys to the index.
+func (x *Index) addTeam(t Team) {
+	x.teams[t.Name] = teamAccess{
+		all:      slices.Contains(t.Models, AnyName),
+		names:    nameSet(t.Models),
+		services: nameSet(t.Services),
+		kinds:    nameSet(t.Kinds),
 	}
-	for _, h := range c.KeyHashes {
+	for _, h := range t.KeyHashes {
 		if d, ok := apikey.Parse(strings.TrimPrefix(h, KeyHashPrefix)); ok {
-			x.keys.Add(d, c)
+			x.keys.Add(d, t)
 		}
 	}
 }
 
-func set(names []string) map[string]bool {
+func nameSet(names []string) map[string]bool {
 	m := make(map[string]bool, len(names))
 	for _, n := range names {
 		m[n] = true
@@ -102,20 +104,20 @@
 // Version returns the version of the document.
 func (x *Index) Version() uint64 { return x.version }
 
-// Hash returns the hash of the document, as Document.Hash does.
+// Hash returns the document's hash, see Document.Hash.
 func (x *Index) Hash() string { return x.hash }
 
-// Document returns the document, which may not be changed.
+// Document returns the document, which must not be changed.
 func (x *Index) Document() *Document { return x.doc }
 
-// TeamByKey returns the team whose key is bearer. Digests are compared
+// TeamByKey returns the team with the API key bearer. Key digests are compared
 // in constant time.
 func (x *Index) TeamByKey(bearer string) (Team, bool) {
 	return x.keys.Find(apikey.Sum(bearer))
 }
 
-// Allowed tells whether the named team may call the named model or
-// adapter, which must be declared.
+// Allowed reports whether the named team may call the named model or adapter. It
+// returns false for a name that is not declared.
 func (x *Index) Allowed(team, name string) bool {
 	a, ok := x.teams[team]
 	if _, declared := x.items[name]; !ok || !declared {
@@ -124,20 +126,20 @@
 	return a.all || a.names[name]
 }
 
-// AllowedService tells whether the named team may call the named service.
+// AllowedService reports whether the named team may call the named service.
 func (x *Index) AllowedService(team, service string) bool {
 	return x.teams[team].services[service]
 }
 
-// AllowedKind tells whether the named team may ask for the named kind.
+// AllowedKind reports whether the named team may request the named kind.
 func (x *Index) AllowedKind(team, kind string) bool {
 	return x.teams[team].kinds[kind]
 }
 
-// Resolve returns the item that serves calls of a model's or adapter's name.
+// Resolve returns the item that serves calls of the named model or adapter.
 func (x *Index) Resolve(name string) (backend.Item, bool) {
-	i, ok := x.items[name]
-	return i, ok
+	item, ok := x.items[name]
+	return item, ok
 }
 
 // Kind returns the named kind of work.
@@ -146,8 +148,7 @@
 	return k, ok
 }
 
-// Service returns the plain service with the longest path that path begins
-// with.
+// Service returns the plain service whose path is the longest prefix of path.
 func (x *Index) Service(path string) (PlainService, bool) {
 	for _, s := range x.services {
 		if strings.HasPrefix(path, s.Path) {
@@ -157,26 +158,26 @@
 	return PlainService{}, false
 }
 
-// CallKind returns the kind of a call of the named service: that of the first
-// declared call that matches. path is the request's whole path. A declared
-// path matches itself and all below it: "confirm" matches "confirm" and
-// "confirm/7", not "confirmed".
+// CallKind returns the kind of a call of the named service, as given by the
+// first declared call that matches. path is the full path of the request. A
+// declared path matches itself and everything below it: "confirm" matches
+// "confirm" and "confirm/7", but not "confirmed".
 func (x *Index) CallKind(service, method, path string) (Kind, bool) {
 	s, ok := x.byService[service]
 	if !ok || !strings.HasPrefix(path, s.Path) {
 		return Kind{}, false
 	}
-	rest := path[len(s.Path):]
+	subpath := path[len(s.Path):]
 	for _, c := range s.Calls {
-		if (c.Method == AnyMethod || c.Method == method) && below(rest, c.Path) {
+		if (c.Method == AnyMethod || c.Method == method) && hasPathPrefix(subpath, c.Path) {
 			return x.Kind(c.Kind)
 		}
 	}
 	return Kind{}, false
 }
 
-// below tells whether path is prefix or lies below it.
-func below(path, prefix string) bool {
+// hasPathPrefix reports whether path equals prefix or is below it.
+func hasPathPrefix(path, prefix string) bool {
 	if prefix == "" || path == prefix {
 		return true
 	}
@@ -204,8 +205,8 @@
 	return items
 }
 
-// Limits returns the limits.
+// Limits returns the limits of the document.
 func (x *Index) Limits() Limits { return x.doc.Limits }
 
-// Placement returns how copies are placed.
+// Placement returns the placement parameters of the document.
 func (x *Index) Placement() Placement { return x.doc.Placement }
--- a/core/config/main_test.go
+++ b/core/config/main_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// seed is that of the property tests unless -rapid.seed gives another.
-const seed = "20261202"
+// defaultSeed seeds the property tests unless -rapid.seed is set.
+const defaultSeed = "20261202"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
-		_ = flag.Set("rapid.seed", seed)
+		_ = flag.Set("rapid.seed", defaultSeed)
 	}
 	os.Exit(m.Run())
 }
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -8,20 +8,21 @@
 	"unicode/utf8"
 )
 
-// MaxDocumentBytes bounds a document: 32 MiB, above thirty times what 1,200
-// models, 10,000 teams and 600 engines take.
+// MaxDocumentBytes is the maximum size of a document, 32 MiB. That is more than
+// thirty times the size of a document with 1,200 models, 10,000 teams and 600
+// engines.
 const MaxDocumentBytes = 32 << 20
 
-// Parse reads a document. It refuses text that is not one JSON object, names
-// that are not defined or come twice, values of the wrong type, and missing
-// values that have no default; it fills in the defaults. It doesn't check what
-// the values mean: see Validate. The error is an *InvalidError with every
+// Parse reads a document and fills in the defaults. It rejects text that is not
+// exactly one JSON object, unknown and duplicate names, values of the wrong
+// type, and missing values that have no default. It doesn't check the meaning
+// of the values; Validate does. The error is an *InvalidError that lists every
 // problem found.
 func Parse(b []byte) (*Document, error) {
 	if p, bad := checkSyntax(b); bad {
 		return nil, &InvalidError{Problems: []Problem{p}}
 	}
-	if problems := checkShape(b); len(problems) > 0 {
+	if problems := checkSchema(b); len(problems) > 0 {
 		return nil, &InvalidError{Problems: problems}
 	}
 	doc := Document{Limits: DefaultLimits(), Placement: DefaultPlacement()}
@@ -31,8 +32,8 @@
 	return &doc, nil
 }
 
-// Load reads a document as Parse does and refuses one in which Validate finds
-// problems.
+// Load parses a document and returns an *InvalidError if Parse or Validate finds
+// a problem.
 func Load(b []byte) (*Document, error) {
 	doc, err := Parse(b)
 	if err != nil {
@@ -44,7 +45,8 @@
 	return doc, nil
 }
 
-// checkSyntax returns a problem if b is not one JSON value in valid UTF-8.
+// checkSyntax reports a problem if b is too large or is not exactly one JSON
+// value in valid UTF-8.
 func checkSyntax(b []byte) (Problem, bool) {
 	if len(b) > MaxDocumentBytes {
 		return Problem{Path: rootPath, Code: DocumentTooLarge, Detail: fmt.Sprintf("%d bytes, at most %d are allowed", len(b), MaxDocumentBytes)}, true
@@ -65,10 +67,11 @@
 	return Problem{Path: rootPath, Code: Syntax, Detail: detail}, true
 }
 
-// position returns the line and column, from one, of the byte before offset.
+// position returns the line and column, both counted from one, of the byte
+// before offset.
 func position(b []byte, offset int64) (line, column int) {
-	before := b[:min(max(offset-1, 0), int64(len(b)))]
-	line = 1 + bytes.Count(before, []byte{'\n'})
-	column = len(before) - bytes.LastIndexByte(before, '\n')
+	prefix := b[:min(max(offset-1, 0), int64(len(b)))]
+	line = 1 + bytes.Count(prefix, []byte{'\n'})
+	column = len(prefix) - bytes.LastIndexByte(prefix, '\n')
 	return line, column
 }
--- a/core/config/scale_test.go
+++ b/core/config/scale_test.go
@@ -11,7 +11,7 @@
 	"guavapaddle/core/config"
 )
 
-// Sizes of two years from now.
+// Sizes of the deployment that is expected in two years.
 const (
 	scaleModels   = 1200
 	scaleAdapters = 4800
@@ -19,8 +19,8 @@
 	scaleTeams    = 2000
 )
 
-// large returns a document of the size of two years from now.
-func large() *config.Document {
+// largeDocument returns a document of the size that is expected in two years.
+func largeDocument() *config.Document {
 	d := &config.Document{Deployment: "large", Limits: config.DefaultLimits(), Placement: config.DefaultPlacement()}
 	d.Kinds = []config.Kind{{Name: "live", Urgency: config.Urgent, Value: 1, DeadlineMS: 1000, Repeatable: true}}
 	for i := range scaleModels {
@@ -46,7 +46,7 @@
 }
 
 func BenchmarkLargeDocument(b *testing.B) {
-	doc := large()
+	doc := largeDocument()
 	body := doc.Canonical()
 	b.Run("parse", func(b *testing.B) {
 		b.SetBytes(int64(len(body)))
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -1,8 +1,8 @@
 package config
 
-// Validate returns every problem with what the document says, or nil. The
-// capacity is computed only if the models, adapters and backend servers have
-// no other problem.
+// Validate returns all semantic problems of the document, or nil if there are
+// none. Capacity is checked only if the models, adapters and backend servers
+// have no other problem.
 func (d *Document) Validate() []Problem {
 	c := &checker{
 		doc:      d,
@@ -11,15 +11,15 @@
 		adapters: make(map[string]int, len(d.Adapters)),
 		services: make(map[string]int, len(d.Services)),
 	}
-	c.collect()
+	c.collectDeclarations()
 	c.name("deployment", d.Deployment)
 	c.checkKinds()
 	c.checkServices()
-	before := len(c.problems)
+	problemsBefore := len(c.problems)
 	c.checkModels()
 	c.checkAdapters()
 	c.checkServers()
-	if len(c.problems) == before {
+	if len(c.problems) == problemsBefore {
 		c.checkCapacity()
 	}
 	c.checkTeams()
@@ -28,8 +28,9 @@
 	return c.problems
 }
 
-// collect notes what is declared, for references.
-func (c *checker) collect() {
+// collectDeclarations indexes the declared names, so that references can be
+// checked, and counts the engines.
+func (c *checker) collectDeclarations() {
 	for _, k := range c.doc.Kinds {
 		c.kinds[k.Name] = true
 	}
@@ -55,7 +56,7 @@
 	}
 	seen := make(map[string]string)
 	for i, k := range c.doc.Kinds {
-		p := at("kinds", i)
+		p := elementPath("kinds", i)
 		c.name(p+".name", k.Name)
 		c.unique(seen, p+".name", k.Name, "name")
 		switch k.Urgency {
@@ -74,7 +75,7 @@
 	}
 	seen := make(map[string]string)
 	for i, m := range c.doc.Models {
-		p := at("models", i)
+		p := elementPath("models", i)
 		c.name(p+".name", m.Name)
 		c.unique(seen, p+".name", m.Name, "name")
 		c.name(p+".version", m.Version)
@@ -93,10 +94,10 @@
 func (c *checker) checkAdapters() {
 	seen := make(map[string]string)
 	for i, m := range c.doc.Models {
-		seen[m.Name] = at("models", i) + ".name"
+		seen[m.Name] = elementPath("models", i) + ".name"
 	}
 	for i, a := range c.doc.Adapters {
-		p := at("adapters", i)
+		p := elementPath("adapters", i)
 		c.name(p+".name", a.Name)
 		c.unique(seen, p+".name", a.Name, "name")
 		c.name(p+".version", a.Version)
--- a/core/config/validate_servers.go
+++ b/core/config/validate_servers.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// reservedPaths are paths that guavapaddle serves itself.
+// reservedPaths are the path prefixes that guavapaddle serves itself.
 var reservedPaths = []string{"/v1/", "/operator/", "/healthz/", "/readyz/", "/metrics/"}
 
-// methods are the methods that a call may name.
+// methods are the allowed methods of a call.
 var methods = []string{AnyMethod, "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"}
 
 func (c *checker) checkServices() {
 	names, paths := make(map[string]string), make(map[string]string)
 	for i, s := range c.doc.Services {
-		p := at("services", i)
+		p := elementPath("services", i)
 		c.name(p+".name", s.Name)
 		c.unique(names, p+".name", s.Name, "name")
 		c.checkServicePath(p+".path", s.Path)
 		c.unique(paths, p+".path", s.Path, "path")
 		c.checkCalls(p+".calls", s.Calls)
-		runs := func(b BackendServer) bool { return b.Type == Service && b.Service == s.Name }
-		if s.Name != "" && !slices.ContainsFunc(c.doc.Servers, runs) {
+		runsService := func(b BackendServer) bool { return b.Type == Service && b.Service == s.Name }
+		if s.Name != "" && !slices.ContainsFunc(c.doc.Servers, runsService) {
 			c.add(p, ServiceWithoutServers, "no backend server runs service %q", s.Name)
 		}
 	}
@@ -39,8 +39,9 @@
 	}
 }
 
-// isPlainPath tells whether p has no query, escapes, blanks, empty segments or
-// dot segments, so that a prefix says what it seems to say.
+// isPlainPath reports whether p has no query, escapes, blanks, empty segments
+// or dot segments, so that a prefix matches exactly the paths that it appears to
+// match.
 func isPlainPath(p string) bool {
 	if strings.Contains(p, "//") {
 		return false
@@ -63,7 +64,7 @@
 		c.add(path, Missing, "at least one call is required")
 	}
 	for i, call := range calls {
-		p := at(path, i)
+		p := elementPath(path, i)
 		if !slices.Contains(methods, call.Method) {
 			c.add(p+".method", BadMethod, "%q, allowed are %s", call.Method, strings.Join(methods, ", "))
 		}
@@ -72,8 +73,8 @@
 		}
 		c.reference(p+".kind", call.Kind, "kind", c.kinds[call.Kind])
 		for j, earlier := range calls[:i] {
-			if (earlier.Method == AnyMethod || earlier.Method == call.Method) && below(call.Path, earlier.Path) {
-				c.add(p, Unreachable, "%s matches the same calls before it", at(path, j))
+			if (earlier.Method == AnyMethod || earlier.Method == call.Method) && hasPathPrefix(call.Path, earlier.Path) {
+				c.add(p, Unreachable, "%s matches the same calls before it", elementPath(path, j))
 				break
 			}
 		}
@@ -83,7 +84,7 @@
 func (c *checker) checkServers() {
 	names, addresses := make(map[string]string), make(map[string]string)
 	for i, s := range c.doc.Servers {
-		p := at("backend-servers", i)
+		p := elementPath("backend-servers", i)
 		c.name(p+".name", s.Name)
 		c.unique(names, p+".name", s.Name, "name")
 		c.unique(addresses, p+".address", s.Address, "address")
--- a/core/config/validate_teams.go
+++ b/core/config/validate_teams.go
@@ -11,7 +11,7 @@
 	}
 	names, hashes := make(map[string]string), make(map[string]string)
 	for i, team := range c.doc.Teams {
-		p := at("teams", i)
+		p := elementPath("teams", i)
 		c.name(p+".name", team.Name)
 		c.unique(names, p+".name", team.Name, "name")
 		c.checkKeys(p+".key-hashes", team.KeyHashes, hashes)
@@ -27,21 +27,21 @@
 		c.add(path, Missing, "at least one key hash is required")
 	}
 	for i, h := range keys {
-		c.keyHash(at(path, i), h)
-		c.unique(seen, at(path, i), strings.ToLower(h), "key hash")
+		c.keyHash(elementPath(path, i), h)
+		c.unique(seen, elementPath(path, i), strings.ToLower(h), "key hash")
 	}
 }
 
 func (c *checker) checkTeamModels(path string, models []string) {
 	seen := make(map[string]string)
 	for i, name := range models {
-		c.unique(seen, at(path, i), name, "name")
+		c.unique(seen, elementPath(path, i), name, "name")
 		if name == AnyName {
 			continue
 		}
 		_, isModel := c.models[name]
 		_, isAdapter := c.adapters[name]
-		c.reference(at(path, i), name, "model or adapter", isModel || isAdapter)
+		c.reference(elementPath(path, i), name, "model or adapter", isModel || isAdapter)
 	}
 	if len(models) > 1 && slices.Contains(models, AnyName) {
 		c.add(path, Unreachable, "%q allows all, so the other names have no effect", AnyName)
@@ -54,8 +54,8 @@
 	}
 	seen := make(map[string]string)
 	for i, k := range team.Kinds {
-		c.unique(seen, at(path+".kinds", i), k, "name")
-		c.reference(at(path+".kinds", i), k, "kind", c.kinds[k])
+		c.unique(seen, elementPath(path+".kinds", i), k, "name")
+		c.reference(elementPath(path+".kinds", i), k, "kind", c.kinds[k])
 	}
 	c.reference(path+".default-kind", team.DefaultKind, "kind", c.kinds[team.DefaultKind])
 	if c.kinds[team.DefaultKind] && !slices.Contains(team.Kinds, team.DefaultKind) {
@@ -63,21 +63,21 @@
 	}
 }
 
-// checkTeamServices checks the services that a team may use: it must
-// be allowed the kind of at least one call of each.
+// checkTeamServices checks the services that a team may use. A service is
+// usable only if at least one of its calls has a kind that the team may use.
 func (c *checker) checkTeamServices(path string, team Team) {
 	seen := make(map[string]string)
 	for i, name := range team.Services {
-		c.unique(seen, at(path, i), name, "name")
+		c.unique(seen, elementPath(path, i), name, "name")
 		index, ok := c.services[name]
-		c.reference(at(path, i), name, "service", ok)
+		c.reference(elementPath(path, i), name, "service", ok)
 		if !ok {
 			continue
 		}
 		calls := c.doc.Services[index].Calls
 		allowed := func(call Call) bool { return slices.Contains(team.Kinds, call.Kind) }
 		if len(calls) > 0 && !slices.ContainsFunc(calls, allowed) {
-			c.add(at(path, i), KindNotAllowed, "no call of service %q has a kind that the team is allowed", name)
+			c.add(elementPath(path, i), KindNotAllowed, "no call of service %q has a kind that the team is allowed", name)
 		}
 	}
 }
