--- a/core/fleet/config.go
+++ b/core/fleet/config.go
@@ -6,72 +6,75 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind specifies whether the requests of a route may be repeated.
 type Kind string
 
 const (
 	// Safe requests may run more than once.
 	Safe Kind = "safe"
-	// Unsafe requests run at most once for each attempt of the client.
+	// Unsafe requests run at most once per attempt of the client.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered event by event and run at most once unless
-	// the route is resumable.
+	// Stream requests are answered by a stream of events and run at most once
+	// unless the route is resumable.
 	Stream Kind = "stream"
 )
 
 type (
-	// Split is a service with its part of a route's requests.
+	// Split is a service and its weight, which is relative to the weights of the
+	// route's other splits.
 	Split struct {
 		Service string
 		Weight  float64
 	}
 
-	// Route says where requests of a host and path go, and how they are treated.
+	// Route specifies where the requests for a host and path prefix are sent, and
+	// how they are handled.
 	Route struct {
 		Name        string
 		Host        string
-		Prefix      string // begins and ends with a slash
+		Prefix      string // starts and ends with a slash
 		Kind        Kind
-		Resumable   bool          // a stream may go on elsewhere after its last event
-		Timeout     time.Duration // longest time until the final answer, zero for none
-		Target      time.Duration // time to the answer, or to the first event, that earns full credit
-		Gap         time.Duration // longest pause between events that is on time
+		Resumable   bool          // a stream may continue on another server after its last event
+		Timeout     time.Duration // maximum time until the response is complete, zero for no limit
+		Target      time.Duration // target time to the response, or to the first event of a stream, for full credit
+		Gap         time.Duration // maximum interval between events of a stream that is on time
 		Priority    int           // 0 is the most urgent
-		MaxAttempts int           // most backend servers that may run one attempt
-		Public      bool          // needs no key
+		MaxAttempts int           // maximum number of backend servers that may run one attempt of the client
+		Public      bool          // requests need no API key
 		Splits      []Split       // at least one
 	}
 
-	// Model is what the operator declares of a model.
+	// Model is a model as declared by the operator.
 	Model struct {
 		Name      string
 		MB        float64
-		LoadTime  time.Duration // from the weight store
-		DiskTime  time.Duration // from the backend server's disk
-		WarmTime  time.Duration // from the backend server's host memory
-		Adapters  int           // they are named a1, a2, and so on
+		LoadTime  time.Duration // time to load from the weight store
+		DiskTime  time.Duration // time to load from the backend server's disk
+		WarmTime  time.Duration // time to load from the backend server's host memory
+		Adapters  int           // number of adapters, which are named a1, a2, and so on
 		AdapterMB float64
 	}
 
-	// Engine is what all model engines of a service have in common.
+	// Engine holds the properties that all model engines of a service share.
 	Engine struct {
 		Slots        int
 		KVTokens     int
-		WeightsMB    float64 // memory for weights and adapters of one engine
+		WeightsMB    float64 // memory of one engine for weights and adapters
 		AdapterSlots int
-		LoadsPerS    float64 // of the weight store, over all engines
+		LoadsPerS    float64 // loads per second from the weight store, for all engines together
 		Models       map[string]Model
 	}
 
-	// Service is a group of backend servers that do the same work.
+	// Service is a group of interchangeable backend servers.
 	Service struct {
 		Name       string
 		HealthPath string
-		MaxConns   int     // connections that one server accepts from all callers
+		MaxConns   int     // maximum number of connections that one server accepts in total
 		Engine     *Engine // nil for a plain service
 	}
 
-	// Limits bound what a client may send, and how slowly.
+	// Limits bounds the size of clients' requests and the time that clients may
+	// take to send them.
 	Limits struct {
 		HeaderBytes   int
 		BodyBytes     int64
@@ -79,10 +82,10 @@
 		IdleTimeout   time.Duration
 	}
 
-	// Config is one accepted configuration.
+	// Config is an accepted configuration.
 	Config struct {
 		version  int64
-		byHost   map[string][]Route // longest prefix first
+		byHost   map[string][]Route // sorted by descending length of prefix
 		services map[string]Service
 		limits   Limits
 		access   access
@@ -110,19 +113,19 @@
 	return c
 }
 
-// Version returns the operator's number of the configuration.
+// Version returns the version that the operator gave the configuration.
 func (c *Config) Version() int64 { return c.version }
 
-// Limits returns the bounds on clients.
+// Limits returns the limits on clients.
 func (c *Config) Limits() Limits { return c.limits }
 
-// Service returns a service by its name.
+// Service returns the named service.
 func (c *Config) Service(name string) (Service, bool) {
 	s, ok := c.services[name]
 	return s, ok
 }
 
-// Services returns the names of all services in order.
+// Services returns the names of all services in alphabetical order.
 func (c *Config) Services() []string {
 	names := make([]string, 0, len(c.services))
 	for n := range c.services {
@@ -132,10 +135,10 @@
 	return names
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path. The host may carry a port.
+// Match returns the host's route with the longest prefix of path. The host may
+// include a port.
 func (c *Config) Match(host, path string) (Route, bool) {
-	host, _, _ = strings.Cut(host, ":") // addresses are IPv4
+	host, _, _ = strings.Cut(host, ":") // a host is a name or an IPv4 address, so a colon starts the port
 	for _, r := range c.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
@@ -144,21 +147,23 @@
 	return Route{}, false
 }
 
-// Service picks a service of the route by its splits; at is uniform in [0, 1).
-func (r Route) Service(at float64) string {
+// Service selects a service of the route in proportion to the weights of its
+// splits; x is a random number, uniform in [0, 1).
+func (r Route) Service(x float64) string {
 	total := 0.0
 	for _, s := range r.Splits {
 		total += s.Weight
 	}
-	at *= total
+	x *= total
 	for _, s := range r.Splits {
-		if at < s.Weight {
+		if x < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		x -= s.Weight
 	}
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// Repeatable tells whether a request that may have run may run again elsewhere.
+// Repeatable reports whether a request that may already have run on one server
+// may be run again on another.
 func (r Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
--- a/core/fleet/config_test.go
+++ b/core/fleet/config_test.go
@@ -8,14 +8,14 @@
 	"guavapaddle/core/fleet"
 )
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchSelectsLongestPrefixOfHost(t *testing.T) {
 	route := func(name, host, prefix string) fleet.Route {
 		return fleet.Route{Name: name, Host: host, Prefix: prefix, Splits: []fleet.Split{{Service: "s", Weight: 1}}}
 	}
 	c := fleet.NewConfig(3, []fleet.Route{
 		route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/x/"),
 	}, nil, fleet.Limits{})
-	for _, x := range []struct{ host, path, want string }{
+	for _, tt := range []struct{ host, path, want string }{
 		{"a.example", "/x/1", "short"},
 		{"a.example", "/x/y/1", "long"},
 		{"A.Example:8080", "/x/y/", "long"},
@@ -24,13 +24,13 @@
 		{"a.example", "/z/", ""},
 		{"c.example", "/x/", ""},
 	} {
-		r, ok := c.Match(x.host, x.path)
-		require.Equal(t, x.want != "", ok, x)
-		require.Equal(t, x.want, r.Name, x)
+		r, ok := c.Match(tt.host, tt.path)
+		require.Equal(t, tt.want != "", ok, tt)
+		require.Equal(t, tt.want, r.Name, tt)
 	}
 }
 
-func TestSplitsShareRequestsByWeight(t *testing.T) {
+func TestServiceIsSelectedByWeight(t *testing.T) {
 	r := fleet.Route{Splits: []fleet.Split{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	require.Equal(t, "a", r.Service(0))
 	require.Equal(t, "a", r.Service(0.89))
@@ -38,7 +38,7 @@
 	require.Equal(t, "b", r.Service(0.999999))
 }
 
-func TestOnlySafeAndResumableRequestsMayRepeat(t *testing.T) {
+func TestOnlySafeAndResumableRequestsAreRepeatable(t *testing.T) {
 	require.True(t, fleet.Route{Kind: fleet.Safe}.Repeatable())
 	require.True(t, fleet.Route{Kind: fleet.Stream, Resumable: true}.Repeatable())
 	require.False(t, fleet.Route{Kind: fleet.Stream}.Repeatable())
--- a/core/fleet/doc.go
+++ b/core/fleet/doc.go
@@ -1,11 +1,10 @@
-// Package fleet holds what a node knows of the deployment that it serves: the
-// routes with what may be repeated on them, the services with the models that
-// their backend servers can hold, the bounds on callers, and the backend
-// servers that are there now.
+// Package fleet describes the deployment that a node serves: the routes and
+// whether their requests may be repeated, the services and the models that their
+// backend servers can hold, the teams with their keys and quotas, the limits on
+// clients, and the current backend servers.
 //
-// All values are immutable: a change is a new value. A Config indexes its
-// routes when it is made, so that Match costs a walk over the routes of one
-// host only.
+// All values are immutable; a change creates a new value. NewConfig indexes the
+// routes by host, so Match only searches the routes of one host.
 //
 // # Usage
 //
--- a/core/fleet/server.go
+++ b/core/fleet/server.go
@@ -3,32 +3,33 @@
 import "slices"
 
 type (
-	// Held is a model in the memory of a model engine, with its adapters.
+	// Held is a model in the memory of a model engine, with its loaded adapters.
 	Held struct {
 		Model    string
 		Version  int64
 		Adapters []string
 	}
 
-	// Server is one incarnation of a backend server, as it says of itself. It may
-	// start again under its id; Born tells the incarnations apart.
+	// Server is one incarnation of a backend server, as reported by the server
+	// itself. A server may restart under the same id; Born distinguishes the
+	// incarnations.
 	Server struct {
 		ID       string
-		Born     int64 // Unix time of its start in milliseconds, 0 if it doesn't tell
+		Born     int64 // start time in Unix milliseconds, 0 if the server doesn't report it
 		Service  string
-		Address  string // IP:port, used by others after the server has ended
+		Address  string // IP:port, which another server may use after this one has stopped
 		Zone     string // data centre
 		Slots    int
 		Leaving  bool
 		Held     []Held
-		OnDisk   []string // models that load without the weight store
-		InMemory []string // models that load from host memory, faster still
-		Version  int64    // of the entry: a higher one is newer
+		OnDisk   []string // models that can be loaded from disk, without the weight store
+		InMemory []string // models that can be loaded from host memory, which is faster than from disk
+		Version  int64    // version of this entry; a higher one is newer
 	}
 )
 
-// Holds tells whether the server has a model, and the adapter of it unless
-// that is empty.
+// Holds reports whether the server has the model in memory and, unless adapter is
+// empty, also that adapter of the model.
 func (s Server) Holds(model, adapter string) bool {
 	for _, h := range s.Held {
 		if h.Model == model {
--- a/core/fleet/team.go
+++ b/core/fleet/team.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	// UrgencyLeast is the last rank of urgency.
+	// UrgencyLeast is the rank of the least urgent requests.
 	UrgencyLeast = 9
-	// revokedMost bounds the revoked keys that a configuration remembers.
-	revokedMost = 4096
+	// maxRevokedKeys bounds the revoked keys that a configuration retains.
+	maxRevokedKeys = 4096
 )
 
 type (
-	// Quota bounds what a team may have served by all nodes together: a token
-	// bucket of so many units. A rate of zero is no bound.
+	// Quota is a token bucket that bounds the requests that all nodes together
+	// serve for a team. A rate of zero means that there is no limit.
 	Quota struct {
-		Rate  float64 // units a second
-		Burst float64 // units
-		// Tokens tells that the unit is a token; else it is a request.
+		Rate  float64 // units per second
+		Burst float64 // size of the bucket, in units
+		// Tokens specifies that the unit is a token of a model instead of a request.
 		Tokens bool
-		// Plain is the tokens of a request that doesn't say how many it has.
+		// Plain is the number of tokens charged for a request that doesn't specify
+		// its token count.
 		Plain int
 	}
 
-	// Team is a group of callers with keys of its own.
+	// Team is a group of callers with their own API keys.
 	Team struct {
 		Name string
-		// Priority goes before the routes' own, 0 is the most urgent; below zero the
-		// routes' own hold.
+		// Priority takes precedence over the priority of the routes. 0 is the most
+		// urgent; a negative value means that the routes' priorities apply.
 		Priority int
 		Quota    Quota
 	}
 
-	// access says who may call. The zero value lets everybody call.
+	// access determines who may call. The zero value lets everybody call.
 	access struct {
-		required bool
-		teams    []Team // in order of their names
-		keys     apikey.Index[*Team]
-		digests  map[apikey.Digest]bool
-		revoked  map[apikey.Digest]bool // keys that were taken away
-		ranks    []int64                // of pairs of priorities, in order
+		required   bool   // calls need a key, except on public routes
+		teams      []Team // sorted by name
+		keys       apikey.Index[*Team]
+		digests    map[apikey.Digest]bool
+		revoked    map[apikey.Digest]bool // keys that an earlier configuration allowed
+		priorities []int64                // priority keys of all pairs of a team and a route, sorted
 	}
 
-	// Member is a team with the digests of its keys.
+	// Member is a team and the digests of its keys.
 	Member struct {
 		Team
 		Keys []apikey.Digest
 	}
 )
 
-// Cost returns what a request takes of the quota, in its unit. counted tells
-// whether the request says how many tokens it has.
+// Cost returns the number of units that a request takes from the quota. counted
+// specifies whether the token counts of the request are known.
 func (q Quota) Cost(prompt, output int, counted bool) float64 {
 	switch {
 	case !q.Tokens:
@@ -66,7 +67,7 @@
 	}
 }
 
-// WithTeams returns a configuration in which only these teams may call routes
+// WithTeams returns a configuration in which only the given teams may call routes
 // that aren't public.
 func (c *Config) WithTeams(members []Member) *Config {
 	d := *c
@@ -80,18 +81,18 @@
 		}
 	}
 	slices.SortFunc(a.teams, func(x, y Team) int { return strings.Compare(x.Name, y.Name) })
-	a.ranks = c.pairs(a.teams)
+	a.priorities = c.priorityKeys(a.teams)
 	d.access = a
 	return &d
 }
 
-// WithRevokedSince returns a configuration that also remembers the keys that an
-// earlier one allowed, or remembers as revoked, and that this one doesn't allow.
+// WithRevokedSince returns a configuration that retains as revoked the keys that
+// old allowed or retained as revoked and that c doesn't allow.
 func (c *Config) WithRevokedSince(old *Config) *Config {
 	revoked := map[apikey.Digest]bool{}
-	for _, from := range []map[apikey.Digest]bool{old.access.digests, old.access.revoked} {
-		for k := range from {
-			if !c.access.digests[k] && len(revoked) < revokedMost {
+	for _, keys := range []map[apikey.Digest]bool{old.access.digests, old.access.revoked} {
+		for k := range keys {
+			if !c.access.digests[k] && len(revoked) < maxRevokedKeys {
 				revoked[k] = true
 			}
 		}
@@ -104,10 +105,10 @@
 	return &d
 }
 
-// KeysRequired tells whether calls need a key, but for public routes.
+// KeysRequired reports whether calls need a key, except on public routes.
 func (c *Config) KeysRequired() bool { return c.access.required }
 
-// Team returns the team that holds a key.
+// Team returns the team that a key belongs to.
 func (c *Config) Team(key apikey.Digest) (Team, bool) {
 	t, ok := c.access.keys.Find(key)
 	if !ok {
@@ -116,46 +117,49 @@
 	return *t, true
 }
 
-// Revoked tells whether an earlier configuration allowed the key.
+// Revoked reports whether an earlier configuration allowed the key and this one
+// doesn't. At most maxRevokedKeys keys are retained.
 func (c *Config) Revoked(key apikey.Digest) bool { return c.access.revoked[key] }
 
-// Teams returns all teams in the order of their names, which must not be changed.
+// Teams returns all teams sorted by name. The slice must not be changed.
 func (c *Config) Teams() []Team { return c.access.teams }
 
-// Urgency returns the rank of a team's request on a route, from 0 for the most
-// urgent to UrgencyLeast: by the team's priority, then by the route's. Without a
-// team it is the route's priority.
+// Urgency returns the rank of a team's requests on a route, from 0 for the most
+// urgent to UrgencyLeast. Requests are ranked by the team's priority and then by
+// the route's. Without a team, the rank is the route's priority.
 func (c *Config) Urgency(r Route, t Team) int {
 	if t.Name == "" {
 		return r.Priority
 	}
-	i, _ := slices.BinarySearch(c.access.ranks, pair(r, t))
-	return min(i, UrgencyLeast)
+	rank, _ := slices.BinarySearch(c.access.priorities, priorityKey(r, t))
+	return min(rank, UrgencyLeast)
 }
 
-// pairs returns the priorities of all pairs of a team and a route, in order.
-func (c *Config) pairs(teams []Team) []int64 {
+// priorityKeys returns the distinct priority keys of all pairs of a team and a
+// route, sorted.
+func (c *Config) priorityKeys(teams []Team) []int64 {
 	seen := map[int64]bool{}
 	for _, rs := range c.byHost {
 		for _, r := range rs {
 			for _, t := range teams {
-				seen[pair(r, t)] = true
+				seen[priorityKey(r, t)] = true
 			}
 		}
 	}
-	out := make([]int64, 0, len(seen))
-	for p := range seen {
-		out = append(out, p)
+	keys := make([]int64, 0, len(seen))
+	for k := range seen {
+		keys = append(keys, k)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
-// pair returns a number that orders by the team's priority and then the route's.
-func pair(r Route, t Team) int64 {
-	first := t.Priority
-	if first < 0 {
-		first = r.Priority
+// priorityKey returns a number that sorts by the team's priority and then by the
+// route's. A team without a priority of its own has the route's.
+func priorityKey(r Route, t Team) int64 {
+	teamPriority := t.Priority
+	if teamPriority < 0 {
+		teamPriority = r.Priority
 	}
-	return int64(first)<<32 + int64(min(max(r.Priority, 0), math.MaxInt32))
+	return int64(teamPriority)<<32 + int64(min(max(r.Priority, 0), math.MaxInt32))
 }
