--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -9,8 +9,8 @@
 	"guavapaddle/core/apikey"
 )
 
-func TestBearerReadsOneKeyOfTheScheme(t *testing.T) {
-	for _, x := range []struct {
+func TestBearer(t *testing.T) {
+	for _, tt := range []struct {
 		values  []string
 		key     string
 		problem apikey.Problem
@@ -31,34 +31,34 @@
 		{[]string{"Bearer k\x001"}, "", apikey.Malformed},
 		{[]string{"Bearer " + strings.Repeat("k", apikey.LongestKey+1)}, "", apikey.Malformed},
 	} {
-		key, err := apikey.Bearer(x.values)
-		require.Equal(t, x.key, key, x.values)
-		if x.problem == "" {
-			require.NoError(t, err, x.values)
+		key, err := apikey.Bearer(tt.values)
+		require.Equal(t, tt.key, key, tt.values)
+		if tt.problem == "" {
+			require.NoError(t, err, tt.values)
 			continue
 		}
-		var bad *apikey.CredentialsError
-		require.ErrorAs(t, err, &bad, x.values)
-		require.Equal(t, x.problem, bad.Problem, x.values)
+		var credErr *apikey.CredentialsError
+		require.ErrorAs(t, err, &credErr, tt.values)
+		require.Equal(t, tt.problem, credErr.Problem, tt.values)
 		require.NotContains(t, err.Error(), "k1")
 	}
 }
 
-func TestIndexFindsTheHolderOfADigest(t *testing.T) {
+func TestIndexFindsValueOfDigest(t *testing.T) {
 	var x apikey.Index[string]
 	_, ok := x.Find(apikey.Sum("k1"))
 	require.False(t, ok)
 	x.Add(apikey.Sum("k1"), "a")
 	x.Add(apikey.Sum("k2"), "b")
-	holder, ok := x.Find(apikey.Sum("k2"))
+	owner, ok := x.Find(apikey.Sum("k2"))
 	require.True(t, ok)
-	require.Equal(t, "b", holder)
+	require.Equal(t, "b", owner)
 	_, ok = x.Find(apikey.Sum("k3"))
 	require.False(t, ok)
 	require.Equal(t, 2, x.Len())
 }
 
-func TestDigestShowsAFewDigits(t *testing.T) {
+func TestDigestFormats(t *testing.T) {
 	d := apikey.Sum("k1")
 	require.Len(t, d.String(), 8)
 	parsed, ok := apikey.Parse(d.Hex())
--- a/core/apikey/digest.go
+++ b/core/apikey/digest.go
@@ -5,8 +5,8 @@
 	"encoding/hex"
 )
 
-// shownBytes is how much of a digest is printed.
-const shownBytes = 4
+// printedBytes is the number of bytes of a digest that String prints.
+const printedBytes = 4
 
 // Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
@@ -14,7 +14,7 @@
 // Sum returns the digest of a key.
 func Sum(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// Parse returns the digest that is written as 64 hexadecimal digits.
+// Parse parses a digest of 64 hexadecimal digits.
 func Parse(s string) (Digest, bool) {
 	raw, err := hex.DecodeString(s)
 	if err != nil || len(raw) != sha256.Size {
@@ -23,8 +23,8 @@
 	return Digest(raw), true
 }
 
-// Hex returns all 64 hexadecimal digits.
+// Hex returns the whole digest as 64 hexadecimal digits.
 func (d Digest) Hex() string { return hex.EncodeToString(d[:]) }
 
-// String returns the first digits, for logs.
-func (d Digest) String() string { return hex.EncodeToString(d[:shownBytes]) }
+// String returns the first 8 hexadecimal digits, for logs.
+func (d Digest) String() string { return hex.EncodeToString(d[:printedBytes]) }
--- a/core/apikey/doc.go
+++ b/core/apikey/doc.go
@@ -1,13 +1,13 @@
-// Package apikey finds out who holds an API key without keeping the key.
+// Package apikey identifies the owner of an API key without storing the key.
 //
-// A key is reduced to its SHA-256 digest when it is read, and only digests are
-// kept and compared. Index looks a digest up by a short prefix and compares the
-// candidates in constant time, so that the time of a look-up tells at most
+// Keys are replaced by their SHA-256 digests when they are read, and only digests
+// are stored and compared. Index looks up a digest by a short prefix and compares
+// the candidates in constant time, so the duration of a look-up reveals at most
 // whether a digest with that prefix exists.
 //
 // Bearer reads the key of a request from its Authorization fields (RFC 6750,
-// section 2.1). A Digest prints as a few hexadecimal digits, enough to find a
-// key in logs and too few to find the key.
+// section 2.1). A Digest prints as a few hexadecimal digits, which are enough to
+// identify a key in logs but too few to recover it.
 //
 // # Usage
 //
--- a/core/apikey/index.go
+++ b/core/apikey/index.go
@@ -2,12 +2,13 @@
 
 import "crypto/subtle"
 
-// bucketBytes is how much of a digest picks the candidates of a look-up.
+// bucketBytes is the length of the prefix of a digest that selects a bucket.
 const bucketBytes = 2
 
 type (
-	// Index maps digests of keys to their holders. The zero value is empty. It is
-	// safe for concurrent use once nothing is added any more.
+	// Index maps digests of keys to values, such as the owners of the keys. The
+	// zero value is an empty index. Look-ups are safe for concurrent use if they
+	// don't overlap with Add.
 	Index[T any] struct {
 		buckets map[[bucketBytes]byte][]entry[T]
 		size    int
@@ -15,29 +16,31 @@
 
 	entry[T any] struct {
 		digest Digest
-		holder T
+		value  T
 	}
 )
 
-// Add adds a key. If the digest is there already the later holder is found.
-func (x *Index[T]) Add(d Digest, holder T) {
+// Add adds a value for a digest. If a digest is added more than once, Find returns
+// the last value.
+func (x *Index[T]) Add(d Digest, value T) {
 	if x.buckets == nil {
 		x.buckets = map[[bucketBytes]byte][]entry[T]{}
 	}
 	b := [bucketBytes]byte(d[:bucketBytes])
-	x.buckets[b] = append(x.buckets[b], entry[T]{d, holder})
+	x.buckets[b] = append(x.buckets[b], entry[T]{d, value})
 	x.size++
 }
 
-// Find returns the holder of a key.
-func (x *Index[T]) Find(d Digest) (holder T, ok bool) {
+// Find returns the value of a digest. It compares all candidates, so that its
+// duration doesn't depend on which one matches.
+func (x *Index[T]) Find(d Digest) (value T, ok bool) {
 	for _, e := range x.buckets[[bucketBytes]byte(d[:bucketBytes])] {
 		if subtle.ConstantTimeCompare(e.digest[:], d[:]) == 1 {
-			holder, ok = e.holder, true
+			value, ok = e.value, true
 		}
 	}
-	return holder, ok
+	return value, ok
 }
 
-// Len returns the number of keys that were added.
+// Len returns the number of calls of Add.
 func (x *Index[T]) Len() int { return x.size }
