--- a/core/backend/backend.go
+++ b/core/backend/backend.go
@@ -1,29 +1,31 @@
-// Package backend describes what guavapaddle and a model engine tell each
-// other: items in accelerator memory, orders, generation requests and tokens.
+// Package backend defines the messages between guavapaddle and a model engine:
+// items in accelerator memory, orders, generation requests and tokens.
 //
-// The types are the wire format of docs/PROTOCOLS.md and carry no behaviour
-// that needs a socket or a clock.
+// The types are the wire format of docs/PROTOCOLS.md. They have no behaviour that
+// needs a socket or a clock.
 //
 // # Usage
 //
-// An Item is comparable and serves as a map key; String gives the form that
-// logs and rows use.
+// An Item is comparable and can be used as a map key. String returns the form
+// that is used in logs and rows.
 package backend
 
 import "strings"
 
-// ItemState tells where an item stands in an engine's memory.
+// ItemState is the state of an item in an engine's memory.
 type ItemState string
 
-// Op is what an order asks of an engine.
+// Op is the operation that an order requests from an engine.
 type Op string
 
 const (
-	// Loading means that the bytes are taken and the item can't serve yet.
+	// Loading means that the memory is allocated but the item can't serve
+	// requests yet.
 	Loading ItemState = "loading"
-	// Resident means that the item serves.
+	// Resident means that the item can serve requests.
 	Resident ItemState = "resident"
-	// Unloading means that the item no longer serves and holds its bytes.
+	// Unloading means that the item no longer serves requests but still occupies
+	// its memory.
 	Unloading ItemState = "unloading"
 )
 
@@ -34,11 +36,11 @@
 	Unload Op = "unload"
 )
 
-// Item is one version of a model or of an adapter.
+// Item identifies a version of a model or of an adapter.
 type Item struct {
 	Name    string `json:"name" cbor:"1,keyasint"`
 	Version string `json:"version" cbor:"2,keyasint"`
-	Base    string `json:"base,omitempty" cbor:"3,keyasint,omitempty"` // an adapter's model; empty for a model
+	Base    string `json:"base,omitempty" cbor:"3,keyasint,omitempty"` // name of the adapter's model; empty for a model
 }
 
 // String returns "name@version", or "base+name@version" for an adapter.
@@ -54,14 +56,14 @@
 	return b.String()
 }
 
-// ItemStatus is an item as an engine holds it.
+// ItemStatus is the state and size of an item in an engine's memory.
 type ItemStatus struct {
 	Item  Item      `json:"item"`
 	State ItemState `json:"state"`
 	Bytes int64     `json:"bytes"`
 }
 
-// Inventory is an engine's truth about itself at one moment.
+// Inventory is an engine's authoritative report of its memory at one moment.
 type Inventory struct {
 	Server      string       `json:"server"`
 	BootID      string       `json:"boot-id"` // new at every start of the engine
@@ -70,50 +72,50 @@
 	Items       []ItemStatus `json:"items"`
 }
 
-// LoadReport is an engine's report of its load, which lags.
+// LoadReport is an engine's report of its load. It lags behind the actual load.
 type LoadReport struct {
 	Running int     `json:"running"` // requests in the batch
 	Waiting int     `json:"waiting"` // requests not yet in the batch
-	StepMS  float64 `json:"step-ms"` // last step time in milliseconds
+	StepMS  float64 `json:"step-ms"` // duration of the last step in milliseconds
 }
 
-// State is what an engine answers when it is asked for its state.
+// State is an engine's reply to a request for its state.
 type State struct {
 	Inventory Inventory  `json:"inventory"`
 	Load      LoadReport `json:"load"`
 	Leaving   bool       `json:"leaving"`
 }
 
-// Order asks an engine to load or unload an item.
+// Order tells an engine to load or unload an item.
 type Order struct {
-	OrderID string `json:"order-id"` // the same id given twice takes effect once
-	Fence   uint64 `json:"fence"`    // refused if lower than the highest seen
+	OrderID string `json:"order-id"` // idempotency key: an id that is sent twice takes effect once
+	Fence   uint64 `json:"fence"`    // fencing number; rejected if lower than the highest seen
 	Op      Op     `json:"op"`
 	Item    Item   `json:"item"`
 	Bytes   int64  `json:"bytes"`
 }
 
-// Generate asks an engine for an answer.
+// Generate requests a generation from an engine.
 type Generate struct {
-	RequestID string `json:"request-id"` // unique; the answer echoes it
+	RequestID string `json:"request-id"` // unique; echoed in the events
 	Item      Item   `json:"item"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max-tokens"`
-	Priority  int    `json:"priority"` // higher goes first, may preempt lower
+	Priority  int    `json:"priority"` // a higher priority is scheduled first and may preempt a lower one
 }
 
-// Resume asks an engine for the rest of an answer.
+// Resume requests the remaining events of a generation from an engine.
 type Resume struct {
 	RequestID string `json:"request-id"`
-	Offset    int    `json:"offset"` // tokens that the asker already has
+	Offset    int    `json:"offset"` // number of tokens that the requester already has
 }
 
-// Event is one line of an answer's stream. Exactly one of Token and Finish is
-// set in a sound stream; a stream that ends without Finish was cut.
+// Event is one line of a generation's stream. In a valid stream, exactly one of
+// Token and Finish is set; a stream that ends without Finish was interrupted.
 type Event struct {
 	RequestID string `json:"request-id"`
-	Offset    int    `json:"offset"` // index of the token, from zero
+	Offset    int    `json:"offset"` // index of the token, counted from zero
 	Token     string `json:"token,omitempty"`
 	Finish    string `json:"finish,omitempty"` // "stop", "length" or "cancelled"
-	Item      Item   `json:"item"`             // what generated it
+	Item      Item   `json:"item"`             // item that generated the token
 }
