--- a/core/claim/ask_test.go
+++ b/core/claim/ask_test.go
@@ -11,7 +11,7 @@
 	"guavapaddle/core/row"
 )
 
-// stored returns the row of a claim at revision 7.
+// stored returns a row with the claim c at revision 7.
 func stored(c claim.Claim) row.Row {
 	return row.Row{Key: "k", Value: claim.Change{Claim: c}.Value(), Revision: 7}
 }
@@ -34,40 +34,40 @@
 
 func TestAsk(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	mine := claim.Claim{Team: "corella", BodyHash: "h", Attempt: "mine"}
+	own := claim.Claim{Team: "corella", BodyHash: "h", Attempt: "mine"}
 	other := claim.Claim{
 		State: claim.Claimed, Team: "corella", BodyHash: "h", Attempt: "other", Node: "n1", Incarnation: 3,
 		DeadlineMS: now.Add(5 * time.Second).UnixMilli(),
 	}
-	late := other
-	late.DeadlineMS = now.Add(-claim.ClockMargin).UnixMilli()
+	expired := other
+	expired.DeadlineMS = now.Add(-claim.ClockMargin).UnixMilli()
 	body := other
 	body.BodyHash = "h2"
 	lost := other
 	lost.State, lost.Reason = claim.Unknown, outcome.BackendLost
 	dead := func(node string, incarnation uint64) bool { return node == "n1" && incarnation == 3 }
 	for name, c := range map[string]struct {
-		standing claim.Claim
-		dead     claim.Dead
-		outcome  outcome.Outcome
-		reason   outcome.Reason
+		current claim.Claim
+		dead    claim.Dead
+		outcome outcome.Outcome
+		reason  outcome.Reason
 	}{
 		"young claim is in progress":       {other, nil, outcome.Unknown, outcome.InProgress},
-		"past deadline and margin unknown": {late, nil, outcome.Unknown, outcome.PeerLost},
+		"past deadline and margin unknown": {expired, nil, outcome.Unknown, outcome.PeerLost},
 		"dead node unknown at once":        {other, dead, outcome.Unknown, outcome.PeerLost},
 		"other body refused":               {body, nil, outcome.RefusedNotRun, outcome.KeyReused},
 		"lost answer tells its reason":     {lost, nil, outcome.Unknown, outcome.BackendLost},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v, err := claim.Ask(stored(c.standing), mine, now, c.dead)
+			v, err := claim.Ask(stored(c.current), own, now, c.dead)
 			require.NoError(t, err)
 			require.Equal(t, claim.Closed, v.Kind)
 			require.Equal(t, c.outcome, v.Err.Outcome)
 			require.Equal(t, c.reason, v.Err.Reason)
 		})
 	}
-	_, err := claim.Ask(row.Row{Key: "k", Value: []byte("{"), Revision: 1}, mine, now, nil)
-	require.ErrorAs(t, err, new(*claim.RowError), "a row that can't be read gives nobody leave to send")
+	_, err := claim.Ask(row.Row{Key: "k", Value: []byte("{"), Revision: 1}, own, now, nil)
+	require.ErrorAs(t, err, new(*claim.RowError), "a row that can't be decoded permits no send")
 }
 
 func TestSweepRemovesOldClaimsOnly(t *testing.T) {
--- a/core/claim/batch.go
+++ b/core/claim/batch.go
@@ -10,36 +10,39 @@
 )
 
 const (
-	// BatchPrefix begins the key of every batch row.
+	// BatchPrefix is the key prefix of batch rows.
 	BatchPrefix = "claim-batch/"
-	// CursorKey is the row that tells up to which minute old claims are gone.
+	// CursorKey is the key of the row that records up to which minute old
+	// claims have been removed.
 	CursorKey = "claim-cursor"
 )
 
 type (
-	// Batch lists the claims that one transaction inserted. One row a
-	// transaction, not one a claim, is what the removal of old claims costs;
-	// its key begins with the minute, so that a scan finds the old ones only.
+	// Batch lists the claims that one transaction inserted, so that they can be
+	// found and removed when they are old. This takes one additional row per
+	// transaction instead of one per claim. The key begins with the minute, so
+	// that a scan reads old batches only.
 	Batch struct {
 		Keys []string `json:"keys"`
 	}
 
 	// Cursor is the value of the cursor row.
 	Cursor struct {
-		Minute int64 `json:"minute"` // since 1970; batches of earlier minutes are gone
+		Minute int64 `json:"minute"` // since 1970; batches of earlier minutes have been removed
 	}
 )
 
-// Minute returns the minutes since 1970 at t.
+// Minute returns the number of whole minutes from 1970 to t.
 func Minute(t time.Time) int64 { return t.Unix() / 60 }
 
 // MinutePrefix returns the prefix of the batch rows of a minute.
 func MinutePrefix(minute int64) string { return fmt.Sprintf("%s%010d/", BatchPrefix, minute) }
 
-// BatchKey returns the key of a batch written in a minute. The id is unique.
+// BatchKey returns the key of a batch written in a minute. The id must be unique.
 func BatchKey(minute int64, id string) string { return MinutePrefix(minute) + id }
 
-// AddBatch returns tx with the batch row of the claims that its changes insert.
+// AddBatch returns tx with a batch row that lists the claims in changes that may
+// create a row: inserts, and releases, which can settle an insert.
 func AddBatch(tx row.Tx, minute int64, id string, changes []Change) row.Tx {
 	var b Batch
 	for _, c := range changes {
@@ -52,12 +55,12 @@
 	}
 	v, err := json.Marshal(b)
 	if err != nil {
-		panic(fmt.Sprintf("claim: marshal: %v", err)) // no value of the type fails
+		panic(fmt.Sprintf("claim: marshal batch: %v", err)) // every Batch can be encoded
 	}
 	return tx.Put(BatchKey(minute, id), v)
 }
 
-// Listed returns the claim keys that a batch row lists.
+// Listed returns the claim keys in a batch row.
 func Listed(r row.Row) ([]string, error) {
 	var b Batch
 	if err := json.Unmarshal(r.Value, &b); err != nil {
@@ -66,9 +69,9 @@
 	return b.Keys, nil
 }
 
-// Sweep returns the transaction that removes a batch row and those of its
-// claims that are older than retention, given as they are now. Claims that
-// were made again later stay: a later batch lists them.
+// Sweep returns the transaction that removes a batch row and those of its claims
+// that are older than retention. The claims are given as their current rows. A
+// claim that was inserted again later is kept: a later batch lists it.
 func Sweep(batch row.Row, claims []row.Row, now time.Time, retention time.Duration) row.Tx {
 	tx := row.Tx{}.When(batch.Key, batch.Revision).Delete(batch.Key)
 	for _, r := range claims {
@@ -84,13 +87,13 @@
 	return tx
 }
 
-// NextMinute returns the oldest minute whose batches are to be swept at now
-// given the cursor row, and false if none is due.
+// NextMinute returns the oldest minute whose batches have not been removed, and
+// reports whether they are old enough to be removed at now.
 func NextMinute(cursor row.Row, now time.Time, retention time.Duration) (int64, bool, error) {
 	due := Minute(now.Add(-retention)) - 1 // the whole minute is older than retention
 	var c Cursor
 	if cursor.Revision == 0 {
-		c.Minute = due // the first sweep of this table: nothing is older
+		c.Minute = due // no sweep has run on this table: no older batches exist
 	} else if err := json.Unmarshal(cursor.Value, &c); err != nil {
 		return 0, false, &RowError{Key: cursor.Key, Err: err}
 	}
@@ -101,7 +104,7 @@
 func Advance(cursor row.Row, minute int64) row.Tx {
 	v, err := json.Marshal(Cursor{Minute: minute + 1})
 	if err != nil {
-		panic(fmt.Sprintf("claim: marshal: %v", err)) // no value of the type fails
+		panic(fmt.Sprintf("claim: marshal cursor: %v", err)) // every Cursor can be encoded
 	}
 	return row.Tx{}.When(CursorKey, cursor.Revision).Put(CursorKey, v)
 }
--- a/core/claim/bench_test.go
+++ b/core/claim/bench_test.go
@@ -9,7 +9,7 @@
 	"guavapaddle/core/row"
 )
 
-// BenchmarkBatch builds and encodes the transaction of n claims.
+// BenchmarkBatch measures building and encoding a transaction of n claims.
 func BenchmarkBatch(b *testing.B) {
 	for _, n := range []int{1, 16, 64, 256} {
 		b.Run(fmt.Sprint("claims=", n), func(b *testing.B) {
--- a/core/claim/change.go
+++ b/core/claim/change.go
@@ -7,85 +7,87 @@
 	"guavapaddle/core/row"
 )
 
-// Fate is what became of a change.
+// Fate is the outcome of writing a change.
 type Fate string
 
 const (
-	// Took means that the change took effect.
+	// Took means that the change was committed.
 	Took Fate = "took"
-	// Open means that the change has not taken effect, but a copy of it that
-	// is still on its way may. It may be committed again.
+	// Open means that the change has not been committed, but a transaction that
+	// is still in transit may commit it. It is safe to send the change again.
 	Open Fate = "open"
-	// Lost means that the change did not take effect and never will.
+	// Lost means that the change was not committed and never will be.
 	Lost Fate = "lost"
 )
 
 // Change is one conditional write of a claim row.
 type Change struct {
 	Key      string
-	Revision uint64 // that the row must be at, zero for absent
-	Claim    Claim  // what the row is to hold
+	Revision uint64 // required revision of the row, zero for an absent row
+	Claim    Claim  // new value of the row
 }
 
-// Insert returns the change that claims a call over a row at revision, which is
-// zero for an absent row or that of a released one.
-func Insert(key string, mine Claim, revision uint64) Change {
-	mine.State = Claimed
-	return Change{Key: key, Revision: revision, Claim: mine}
+// Insert returns the change that claims a call. The revision is that of the
+// released row that the claim replaces, or zero if the row is absent.
+func Insert(key string, own Claim, revision uint64) Change {
+	own.State = Claimed
+	return Change{Key: key, Revision: revision, Claim: own}
 }
 
-// AddTo returns tx with c's condition and write.
+// AddTo returns tx with the condition and the write of c.
 func (c Change) AddTo(tx row.Tx) row.Tx {
 	return tx.When(c.Key, c.Revision).Put(c.Key, c.Value())
 }
 
-// Value returns the row value of c.
+// Value returns the encoded row value of c.
 func (c Change) Value() []byte {
 	v, err := json.Marshal(c.Claim)
 	if err != nil {
-		panic(fmt.Sprintf("claim: marshal: %v", err)) // no value of the type fails
+		panic(fmt.Sprintf("claim: marshal claim: %v", err)) // every Claim can be encoded
 	}
 	return v
 }
 
-// Held returns the claim that c's writer holds once c took effect at revision.
+// Held returns the claim that the writer of c holds after c was committed at
+// revision.
 func (c Change) Held(revision uint64) Held {
 	return Held{Key: c.Key, Revision: revision, Claim: c.Claim}
 }
 
-// Fate tells what became of c from the row as it is now. r may be a conflict of
-// a transaction that was refused or a row that was read back after an answer
-// was lost.
+// Fate returns the outcome of c, derived from the current row r: a conflict
+// reported by a transaction that was not committed, or a row that was read back
+// after the reply to a transaction was lost.
 func (c Change) Fate(r row.Row) (Fate, error) {
-	now, found, err := Decode(r)
+	current, found, err := Decode(r)
 	switch {
 	case err != nil:
 		return Lost, err
 	case r.Revision == c.Revision:
 		return Open, nil
 	case !found:
-		return Lost, nil // removed for its age
-	case now.Attempt == c.Claim.Attempt && now.State == c.Claim.State:
+		return Lost, nil // the row was removed after the retention time
+	case current.Attempt == c.Claim.Attempt && current.State == c.Claim.State:
 		return Took, nil
-	case now.Attempt != c.Claim.Attempt && c.Claim.State == Released && c.Revision != 0:
-		// A row held by this attempt passes to another only by a release, so
-		// the release took effect and somebody claimed the call since.
+	case current.Attempt != c.Claim.Attempt && c.Claim.State == Released && c.Revision != 0:
+		// Another attempt can replace a claim of this attempt only after a
+		// release, so the release was committed and the call was claimed again.
 		return Took, nil
 	}
 	return Lost, nil
 }
 
-// Settle returns the change that makes sure that the insert c of unknown fate,
-// given up and never sent, neither holds the row nor takes effect later. r is
-// the row as it is now. It returns false if nothing is left to do.
+// Settle returns the change that ends the abandoned insert c, whose outcome is
+// unknown and under which the call was never sent: once the change is committed,
+// c neither holds the row nor can be committed later. r is the current row.
+// Settle returns false if no change is needed.
 func Settle(c Change, r row.Row, nowMS int64) (Change, bool, error) {
-	now, _, err := Decode(r)
+	current, _, err := Decode(r)
 	if err != nil {
 		return Change{}, false, err
 	}
-	mine := now.Attempt == c.Claim.Attempt && now.State == Claimed
-	if r.Revision != c.Revision && !mine {
-		return Change{}, false, nil // the condition of c can't hold any more
+	owned := current.Attempt == c.Claim.Attempt && current.State == Claimed
+	if r.Revision != c.Revision && !owned {
+		return Change{}, false, nil // the condition of c can no longer hold
 	}
 	out := c.Claim
 	out.State = Released
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -12,32 +12,33 @@
 	"guavapaddle/core/row"
 )
 
-// State is where a claim stands.
+// State is the state of a claim.
 type State string
 
 const (
-	// Claimed means that the holder may send the call or has sent it.
+	// Claimed means that the holder may send the call or has already sent it.
 	Claimed State = "claimed"
-	// Done means that the call was answered and the answer is stored.
+	// Done means that the call was answered and its answer is stored.
 	Done State = "done"
-	// Unknown means that the call was sent and its answer was lost.
+	// Unknown means that the call was sent and its answer was lost, so that it
+	// may or may not have run.
 	Unknown State = "unknown"
-	// Released means that the call provably did not run: it may be claimed
-	// again over this row.
+	// Released means that the call provably did not run: a new claim may replace
+	// this row.
 	Released State = "released"
 )
 
 const (
-	// Prefix begins the key of every claim row.
+	// Prefix is the key prefix of claim rows.
 	Prefix = "claim/"
-	// DefaultRetention is how long a claim is kept: a call repeated later than
-	// this after its first claim runs again.
+	// DefaultRetention is how long a claim is kept. A call that is repeated
+	// later than this after its first claim runs again.
 	DefaultRetention = 24 * time.Hour
-	// DefaultInlineBytes is the largest body that is stored in the row itself.
-	// Larger ones go to the object store.
+	// DefaultInlineBytes is the size of the largest body that is stored in the
+	// row. Larger bodies are stored in the object store.
 	DefaultInlineBytes = 64 << 10
-	// ClockMargin is added to a claim's deadline before an asker is told that
-	// its fate is unknown, for clocks that differ between VMs.
+	// ClockMargin is the time after a claim's deadline before requesters get
+	// unknown. It allows for clock differences between VMs.
 	ClockMargin = 2 * time.Second
 
 	keyHexDigits = 40
@@ -49,7 +50,7 @@
 		State       State          `json:"state"`
 		Team        string         `json:"team"`
 		BodyHash    string         `json:"body-hash"` // see BodyHash
-		Attempt     string         `json:"attempt"`   // unique for each try of a node to send a call
+		Attempt     string         `json:"attempt"`   // unique for each attempt of a node to send a call
 		Node        string         `json:"node"`      // holder
 		Incarnation uint64         `json:"incarnation"`
 		RequestID   string         `json:"request-id"`
@@ -59,16 +60,16 @@
 		Answer      *Answer        `json:"answer,omitempty"` // for state done
 	}
 
-	// Answer is what a plain service answered.
+	// Answer is the response of a plain service.
 	Answer struct {
 		Status int                 `json:"status"`
 		Header map[string][]string `json:"header,omitempty"`
 		Body   []byte              `json:"body,omitempty"`
 		Object string              `json:"object,omitempty"` // key in the object store, if the body is there
-		Lost   bool                `json:"lost,omitempty"`   // the body could not be stored
+		Lost   bool                `json:"lost,omitempty"`   // storing the body failed
 	}
 
-	// Held is a claim that this node holds, as its row stands.
+	// Held is a claim that this node holds, with the revision of its row.
 	Held struct {
 		Key      string
 		Revision uint64
@@ -76,25 +77,25 @@
 	}
 )
 
-// Key returns the row key of a team's idempotency key. Two teams never
-// share a row.
+// Key returns the row key of an idempotency key of a team. Equal keys of
+// different teams have different rows.
 func Key(team, idempotencyKey string) string {
 	sum := sha256.Sum256([]byte(strconv.Itoa(len(team)) + ":" + team + idempotencyKey))
 	return Prefix + hex.EncodeToString(sum[:])[:keyHexDigits]
 }
 
-// BodyHash returns the hash that tells whether two calls with the same key are
-// the same call.
+// BodyHash returns a hash of the whole call. It distinguishes a repeated call
+// from a different call with the same key.
 func BodyHash(service, method, path string, body []byte) string {
 	h := sha256.New()
 	for _, s := range []string{service, method, path} {
-		_, _ = fmt.Fprintf(h, "%d:%s", len(s), s) // a hash does not fail
+		_, _ = fmt.Fprintf(h, "%d:%s", len(s), s) // writes to a hash never fail
 	}
 	_, _ = h.Write(body)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Decode returns the claim in r. It returns false if r is absent.
+// Decode returns the claim in r, and false if r is absent.
 func Decode(r row.Row) (Claim, bool, error) {
 	var c Claim
 	if r.Revision == 0 {
@@ -106,22 +107,24 @@
 	return c, true, nil
 }
 
-// Finish returns the change that stores the answer.
+// Finish returns the change that stores the answer a.
 func (h Held) Finish(a Answer) Change {
 	c := h.Claim
 	c.State, c.Answer = Done, &a
 	return Change{Key: h.Key, Revision: h.Revision, Claim: c}
 }
 
-// Lose returns the change that records that the answer was lost for reason r.
+// Lose returns the change that sets the state to Unknown because the answer was
+// lost for reason r.
 func (h Held) Lose(r outcome.Reason) Change {
 	c := h.Claim
 	c.State, c.Reason = Unknown, r
 	return Change{Key: h.Key, Revision: h.Revision, Claim: c}
 }
 
-// Release returns the change that lets the call be claimed again. It may only
-// be committed if the call provably did not run and will not be sent under h.
+// Release returns the change that allows the call to be claimed again. It may
+// be committed only if the call provably did not run and will not be sent
+// under h.
 func (h Held) Release() Change {
 	c := h.Claim
 	c.State = Released
--- a/core/claim/doc.go
+++ b/core/claim/doc.go
@@ -1,8 +1,8 @@
-// Package claim decides who may send a call that must run at most once, and
-// what everyone else who asks for the same call is told.
+// Package claim decides which node may send a call that must run at most once,
+// and what other requesters of the same call receive.
 //
-// A claim is one row of the table for each pair of team and idempotency
-// key. Its states:
+// A claim is a row of the table, one for each pair of team and idempotency key.
+// Its states are:
 //
 //	absent ──insert──▶ claimed ──▶ done      (the answer is stored)
 //	                    │  ├─────▶ unknown   (sent, the answer was lost)
@@ -10,34 +10,40 @@
 //	                    ▲                │
 //	                    └──insert────────┘
 //
-// Every arrow is one conditional write. Two rules carry the proof:
+// Each transition is one conditional write. At-most-once execution follows from
+// two rules:
 //
-//   - A row that is claimed is changed only by the holder of its attempt id.
-//     So a holder whose write has an unknown fate can write it again: either
-//     write takes effect and the other then fails its condition.
-//   - A release is a write, never a deletion. So an insert that arrives late
-//     finds a row where its condition demands none and has no effect.
+//   - A claimed row is changed only by the holder of its attempt id. A holder
+//     that does not know the outcome of a write can therefore repeat it: one of
+//     the two writes is committed and the condition of the other fails.
+//   - A release is a write, never a deletion. An insert that arrives late
+//     therefore finds a row although its condition requires that there is none,
+//     and is not committed.
 //
-// The holder sends the call after its insert is known to have taken effect, and
-// never again once a send may have run. The clock decides only what an asker is
-// told (in-progress or unknown), never whether a call may be sent.
+// The holder sends the call after its insert is known to be committed, and does
+// not send it again once an earlier send may have run. The clock only decides
+// whether a requester gets in-progress or unknown, never whether a call may be
+// sent.
 //
 // # Usage
 //
-// A node that wants to send makes a Claim with a new attempt id and commits
-// Insert(mine, 0). When the fate of the write is not known, the row is read and
-// Change.Fate tells it. On Lost, Ask judges the row that stands in the way:
-//
-//	c := claim.Insert(mine, 0)
-//	switch v := claim.Ask(standing, mine, now, dead); v.Kind {
-//	case claim.Free:   // commit claim.Insert(mine, v.Revision)
-//	case claim.Stored: // give v.Answer
-//	case claim.Closed: // tell v.Err
+// A node that wants to send a call creates a Claim with a new attempt id and
+// commits the change returned by Insert. If the outcome of the write is not
+// known, the node reads the row and calls Change.Fate. If the change is Lost,
+// Ask evaluates the row that was found instead:
+//
+//	c := claim.Insert(key, own, 0)
+//	v, err := claim.Ask(current, own, now, dead)
+//	switch v.Kind {
+//	case claim.Free:   // commit claim.Insert(key, own, v.Revision)
+//	case claim.Stored: // return v.Answer
+//	case claim.Closed: // return v.Err
 //	}
 //
-// The holder ends with Held.Finish, Held.Lose or Held.Release. A node that gives
-// up on an insert of unknown fate has not sent, tells its caller not run, and
-// commits what Settle returns when the table is back.
+// The holder ends its claim with Held.Finish, Held.Lose or Held.Release. A node
+// that gives up on an insert whose outcome is unknown has not sent the call. It
+// reports to its caller that the call did not run, and commits the change
+// returned by Settle when the table is available again.
 //
 // Batches make the removal of old claims cheap: see Batch and Sweep.
 package claim
--- a/core/claim/errors.go
+++ b/core/claim/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// RowError means that a row's value can't be understood. Nothing may be sent
-// on the strength of such a row.
+// RowError is returned for a row whose value can't be decoded. No call may be
+// sent on the basis of such a row.
 type RowError struct {
 	Key string
 	Err error
 }
 
-// Error returns key and cause.
+// Error returns the key of the row and the cause.
 func (e *RowError) Error() string { return fmt.Sprintf("claim: row %s: %v", e.Key, e.Err) }
 
 // Unwrap returns the cause.
--- a/core/claim/invariant_test.go
+++ b/core/claim/invariant_test.go
@@ -14,14 +14,14 @@
 	"guavapaddle/core/row"
 )
 
-// phase is where a try stands.
+// phase is the state of an attempt.
 type phase int
 
 const (
-	inserting phase = iota // its insert is on its way or of unknown fate
-	held                   // it may send
-	closing                // it has ended and its last change must take effect
-	over
+	inserting phase = iota // its insert is in transit or its outcome is unknown
+	held                   // it holds the claim and may send the call
+	finishing              // it has ended and its last change must be committed
+	finished
 )
 
 const (
@@ -30,46 +30,46 @@
 )
 
 type (
-	// table is the platform's table: it serializes.
+	// table models the platform's table, which serializes transactions.
 	table struct {
 		rows map[string]row.Row
 		last uint64
 	}
 
-	// try is one call of one caller through one node.
-	try struct {
+	// attempt is one call by one caller through one node.
+	attempt struct {
 		id, node  int
 		team      string
 		key, body string
 		phase     phase
-		mine      claim.Claim
-		change    claim.Change // of phase inserting or closing
-		settle    bool         // change settles insert
+		own       claim.Claim
+		change    claim.Change // to be committed, in phase inserting or finishing
+		settle    bool         // change settles the abandoned insert
 		insert    claim.Change
 		ran       bool
-		told      *outcome.Error
+		failure   *outcome.Error
 		stored    string
-		died      bool // with its node; its caller is told nothing
+		died      bool // together with its node; the caller gets no reply
 	}
 
-	// copy is one transaction on its way; it arrives once, at any time.
-	copyOf struct {
-		t *try
+	// delayedWrite is a transaction in transit. It arrives once, at any time.
+	delayedWrite struct {
+		t *attempt
 		c claim.Change
 	}
 
-	// world is all nodes, callers, the table and the service.
-	world struct {
-		now    time.Time
-		table  table
-		tries  []*try
-		flying []copyOf
-		runs   map[string][]*try // by row key
+	// simulation models all nodes and callers, the table and the service.
+	simulation struct {
+		now      time.Time
+		table    table
+		attempts []*attempt
+		inFlight []delayedWrite
+		runs     map[string][]*attempt // by row key
 	}
 )
 
 // apply commits a change if its condition holds.
-func (w *world) apply(c claim.Change) (row.Result, row.Row) {
+func (w *simulation) apply(c claim.Change) (row.Result, row.Row) {
 	if w.table.rows[c.Key].Revision != c.Revision {
 		return row.Result{}, w.read(c.Key)
 	}
@@ -79,143 +79,144 @@
 }
 
 // read returns a row.
-func (w *world) read(key string) row.Row {
+func (w *simulation) read(key string) row.Row {
 	r := w.table.rows[key]
 	r.Key = key
 	return r
 }
 
-// start begins a try.
-func (w *world) start(node int, team, key, body string) *try {
-	t := &try{id: len(w.tries), node: node, team: team, key: key, body: body}
-	t.mine = claim.Claim{
+// start creates an attempt.
+func (w *simulation) start(node int, team, key, body string) *attempt {
+	t := &attempt{id: len(w.attempts), node: node, team: team, key: key, body: body}
+	t.own = claim.Claim{
 		Team: team, BodyHash: claim.BodyHash("s", "POST", "/p", []byte(body)),
 		Attempt: fmt.Sprint("a", t.id), Node: fmt.Sprint("n", node),
 		AtMS: w.now.UnixMilli(), DeadlineMS: w.now.Add(deadline).UnixMilli(),
 	}
-	t.change = claim.Insert(claim.Key(team, key), t.mine, 0)
-	w.tries = append(w.tries, t)
+	t.change = claim.Insert(claim.Key(team, key), t.own, 0)
+	w.attempts = append(w.attempts, t)
 	return t
 }
 
-// write commits t's change, and tells t of it unless the answer is lost or the
-// change stays on its way.
-func (w *world) write(rt *rapid.T, t *try, fate string) {
-	switch fate {
+// write commits t's change and delivers the result to t, unless the reply is lost
+// or the change remains in transit.
+func (w *simulation) write(rt *rapid.T, t *attempt, result string) {
+	switch result {
 	case "flies":
-		w.flying = append(w.flying, copyOf{t, t.change})
+		w.inFlight = append(w.inFlight, delayedWrite{t, t.change})
 	case "answer lost":
 		w.apply(t.change)
 	default:
 		res, standing := w.apply(t.change)
 		if res.Committed {
-			w.took(t, res.Revision)
+			w.committed(t, res.Revision)
 			return
 		}
-		w.judge(rt, t, standing)
+		w.resolve(rt, t, standing)
 	}
 }
 
-// judge lets t learn from a row what became of its change.
-func (w *world) judge(rt *rapid.T, t *try, r row.Row) {
-	fate, err := t.change.Fate(r)
+// resolve updates t with the outcome of its change as derived from a row.
+func (w *simulation) resolve(rt *rapid.T, t *attempt, r row.Row) {
+	result, err := t.change.Fate(r)
 	require.NoError(rt, err)
 	switch {
-	case fate == claim.Took:
-		w.took(t, r.Revision)
-	case fate == claim.Open: // stays, to be written again
+	case result == claim.Took:
+		w.committed(t, r.Revision)
+	case result == claim.Open: // the change will be written again
 	case t.settle:
 		w.settle(rt, t)
-	case t.phase == closing:
-		rt.Fatalf("try %d lost the row that it held: %s", t.id, r.Value)
+	case t.phase == finishing:
+		rt.Fatalf("attempt %d lost the row that it held: %s", t.id, r.Value)
 	default:
-		w.ask(rt, t, r)
+		w.evaluate(rt, t, r)
 	}
 }
 
-// took lets t go on after its change took effect.
-func (w *world) took(t *try, revision uint64) {
-	if t.phase == closing {
-		t.phase = over
+// committed advances t after its change was committed.
+func (w *simulation) committed(t *attempt, revision uint64) {
+	if t.phase == finishing {
+		t.phase = finished
 		return
 	}
 	t.phase = held
-	t.mine = t.change.Claim
-	t.change = t.change.Held(revision).Release() // replaced when it ends otherwise
+	t.own = t.change.Claim
+	t.change = t.change.Held(revision).Release() // send replaces it by the change for the actual ending
 }
 
-// ask tells t's caller what stands in the way, or claims over it.
-func (w *world) ask(rt *rapid.T, t *try, r row.Row) {
-	v, err := claim.Ask(r, t.mine, w.now, nil)
+// evaluate replaces the row r if that is allowed, or else ends t with the stored
+// answer or the error for its caller.
+func (w *simulation) evaluate(rt *rapid.T, t *attempt, r row.Row) {
+	v, err := claim.Ask(r, t.own, w.now, nil)
 	require.NoError(rt, err)
 	switch v.Kind {
 	case claim.Free:
-		t.mine.Attempt += "+"
-		t.change = claim.Insert(t.change.Key, t.mine, v.Revision)
+		t.own.Attempt += "+"
+		t.change = claim.Insert(t.change.Key, t.own, v.Revision)
 		return
 	case claim.Stored:
 		t.stored = string(v.Answer.Body)
 	default:
-		t.told = v.Err
+		t.failure = v.Err
 	}
-	t.phase = over
+	t.phase = finished
 }
 
-// settle makes t's given-up insert harmless.
-func (w *world) settle(rt *rapid.T, t *try) {
+// settle prepares the change that settles t's abandoned insert.
+func (w *simulation) settle(rt *rapid.T, t *attempt) {
 	c, needed, err := claim.Settle(t.insert, w.read(t.insert.Key), w.now.UnixMilli())
 	require.NoError(rt, err)
 	t.change = c
 	if !needed {
-		t.phase = over
+		t.phase = finished
 	}
 }
 
-// send sends t's call, once.
-func (w *world) send(t *try, how string) {
-	h := claim.Held{Key: t.change.Key, Revision: t.change.Revision, Claim: t.mine}
-	t.phase = closing
-	if how != "not sent" && how != "lost before it ran" {
+// send sends t's call once and ends it as given.
+func (w *simulation) send(t *attempt, ending string) {
+	h := claim.Held{Key: t.change.Key, Revision: t.change.Revision, Claim: t.own}
+	t.phase = finishing
+	if ending != "not sent" && ending != "lost before it ran" {
 		t.ran = true
 		w.runs[h.Key] = append(w.runs[h.Key], t)
 	}
-	switch how {
+	switch ending {
 	case "answered":
 		t.stored = answer(t.body)
 		t.change = h.Finish(claim.Answer{Status: 200, Body: []byte(t.stored)})
 	case "not sent":
-		t.told = outcome.Refuse(outcome.BackendUnreachable, "", 0)
+		t.failure = outcome.Refuse(outcome.BackendUnreachable, "", 0)
 		t.change = h.Release()
 	default:
-		t.told = outcome.Unsure(outcome.BackendLost, "")
+		t.failure = outcome.Unsure(outcome.BackendLost, "")
 		t.change = h.Lose(outcome.BackendLost)
 	}
 }
 
-// answer is what the service answers.
+// answer returns the service's answer to a call with the given body.
 func answer(body string) string { return "answer to " + body }
 
-// pick draws a try that f holds for.
-func (w *world) pick(rt *rapid.T, f func(*try) bool) *try {
-	var some []*try
-	for _, t := range w.tries {
+// drawAttempt draws a live attempt for which f returns true.
+func (w *simulation) drawAttempt(rt *rapid.T, f func(*attempt) bool) *attempt {
+	var some []*attempt
+	for _, t := range w.attempts {
 		if !t.died && f(t) {
 			some = append(some, t)
 		}
 	}
 	if len(some) == 0 {
-		rt.Skip("no such try")
+		rt.Skip("no such attempt")
 	}
 	return rapid.SampledFrom(some).Draw(rt, "try")
 }
 
-// writing tells whether t has a change to commit.
-func writing(t *try) bool { return t.phase == inserting || t.phase == closing }
+// hasPendingWrite reports whether t has a change to commit.
+func hasPendingWrite(t *attempt) bool { return t.phase == inserting || t.phase == finishing }
 
-// steps are what may happen, in any order. The usual steps are there more than
-// once, so that most calls get somewhere before a fault.
-func (w *world) steps() map[string]func(*rapid.T) {
-	all := w.each()
+// steps returns the possible actions with the frequent ones repeated, so that
+// most calls make progress before a fault.
+func (w *simulation) steps() map[string]func(*rapid.T) {
+	all := w.actions()
 	for _, usual := range []string{"write", "send"} {
 		for i := range 3 {
 			all[fmt.Sprint(usual, i)] = all[usual]
@@ -224,8 +225,8 @@
 	return all
 }
 
-// each returns every step once.
-func (w *world) each() map[string]func(*rapid.T) {
+// actions returns each possible action once.
+func (w *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"call": func(rt *rapid.T) {
 			w.start(rapid.IntRange(0, nodes-1).Draw(rt, "node"),
@@ -235,34 +236,34 @@
 		},
 		"write": func(rt *rapid.T) {
 			fate := rapid.SampledFrom([]string{"answered", "answered", "answered", "answer lost", "flies"}).Draw(rt, "fate")
-			w.write(rt, w.pick(rt, writing), fate)
+			w.write(rt, w.drawAttempt(rt, hasPendingWrite), fate)
 		},
 		"arrive": func(rt *rapid.T) {
-			if len(w.flying) == 0 {
-				rt.Skip("nothing on its way")
+			if len(w.inFlight) == 0 {
+				rt.Skip("nothing in transit")
 			}
-			i := rapid.IntRange(0, len(w.flying)-1).Draw(rt, "copy")
-			w.apply(w.flying[i].c)
-			w.flying = slices.Delete(w.flying, i, i+1)
+			i := rapid.IntRange(0, len(w.inFlight)-1).Draw(rt, "copy")
+			w.apply(w.inFlight[i].c)
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
 		},
 		"read back": func(rt *rapid.T) {
-			t := w.pick(rt, writing)
-			w.judge(rt, t, w.read(t.change.Key))
+			t := w.drawAttempt(rt, hasPendingWrite)
+			w.resolve(rt, t, w.read(t.change.Key))
 		},
 		"give up": func(rt *rapid.T) {
-			t := w.pick(rt, func(t *try) bool { return t.phase == inserting })
-			t.told = outcome.Refuse(outcome.TableDown, "", 0)
-			t.phase, t.settle, t.insert = closing, true, t.change
+			t := w.drawAttempt(rt, func(t *attempt) bool { return t.phase == inserting })
+			t.failure = outcome.Refuse(outcome.TableDown, "", 0)
+			t.phase, t.settle, t.insert = finishing, true, t.change
 			w.settle(rt, t)
 		},
 		"send": func(rt *rapid.T) {
 			how := rapid.SampledFrom([]string{"answered", "not sent", "lost after it ran", "lost before it ran"}).Draw(rt, "how")
-			w.send(w.pick(rt, func(t *try) bool { return t.phase == held }), how)
+			w.send(w.drawAttempt(rt, func(t *attempt) bool { return t.phase == held }), how)
 		},
 		"node dies": func(rt *rapid.T) {
 			n := rapid.IntRange(0, 8*nodes).Draw(rt, "node")
-			for _, t := range w.tries {
-				t.died = t.died || (t.node == n && t.phase != over)
+			for _, t := range w.attempts {
+				t.died = t.died || (t.node == n && t.phase != finished)
 			}
 		},
 		"wait": func(_ *rapid.T) { w.now = w.now.Add(deadline / 2) },
@@ -270,50 +271,50 @@
 	}
 }
 
-// check holds after every step.
-func (w *world) check(rt *rapid.T) {
+// check checks the invariants; it runs after every step.
+func (w *simulation) check(rt *rapid.T) {
 	for key, runs := range w.runs {
 		if len(runs) > 1 {
 			rt.Fatalf("%s ran %d times", key, len(runs))
 		}
 	}
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		switch {
-		case t.told != nil && t.told.Outcome == outcome.RefusedNotRun && t.ran:
-			rt.Fatalf("try %d was refused as not run (%s) and ran", t.id, t.told.Reason)
-		case t.told == nil && t.stored != "" && t.stored != answer(t.body):
-			rt.Fatalf("try %d asked for %q and got %q", t.id, t.body, t.stored)
-		case t.told == nil && t.stored != "" && !w.ran(t):
-			rt.Fatalf("try %d got an answer of a call that never ran", t.id)
+		case t.failure != nil && t.failure.Outcome == outcome.RefusedNotRun && t.ran:
+			rt.Fatalf("attempt %d was refused as not run (%s) but ran", t.id, t.failure.Reason)
+		case t.failure == nil && t.stored != "" && t.stored != answer(t.body):
+			rt.Fatalf("attempt %d sent %q and got %q", t.id, t.body, t.stored)
+		case t.failure == nil && t.stored != "" && !w.ran(t):
+			rt.Fatalf("attempt %d got the answer of a call that never ran", t.id)
 		}
 	}
 }
 
-// ran tells whether t's team's call ran.
-func (w *world) ran(t *try) bool {
+// ran reports whether the call of t ran for t's team.
+func (w *simulation) ran(t *attempt) bool {
 	runs := w.runs[claim.Key(t.team, t.key)]
 	return len(runs) == 1 && runs[0].team == t.team
 }
 
-// newWorld returns a world in which nothing has happened.
-func newWorld() *world {
-	return &world{
+// newSimulation returns a simulation without attempts and with an empty table.
+func newSimulation() *simulation {
+	return &simulation{
 		now:   time.UnixMilli(1_800_000_000_000),
 		table: table{rows: map[string]row.Row{}},
-		runs:  map[string][]*try{},
+		runs:  map[string][]*attempt{},
 	}
 }
 
-// heal lets everything that is on its way arrive and every live node end what
-// it has begun, without faults.
-func (w *world) heal(rt *rapid.T) {
-	for _, f := range w.flying {
+// drain delivers all writes in transit and lets every live node finish its
+// attempts without faults.
+func (w *simulation) drain(rt *rapid.T) {
+	for _, f := range w.inFlight {
 		w.apply(f.c)
 	}
-	w.flying = nil
-	for _, t := range w.tries {
+	w.inFlight = nil
+	for _, t := range w.attempts {
 		for range 10 {
-			if t.died || !writing(t) {
+			if t.died || !hasPendingWrite(t) {
 				break
 			}
 			w.write(rt, t, "answered")
@@ -326,33 +327,33 @@
 	w.check(rt)
 }
 
-// TestInvariantAtMostOnceAcrossNodes: whatever is lost, late, doubled or dies,
-// a call runs at most once under its key and nobody gets an answer that is not
-// the whole one to his own call.
+// TestInvariantAtMostOnceAcrossNodes checks that a call runs at most once under
+// its key and that no caller gets another call's answer or an incomplete one,
+// although writes are lost, delayed or repeated and nodes fail.
 func TestInvariantAtMostOnceAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld()
+		w := newSimulation()
 		rt.Repeat(w.steps())
-		w.heal(rt)
+		w.drain(rt)
 	})
 }
 
-// TestInvariantRefusedNotRunRepeats: a call of which every try was refused as
-// not run, or none was made, can be claimed by a repeat once the table is back.
+// TestInvariantRefusedNotRunRepeats checks that a call whose attempts were all
+// refused as not run can be claimed again once the table is available.
 func TestInvariantRefusedNotRunRepeats(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld()
+		w := newSimulation()
 		rt.Repeat(w.steps())
-		w.heal(rt)
+		w.drain(rt)
 		refused := map[string]bool{}
-		for _, t := range w.tries {
+		for _, t := range w.attempts {
 			key := claim.Key(t.team, t.key)
 			if _, seen := refused[key]; !seen {
 				refused[key] = true
 			}
-			refused[key] = refused[key] && !t.died && t.told != nil && t.told.Outcome == outcome.RefusedNotRun
+			refused[key] = refused[key] && !t.died && t.failure != nil && t.failure.Outcome == outcome.RefusedNotRun
 		}
-		for _, t := range slices.Clone(w.tries) {
+		for _, t := range slices.Clone(w.attempts) {
 			if !refused[claim.Key(t.team, t.key)] {
 				continue
 			}
@@ -362,7 +363,7 @@
 			if repeat.phase == inserting {
 				w.write(rt, repeat, "answered")
 			}
-			require.Equal(rt, held, repeat.phase, "a repeat after refusals only must run; told %v", repeat.told)
+			require.Equal(rt, held, repeat.phase, "a call that was only refused must be claimable again; got %v", repeat.failure)
 		}
 	})
 }
--- a/core/claim/main_test.go
+++ b/core/claim/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests unless one is given, and lets
-// them run long enough for a call to be made, answered and asked for again.
+// TestMain sets a fixed seed for the property tests unless one is given, and
+// enough steps for a call to be sent, answered and repeated.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
