--- a/core/lease/bench_test.go
+++ b/core/lease/bench_test.go
@@ -9,8 +9,8 @@
 	"guavapaddle/core/row"
 )
 
-// BenchmarkRenew renews a session that owns n servers: one transaction of one row
-// however many there are.
+// BenchmarkRenew measures renewing a session that owns n servers. A renewal
+// writes one row, whatever the number of servers.
 func BenchmarkRenew(b *testing.B) {
 	for _, n := range []int{1, 8, 64, 600} {
 		b.Run(fmt.Sprint("servers=", n), func(b *testing.B) {
@@ -20,10 +20,10 @@
 			book.Committed(now, book.Renew(now), revision)
 			for i := range n {
 				name := fmt.Sprintf("engine-%03d", i)
-				book.Observe(now, absent(lease.ServerKey(name)))
+				book.Observe(now, absentRow(lease.ServerKey(name)))
 				tx, ok := book.Take(now, name, 0)
 				if !ok {
-					b.Fatal("not taken")
+					b.Fatal("server was not acquired")
 				}
 				revision++
 				book.Committed(now, tx, revision)
@@ -38,5 +38,5 @@
 	}
 }
 
-// absent is the reading of a row that is not there.
-func absent(key string) row.Row { return row.Row{Key: key} }
+// absentRow returns the result of reading a row that does not exist.
+func absentRow(key string) row.Row { return row.Row{Key: key} }
--- a/core/lease/book.go
+++ b/core/lease/book.go
@@ -9,66 +9,68 @@
 )
 
 const (
-	// DefaultTTL is the time to live of a session.
+	// DefaultTTL is the default time to live of a session.
 	DefaultTTL = 6 * time.Second
-	// DefaultMargin covers clock drift and the time from a check to the send.
+	// DefaultMargin covers clock drift and the time between the check of a
+	// lease and the send.
 	DefaultMargin = time.Second
-	// DefaultMaxPause is the longest gap between ticks that goes unremarked.
+	// DefaultMaxPause is the longest gap between ticks that does not count as
+	// a pause of the process.
 	DefaultMaxPause = time.Second
 
 	renewalsPerTTL = 3
 )
 
 type (
-	// Settings of a Book; zero times mean the defaults.
+	// Settings configures a Book. Zero durations select the defaults.
 	Settings struct {
 		Node        string
-		Incarnation string        // unique to this start of the node
-		TTL         time.Duration // of the session
-		Margin      time.Duration // before the end at which sending stops, and that a rival adds
-		MaxPause    time.Duration // between ticks
+		Incarnation string        // unique for each start of the node
+		TTL         time.Duration // time to live of the session
+		Margin      time.Duration // sending stops this long before the end, and other nodes wait this much longer
+		MaxPause    time.Duration // longest allowed gap between ticks
 	}
 
-	// Book is what one node knows of sessions and servers.
+	// Book holds what one node knows of sessions and of the leases of servers.
 	Book struct {
-		set      Settings
-		serial   uint64 // of the session within the incarnation
-		id       string // of the session
-		own      session
-		others   map[string]sighting // by session
-		servers  map[string]server
-		ticked   bool
-		lastTick time.Duration
-		lastWall time.Time
-		gap      time.Duration // end of the last gap; renewals begun earlier don't count
-		stale    bool          // a gap was seen and no renewal since
+		settings     Settings
+		serial       uint64 // of the session within the incarnation
+		id           string // of the session
+		own          session
+		others       map[string]observation // by session
+		servers      map[string]server
+		ticked       bool
+		lastTick     time.Duration
+		lastWall     time.Time
+		gapEnd       time.Duration // end of the last gap; renewals started before it don't count
+		needsRenewal bool          // no renewal that started after gapEnd was committed
 	}
 
 	session struct {
-		created  bool
-		revision uint64
-		renewal  uint64                   // last one sent
-		begun    map[uint64]time.Duration // when renewals were about to be sent
-		start    time.Duration            // of the last renewal known to be done
-		tried    bool
-		last     time.Duration // last try
+		created       bool
+		revision      uint64
+		renewal       uint64                   // number of the last renewal sent
+		renewalStarts map[uint64]time.Duration // by renewal, the time just before it was sent
+		validFrom     time.Duration            // when the last renewal known to be committed was about to be sent
+		attempted     bool
+		lastAttempt   time.Duration // when the last renewal was attempted
 	}
 
-	sighting struct {
+	observation struct {
 		revision uint64
-		since    time.Duration // first seen at this revision
+		since    time.Duration // when this revision was first observed
 		ttl      time.Duration
 		ended    bool
 	}
 
 	server struct {
-		revision uint64
-		value    Server
-		dropped  bool // given up or known lost at this revision
+		revision  uint64
+		value     Server
+		forgotten bool // released or known to be lost, until acquired again
 	}
 )
 
-// NewBook returns a Book that knows nothing yet.
+// NewBook returns a Book with a new session and no known rows.
 func NewBook(s Settings) *Book {
 	if s.TTL == 0 {
 		s.TTL = DefaultTTL
@@ -79,60 +81,62 @@
 	if s.MaxPause == 0 {
 		s.MaxPause = DefaultMaxPause
 	}
-	b := &Book{set: s, others: map[string]sighting{}, servers: map[string]server{}}
+	b := &Book{settings: s, others: map[string]observation{}, servers: map[string]server{}}
 	b.Restart()
 	return b
 }
 
-// ID returns the id of the node's present session.
+// ID returns the id of the node's current session.
 func (b *Book) ID() string { return b.id }
 
-// Restart gives up the present session, and all servers with it, for a new one.
+// Restart abandons the current session, and with it the leases of all servers,
+// and starts a new one.
 func (b *Book) Restart() {
 	b.serial++
-	b.id = b.set.Node + "/" + b.set.Incarnation + "/" + strconv.FormatUint(b.serial, 10)
-	b.own = session{begun: map[uint64]time.Duration{}}
+	b.id = b.settings.Node + "/" + b.settings.Incarnation + "/" + strconv.FormatUint(b.serial, 10)
+	b.own = session{renewalStarts: map[uint64]time.Duration{}}
 }
 
-// Tick notes the passing of time and tells whether the process has paused for
-// longer than it may. Wall may be the zero time.
+// Tick records the current time and reports whether the process was paused for
+// longer than allowed since the previous tick. The wall time may be zero.
 func (b *Book) Tick(now time.Duration, wall time.Time) bool {
 	paused := false
 	if b.ticked {
 		step := now - b.lastTick
-		paused = step > b.set.MaxPause
+		paused = step > b.settings.MaxPause
 		if !wall.IsZero() && !b.lastWall.IsZero() {
-			// Round strips the monotonic reading, so that this is wall time.
+			// Round strips the monotonic clock reading, so that Sub compares
+			// wall clock readings.
 			real := wall.Round(0).Sub(b.lastWall.Round(0))
-			paused = paused || real-step > b.set.MaxPause
+			paused = paused || real-step > b.settings.MaxPause
 		}
 	}
 	b.ticked, b.lastTick, b.lastWall = true, now, wall
 	if paused {
-		b.gap, b.stale = now, true
+		b.gapEnd, b.needsRenewal = now, true
 	}
 	return paused
 }
 
-// RenewDue tells whether the session should be renewed now: each third of its
-// time to live, and at once after a gap.
+// RenewDue reports whether the session should be renewed now: every third of
+// its time to live, and immediately after a gap.
 func (b *Book) RenewDue(now time.Duration) bool {
-	afterGap := b.stale && b.own.last < b.gap
-	return !b.own.tried || afterGap || now-b.own.last >= b.set.TTL/renewalsPerTTL
+	afterGap := b.needsRenewal && b.own.lastAttempt < b.gapEnd
+	return !b.own.attempted || afterGap || now-b.own.lastAttempt >= b.settings.TTL/renewalsPerTTL
 }
 
-// Renew returns the transaction that creates or renews the session. It must be
-// sent after the call, never kept.
+// Renew returns the transaction that creates or renews the session. The caller
+// must send it right away, because the lease counts from now.
 func (b *Book) Renew(now time.Duration) row.Tx {
 	b.own.renewal++
-	b.own.tried, b.own.last = true, now
-	b.own.begun[b.own.renewal] = now
-	value := encode(Session{Node: b.set.Node, TTLMS: b.set.TTL.Milliseconds(), Renewal: b.own.renewal})
+	b.own.attempted, b.own.lastAttempt = true, now
+	b.own.renewalStarts[b.own.renewal] = now
+	value := encode(Session{Node: b.settings.Node, TTLMS: b.settings.TTL.Milliseconds(), Renewal: b.own.renewal})
 	key := SessionKey(b.ID())
 	return row.Tx{}.When(key, b.own.revision).Put(key, value)
 }
 
-// Keys returns the keys to read back if the fate of tx is unknown.
+// Keys returns the keys to read back if the outcome of tx is unknown.
 func (b *Book) Keys(tx row.Tx) []string {
 	keys := make([]string, 0, len(tx.Writes))
 	for _, w := range tx.Writes {
@@ -141,7 +145,7 @@
 	return keys
 }
 
-// Committed tells the book that tx is done, at the given revision.
+// Committed records that tx was committed at the given revision.
 func (b *Book) Committed(now time.Duration, tx row.Tx, revision uint64) {
 	for _, w := range tx.Writes {
 		if w.Delete {
@@ -152,8 +156,8 @@
 	}
 }
 
-// Observe tells the book rows as they were read, written or in conflict. Rows
-// older than known ones, and rows that don't belong to leases, are passed over.
+// Observe records rows that were read, written or reported as conflicts. Rows
+// older than known ones, and rows that don't belong to leases, are ignored.
 func (b *Book) Observe(now time.Duration, rows ...row.Row) {
 	for _, r := range rows {
 		if id, ok := sessionOf(r.Key); ok {
@@ -170,8 +174,8 @@
 
 func (b *Book) observeOwn(r row.Row) {
 	if r.Revision == 0 {
-		// Ended by a rival, or an uncertain creation that may yet arrive: in
-		// both cases this id is never used again.
+		// Either another node ended the session, or its creation may still be
+		// in transit. In both cases this id must not be used again.
 		b.Restart()
 		return
 	}
@@ -180,18 +184,18 @@
 		return
 	}
 	b.own.created, b.own.revision = true, r.Revision
-	start, ok := b.own.begun[v.Renewal]
+	validFrom, ok := b.own.renewalStarts[v.Renewal]
 	if !ok {
 		return
 	}
-	for n := range b.own.begun {
+	for n := range b.own.renewalStarts {
 		if n <= v.Renewal {
-			delete(b.own.begun, n)
+			delete(b.own.renewalStarts, n)
 		}
 	}
-	b.own.start = start
-	if b.stale && start >= b.gap {
-		b.stale = false
+	b.own.validFrom = validFrom
+	if b.needsRenewal && validFrom >= b.gapEnd {
+		b.needsRenewal = false
 	}
 }
 
@@ -199,15 +203,15 @@
 	old, known := b.others[id]
 	switch {
 	case r.Revision == 0:
-		b.others[id] = sighting{ended: true}
+		b.others[id] = observation{ended: true}
 	case known && (old.ended || r.Revision <= old.revision):
 	default:
 		var v Session
-		ttl := b.set.TTL
+		ttl := b.settings.TTL
 		if json.Unmarshal(r.Value, &v) == nil && v.TTLMS > 0 {
 			ttl = v.ttl()
 		}
-		b.others[id] = sighting{revision: r.Revision, since: now, ttl: ttl}
+		b.others[id] = observation{revision: r.Revision, since: now, ttl: ttl}
 	}
 }
 
@@ -220,17 +224,17 @@
 	if r.Revision != 0 && json.Unmarshal(r.Value, &v) != nil {
 		return
 	}
-	// A renewed sight of the same epoch does not undo a release: the release
-	// may have been sent and still arrive.
-	dropped := old.dropped && v.Epoch == old.value.Epoch
-	b.servers[name] = server{revision: r.Revision, value: v, dropped: dropped}
+	// Observing the same epoch again does not undo a release: the transaction
+	// that releases the server may still be in transit.
+	forgotten := old.forgotten && v.Epoch == old.value.Epoch
+	b.servers[name] = server{revision: r.Revision, value: v, forgotten: forgotten}
 	if known && old.value.Holder != v.Holder {
-		b.forget(old.value.Holder)
+		b.pruneSession(old.value.Holder)
 	}
 }
 
-// forget drops the sighting of a session that no known server names.
-func (b *Book) forget(id string) {
+// pruneSession deletes the observation of a session that holds no known server.
+func (b *Book) pruneSession(id string) {
 	for _, s := range b.servers {
 		if s.value.Holder == id {
 			return
@@ -239,28 +243,31 @@
 	delete(b.others, id)
 }
 
-// Alive tells whether the session was created and is not known to be ended.
+// Alive reports whether the session was created and is not known to have ended.
 func (b *Book) Alive() bool { return b.own.created }
 
-// Remaining returns how long the node may still send, zero or less if not.
+// Remaining returns for how long the node may still send orders. It is zero or
+// negative if the node may not send.
 func (b *Book) Remaining(now time.Duration) time.Duration {
-	if !b.own.created || b.stale {
+	if !b.own.created || b.needsRenewal {
 		return 0
 	}
-	return b.own.start + b.set.TTL - b.set.Margin - now
+	return b.own.validFrom + b.settings.TTL - b.settings.Margin - now
 }
 
-// Held returns the epoch of a server that this node's session owns as far as
-// is known. It does not tell that the lease is still running: see MaySend.
+// Held returns the epoch of a server, and whether this node's session owns the
+// server according to the last observed rows. The lease may have expired
+// nevertheless: see MaySend.
 func (b *Book) Held(name string) (uint64, bool) {
 	s, ok := b.servers[name]
-	if !ok || !b.own.created || s.dropped || s.value.Holder != b.ID() {
+	if !ok || !b.own.created || s.forgotten || s.value.Holder != b.ID() {
 		return 0, false
 	}
 	return s.value.Epoch, true
 }
 
-// MaySend returns the epoch under which an order may be sent to a server now.
+// MaySend returns the epoch under which an order may be sent to a server now,
+// and false if none may be sent.
 func (b *Book) MaySend(now time.Duration, name string) (uint64, bool) {
 	epoch, ok := b.Held(name)
 	if !ok || b.Remaining(now) <= 0 {
@@ -269,13 +276,13 @@
 	return epoch, true
 }
 
-// Row returns a server's row as last seen.
+// Row returns a server's row as last observed, and false if it is not known.
 func (b *Book) Row(name string) (Server, bool) {
 	s, ok := b.servers[name]
 	return s.value, ok
 }
 
-// Watch returns the keys to read in order to learn when a server becomes free.
+// Watch returns the keys of the rows that determine when a server becomes free.
 func (b *Book) Watch(name string) []string {
 	keys := []string{ServerKey(name)}
 	s := b.servers[name].value
@@ -285,8 +292,8 @@
 	return keys
 }
 
-// Free returns how long the node still has to wait before it may take a
-// server, and false if it doesn't know enough to tell.
+// Free returns how long the node has to wait before it may acquire a server,
+// and false if that can't be derived from the rows observed so far.
 func (b *Book) Free(now time.Duration, name string) (time.Duration, bool) {
 	s, ok := b.servers[name]
 	if !ok {
@@ -302,14 +309,14 @@
 	if other.ended {
 		return 0, true
 	}
-	return max(0, other.since+other.ttl+b.set.Margin-now), true
+	return max(0, other.since+other.ttl+b.settings.Margin-now), true
 }
 
 // Take returns the transaction that makes this node's session the owner of a
-// server with the next epoch, and false if that is not allowed now. Orders
-// that the row carries are kept. A server that is already held gets the next
-// epoch too, which makes all orders under earlier ones void on a server that
-// checks. The epoch will be higher than above.
+// server under the next epoch, and false if that is not allowed now. Orders in
+// the row are kept. A server that the session already holds also gets the next
+// epoch, which invalidates all orders under earlier epochs on a server that
+// checks fencing numbers. The new epoch is greater than above.
 func (b *Book) Take(now time.Duration, name string, above uint64) (row.Tx, bool) {
 	wait, known := b.Free(now, name)
 	if !known || wait > 0 || !b.own.created {
@@ -322,12 +329,13 @@
 		key := SessionKey(v.Holder)
 		tx = tx.When(key, other.revision).Delete(key)
 	}
-	v.Holder, v.Node, v.Epoch = b.ID(), b.set.Node, max(v.Epoch, above)+1
+	v.Holder, v.Node, v.Epoch = b.ID(), b.settings.Node, max(v.Epoch, above)+1
 	return tx.Put(ServerKey(name), encode(v)), true
 }
 
-// Record returns the transaction that keeps orders in the row of a server that
-// is held, for the next owner to inherit. It fails if the server was taken.
+// Record returns the transaction that stores orders in the row of a held server,
+// for the next owner to inherit. The transaction is not committed if another
+// node has acquired the server.
 func (b *Book) Record(name string, orders json.RawMessage) (row.Tx, bool) {
 	if _, ok := b.Held(name); !ok {
 		return row.Tx{}, false
@@ -338,8 +346,9 @@
 	return row.Tx{}.When(ServerKey(name), s.revision).Put(ServerKey(name), encode(v)), true
 }
 
-// Release returns the transaction that frees a held server for others at once.
-// From now on the server counts as not held, whatever becomes of it.
+// Release returns the transaction that frees a held server for other nodes
+// immediately. From now on the server counts as not held, whether or not the
+// transaction is committed.
 func (b *Book) Release(name string) (row.Tx, bool) {
 	if _, ok := b.Held(name); !ok {
 		return row.Tx{}, false
@@ -351,17 +360,18 @@
 	return row.Tx{}.When(ServerKey(name), s.revision).Put(ServerKey(name), encode(v)), true
 }
 
-// Drop counts a server as not held until it is taken again, for instance
-// because somebody reports a higher epoch.
+// Drop marks a server as not held until it is acquired again, for example
+// because a higher epoch was reported for it.
 func (b *Book) Drop(name string) {
 	if s, ok := b.servers[name]; ok {
-		s.dropped = true
+		s.forgotten = true
 		b.servers[name] = s
 	}
 }
 
-// End returns the transaction that ends the session, so that all servers that
-// it still owns become free at once, and starts a new one.
+// End starts a new session and returns the transaction that ends the previous
+// one, which frees all servers that it still owns. It returns false if the
+// session was not created.
 func (b *Book) End() (row.Tx, bool) {
 	if !b.own.created {
 		return row.Tx{}, false
--- a/core/lease/book_test.go
+++ b/core/lease/book_test.go
@@ -21,13 +21,13 @@
 		revision uint64
 	}
 
-	// rival is a node; its transactions may commit at any time after they were
-	// made, and their answers may be lost.
-	rival struct {
-		book   *lease.Book
-		tx     *row.Tx // on its way
-		arrive time.Duration
-		sleeps time.Duration // paused until then
+	// contender is a node that competes for the server. Its transactions may be
+	// committed at any time after they were created, and replies may be lost.
+	contender struct {
+		book        *lease.Book
+		tx          *row.Tx // in transit
+		arrivesAt   time.Duration
+		pausedUntil time.Duration // the node is paused until then
 	}
 )
 
@@ -66,8 +66,8 @@
 	return lease.NewBook(lease.Settings{Node: name, Incarnation: "1"})
 }
 
-// run commits a transaction and tells the book the result.
-func (t *table) run(now time.Duration, b *lease.Book, tx row.Tx) {
+// transact commits a transaction and updates the book with the result.
+func (t *table) transact(now time.Duration, b *lease.Book, tx row.Tx) {
 	if r := t.commit(tx); r.Committed {
 		b.Committed(now, tx, r.Revision)
 	} else {
@@ -75,26 +75,26 @@
 	}
 }
 
-// TestInvariantLeaseHasOneHolder: three nodes that are paused, whose
-// transactions are late and whose answers are lost never may send to the same
-// server at the same time, and epochs never go back.
+// TestInvariantLeaseHasOneHolder checks that at most one of three nodes may send
+// to a server at any time and that epochs never decrease, although nodes pause,
+// transactions are delayed and replies are lost.
 func TestInvariantLeaseHasOneHolder(t *testing.T) {
-	takes := uint64(0)
+	acquisitions := uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		tab := &table{rows: map[string]row.Row{}}
-		var rivals []*rival
+		var nodes []*contender
 		for i := range 3 {
-			rivals = append(rivals, &rival{book: newBook(fmt.Sprint("n", i))})
+			nodes = append(nodes, &contender{book: newBook(fmt.Sprint("n", i))})
 		}
 		now, epoch := time.Duration(0), uint64(0)
 		for range 1500 {
 			now += time.Duration(r.Int64N(int64(400 * time.Millisecond)))
-			for _, v := range rivals {
+			for _, v := range nodes {
 				v.step(r, now, tab)
 			}
 			holders := 0
-			for _, v := range rivals {
+			for _, v := range nodes {
 				if e, ok := v.book.MaySend(now, server); ok {
 					holders++
 					require.GreaterOrEqual(t, e, epoch)
@@ -103,18 +103,18 @@
 			}
 			require.LessOrEqual(t, holders, 1, "holders at %v", now)
 		}
-		takes += epoch
+		acquisitions += epoch
 	})
-	require.Greater(t, takes, uint64(500), "the lease hardly changed hands")
+	require.Greater(t, acquisitions, uint64(500), "the owner changed too rarely")
 }
 
-// step lets a node do one thing unless it is paused or waits for an answer.
-func (v *rival) step(r *rand.Rand, now time.Duration, t *table) {
-	if v.sleeps > now {
+// step performs one action of a node unless it is paused or waits for a reply.
+func (v *contender) step(r *rand.Rand, now time.Duration, t *table) {
+	if v.pausedUntil > now {
 		return
 	}
 	if v.tx != nil {
-		if now >= v.arrive {
+		if now >= v.arrivesAt {
 			v.deliver(r, now, t)
 		}
 		return
@@ -129,7 +129,7 @@
 	case r.IntN(120) == 0:
 		tx, ok = v.book.End()
 	case r.IntN(60) == 0:
-		v.sleeps = now + time.Duration(r.Int64N(int64(15*time.Second)))
+		v.pausedUntil = now + time.Duration(r.Int64N(int64(15*time.Second)))
 	default:
 		v.book.Observe(now, t.read(v.book.Watch(server)...)...)
 		if _, held := v.book.Held(server); !held || r.IntN(20) == 0 {
@@ -139,55 +139,58 @@
 	if !ok {
 		return
 	}
-	v.tx, v.arrive = &tx, now
+	v.tx, v.arrivesAt = &tx, now
 	if r.IntN(4) == 0 {
-		v.arrive += time.Duration(r.Int64N(int64(8 * time.Second)))
+		v.arrivesAt += time.Duration(r.Int64N(int64(8 * time.Second)))
 	}
 }
 
-// deliver commits the transaction on its way; its answer may be lost.
-func (v *rival) deliver(r *rand.Rand, now time.Duration, t *table) {
+// deliver commits the transaction in transit; the transaction or its reply may
+// be lost.
+func (v *contender) deliver(r *rand.Rand, now time.Duration, t *table) {
 	tx := *v.tx
 	v.tx = nil
 	switch r.IntN(8) {
-	case 0: // never arrived
+	case 0: // the transaction is lost
 		v.book.Observe(now, t.read(v.book.Keys(tx)...)...)
-	case 1: // took effect, answer lost
+	case 1: // the transaction is committed, its reply is lost
 		t.commit(tx)
 		v.book.Observe(now, t.read(v.book.Keys(tx)...)...)
-	case 2: // the same, and the table can't be read either
+	case 2: // as before, and the table can't be read back
 		t.commit(tx)
 	default:
-		t.run(now, v.book, tx)
+		t.transact(now, v.book, tx)
 	}
 }
 
-// held returns a book that holds the server since second 1 and the table.
-func held(t *testing.T) (*lease.Book, *table) {
+// heldServer returns the book of a node that has held the server since second 1,
+// and the table.
+func heldServer(t *testing.T) (*lease.Book, *table) {
 	tab := &table{rows: map[string]row.Row{}}
 	b := newBook("n1")
-	tab.run(time.Second, b, b.Renew(time.Second))
+	tab.transact(time.Second, b, b.Renew(time.Second))
 	b.Observe(time.Second, tab.read(b.Watch(server)...)...)
 	tx, ok := b.Take(time.Second, server, 0)
 	require.True(t, ok)
-	tab.run(time.Second, b, tx)
+	tab.transact(time.Second, b, tx)
 	return b, tab
 }
 
-// TestLeaseCountsFromBeforeTheSend: a renewal whose answer took 3 s extends the
-// lease from the moment it was sent.
-func TestLeaseCountsFromBeforeTheSend(t *testing.T) {
-	b, tab := held(t)
+// TestLeaseStartsBeforeRenewalIsSent checks that a renewal whose reply took 3 s
+// extends the lease from the moment the renewal was sent, not from the reply.
+func TestLeaseStartsBeforeRenewalIsSent(t *testing.T) {
+	b, tab := heldServer(t)
 	tx := b.Renew(2 * time.Second)
-	tab.run(5*time.Second, b, tx)
+	tab.transact(5*time.Second, b, tx)
 	_, ok := b.MaySend(7*time.Second-1, server)
 	require.True(t, ok)
 	_, ok = b.MaySend(7*time.Second, server)
 	require.False(t, ok, "2 s + 6 s less the margin of 1 s")
 }
 
-// TestGapInTicksLosesLease: by the monotonic clock, and by the wall clock while
-// the monotonic one stood still.
+// TestGapInTicksLosesLease checks that no order may be sent after a gap between
+// ticks until the session is renewed. The gap shows on the monotonic clock or, if
+// that clock stopped during a suspension, only on the wall clock.
 func TestGapInTicksLosesLease(t *testing.T) {
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for name, step := range map[string]struct{ mono, wall time.Duration }{
@@ -195,7 +198,7 @@
 		"VM suspended":    {100 * time.Millisecond, time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, tab := held(t)
+			b, tab := heldServer(t)
 			require.False(t, b.Tick(time.Second, start))
 			_, ok := b.MaySend(time.Second, server)
 			require.True(t, ok)
@@ -204,19 +207,19 @@
 			_, ok = b.MaySend(now, server)
 			require.False(t, ok)
 			require.True(t, b.RenewDue(now))
-			tab.run(now, b, b.Renew(now))
+			tab.transact(now, b, b.Renew(now))
 			_, ok = b.MaySend(now, server)
 			require.True(t, ok)
 		})
 	}
 }
 
-// TestTakeDemandsThatTheSessionIsUnchanged: a renewal that arrives after the
-// rival's last look stops the rival.
-func TestTakeDemandsThatTheSessionIsUnchanged(t *testing.T) {
-	b, tab := held(t)
+// TestTakeRequiresUnchangedSession checks that a node can't acquire a server if
+// the owner's session was renewed after the node last read its row.
+func TestTakeRequiresUnchangedSession(t *testing.T) {
+	b, tab := heldServer(t)
 	c := newBook("n2")
-	tab.run(0, c, c.Renew(0))
+	tab.transact(0, c, c.Renew(0))
 	for range 2 {
 		c.Observe(time.Second, tab.read(c.Watch(server)...)...)
 	}
@@ -225,10 +228,10 @@
 	require.Equal(t, lease.DefaultTTL+lease.DefaultMargin, wait)
 	_, ok := c.Take(8*time.Second-1, server, 0)
 	require.False(t, ok)
-	tab.run(8*time.Second, b, b.Renew(8*time.Second))
+	tab.transact(8*time.Second, b, b.Renew(8*time.Second))
 	tx, ok := c.Take(8*time.Second, server, 0)
 	require.True(t, ok)
-	tab.run(8*time.Second, c, tx)
+	tab.transact(8*time.Second, c, tx)
 	_, taken := c.Held(server)
 	require.False(t, taken)
 }
--- a/core/lease/record.go
+++ b/core/lease/record.go
@@ -16,15 +16,15 @@
 	Session struct {
 		Node    string `json:"node"`
 		TTLMS   int64  `json:"ttl-ms"`
-		Renewal uint64 `json:"renewal"` // counts the renewals of the session
+		Renewal uint64 `json:"renewal"` // number of renewals of the session so far
 	}
 
 	// Server is the value of a backend server's row.
 	Server struct {
-		Holder string          `json:"holder"` // session; empty if released
-		Node   string          `json:"node"`   // of the session
+		Holder string          `json:"holder"` // id of the owning session; empty if released
+		Node   string          `json:"node"`   // node of that session
 		Epoch  uint64          `json:"epoch"`
-		Orders json.RawMessage `json:"orders,omitempty"` // kept for the next owner
+		Orders json.RawMessage `json:"orders,omitempty"` // recorded for the next owner
 	}
 )
 
@@ -43,7 +43,8 @@
 
 func sessionOf(key string) (string, bool) { return strings.CutPrefix(key, sessionPrefix) }
 
-// encode panics only if a type of this package can't be encoded.
+// encode returns v as JSON. It panics on failure, which can't happen for the
+// types of this package.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
