--- a/core/ledger/entry.go
+++ b/core/ledger/entry.go
@@ -6,60 +6,60 @@
 	"guavapaddle/core/backend"
 )
 
-// State tells where an item stands.
+// State is the state of an item.
 type State string
 
-// Answer is what became of a call that carried an order.
+// Answer is the result of a call that carried an order.
 type Answer string
 
 const (
-	// Absent items hold no bytes.
+	// Absent items take no memory.
 	Absent State = "absent"
-	// Reserved items hold bytes for an order that was not sent yet.
+	// Reserved items have memory reserved for an order that was not sent yet.
 	Reserved State = "reserved"
-	// Loading items were ordered to load, and nothing speaks against it.
+	// Loading items were ordered to load, and there is no sign of a failure.
 	Loading State = "loading"
-	// Resident items serve.
+	// Resident items can serve requests.
 	Resident State = "resident"
 	// Unloading items were ordered to unload.
 	Unloading State = "unloading"
-	// Uncertain items have an order whose fate is unknown.
+	// Uncertain items have an order whose outcome is unknown.
 	Uncertain State = "uncertain"
 )
 
 const (
-	// Accepted means that the engine took the order or has done it.
+	// Accepted means that the engine accepted the order or has completed it.
 	Accepted Answer = "accepted"
-	// NotDone means that this call surely had and will have no effect.
+	// NotDone means that this call had no effect and can't have one later.
 	NotDone Answer = "not-done"
 	// Unknown means that the order may take effect now or later.
 	Unknown Answer = "unknown"
 )
 
 type (
-	// Cost is the memory an item needs.
+	// Cost is the memory that an item needs.
 	Cost struct {
 		Bytes int64 // while resident
-		Peak  int64 // in addition while loading
+		Peak  int64 // additional bytes while loading
 	}
 
-	// Entry is one item of the ledger.
+	// Entry is the ledger's record of one item.
 	Entry struct {
 		Item  backend.Item
 		State State
 		Cost  Cost
-		Order backend.Order // not settled; zero if there is none
-		Since time.Duration // when the state was reached
-		Sends int           // calls that carried the order
+		Order backend.Order // unsettled order; zero if there is none
+		Since time.Duration // when the item entered the state
+		Sends int           // number of calls that carried the order
 
-		open      int           // calls in progress
-		returned  time.Duration // end of the last call
-		inherited bool          // the order is an earlier owner's
-		until     time.Duration // end of an inherited order's lifetime
-		seen      bool          // a load's item was in the last inventory
+		openCalls   int           // number of calls in progress
+		lastCallEnd time.Duration // end of the last call
+		inherited   bool          // the order was given by an earlier owner
+		expires     time.Duration // end of an inherited order's lifetime
+		observed    bool          // the item to load was in the last inventory
 	}
 
-	// Record is an unsettled order as kept in the table for the next owner.
+	// Record is an unsettled order as stored in the table for the next owner.
 	Record struct {
 		Order  backend.Order `json:"order"`
 		Peak   int64         `json:"peak"`
@@ -67,8 +67,9 @@
 	}
 )
 
-// Held returns the bytes that the entry holds. An unsettled load holds those of
-// its peak even when the item is resident: it could be done again in a new boot.
+// Held returns the bytes reserved for the entry. An unsettled load includes the
+// peak even when the item is resident: after a restart the engine may execute
+// the order again.
 func (e Entry) Held() int64 {
 	settled := e.Order.Op != backend.Load && (e.State == Resident || e.State == Unloading)
 	if settled || e.Order.Op == backend.Unload {
@@ -77,20 +78,20 @@
 	return e.Cost.Bytes + e.Cost.Peak
 }
 
-// pending tells whether the entry has an order that was not settled.
+// pending reports whether the entry has an unsettled order.
 func (e Entry) pending() bool { return e.Order.OrderID != "" }
 
-// resent tells whether the order may have been sent more than once.
+// resent reports whether the order may have been sent more than once.
 func (e Entry) resent() bool { return e.Sends > 1 }
 
-// to moves the entry to a state.
-func (e *Entry) to(now time.Duration, s State) {
+// setState sets the state and, if it changed, the time of the change.
+func (e *Entry) setState(now time.Duration, s State) {
 	if e.State != s {
 		e.State, e.Since = s, now
 	}
 }
 
-// settle forgets the order.
-func (e *Entry) settle() {
-	e.Order, e.Sends, e.inherited, e.seen = backend.Order{}, 0, false, false
+// clearOrder removes the order, which is settled.
+func (e *Entry) clearOrder() {
+	e.Order, e.Sends, e.inherited, e.observed = backend.Order{}, 0, false, false
 }
--- a/core/ledger/invariant_test.go
+++ b/core/ledger/invariant_test.go
@@ -16,33 +16,34 @@
 
 const steps = 2500
 
-// TestInvariantMemoryNeverOvercommitted drives two owners of one server through
-// random failures. The model engine measures its memory itself and never
-// refuses an order for want of it.
+// TestInvariantMemoryNeverOvercommitted simulates two nodes that compete for one
+// server under random faults. The model engine measures its own memory use and
+// never refuses an order because memory is short.
 func TestInvariantMemoryNeverOvercommitted(t *testing.T) {
 	for name, checks := range map[string]bool{"checks": true, "does not check": false} {
 		t.Run(name, func(t *testing.T) {
 			loads, epochs := 0, uint64(0)
 			rapid.Check(t, func(t *rapid.T) {
 				seed := rapid.Uint64().Draw(t, "seed")
-				w := live(checks, seed, false)
+				w := simulate(checks, seed, false)
 				if w.engine.peak > capacity {
-					w = live(checks, seed, true)
+					w = simulate(checks, seed, true)
 					t.Fatalf("%d of %d bytes in use; trace:\n%s", w.engine.peak, capacity, strings.Join(w.trace, "\n"))
 				}
 				loads += w.engine.loads
 				epochs += max(w.nodes[0].ledger.Epoch(), w.nodes[1].ledger.Epoch())
 			})
 			t.Logf("%d loads, %d epochs", loads, epochs)
-			require.Greater(t, loads, 1000, "the engine was hardly used")
-			require.Greater(t, epochs, uint64(1000), "the server hardly changed hands")
+			require.Greater(t, loads, 1000, "too few loads")
+			require.Greater(t, epochs, uint64(1000), "the owner changed too rarely")
 		})
 	}
 }
 
-// live runs a world until it ends or memory is overcommitted.
-func live(checks bool, seed uint64, traced bool) *world {
-	w := newWorld(checks)
+// simulate runs a simulation until its last step or until memory is
+// overcommitted.
+func simulate(checks bool, seed uint64, traced bool) *simulation {
+	w := newSimulation(checks)
 	w.traced = traced
 	r := rand.New(rand.NewPCG(seed, 1))
 	for i := 0; i < steps && w.engine.peak <= capacity; i++ {
@@ -51,42 +52,42 @@
 	return w
 }
 
-// step does one thing at random and passes some time.
-func (w *world) step(r *rand.Rand) {
+// step advances the time and performs one random action.
+func (w *simulation) step(r *rand.Rand) {
 	w.advance(upTo(r, 500*time.Millisecond))
 	for _, n := range w.nodes {
-		if n.busy <= w.now {
+		if n.busyUntil <= w.now {
 			n.book.Tick(w.now, time.Time{})
 			if n.book.RenewDue(w.now) {
-				n.renew(tableFate(r))
+				n.renew(tableFault(r))
 			}
 		}
 	}
 	n := w.nodes[r.IntN(len(w.nodes))]
-	what := r.IntN(100)
-	if n.busy > w.now && what < 93 {
+	choice := r.IntN(100)
+	if n.busyUntil > w.now && choice < 93 {
 		return
 	}
 	switch {
-	case what < 20:
-		n.take(tableFate(r))
-	case what < 40:
+	case choice < 20:
+		n.take(tableFault(r))
+	case choice < 40:
 		n.poll()
-	case what < 90:
+	case choice < 90:
 		n.poll()
-		n.give(items[r.IntN(len(items))], w.orderFate(r, n))
-	case what < 93:
+		n.orderItem(items[r.IntN(len(items))], w.orderFault(r, n))
+	case choice < 93:
 		n.pause(upTo(r, 20*time.Second))
-		w.note("%s pauses until %v", n.name, n.busy)
-	case what < 94:
-		w.note("%s crashes", n.name)
+		w.tracef("%s pauses until %v", n.name, n.busyUntil)
+	case choice < 94:
+		w.tracef("%s crashes", n.name)
 		n.start()
-	case what < 95:
-		w.note("engine restarts")
+	case choice < 95:
+		w.tracef("engine restarts")
 		w.engine.restart()
-	case what < 97:
+	case choice < 97:
 		w.table.down = !w.table.down && r.IntN(3) == 0
-		w.note("table down: %v", w.table.down)
+		w.tracef("table down: %v", w.table.down)
 	default:
 		w.advance(upTo(r, 9*time.Second))
 	}
@@ -94,129 +95,133 @@
 
 func upTo(r *rand.Rand, d time.Duration) time.Duration { return time.Duration(r.Int64N(int64(d))) }
 
-func tableFate(r *rand.Rand) fate {
+func tableFault(r *rand.Rand) fault {
 	switch r.IntN(10) {
 	case 0:
-		return fate{lost: true}
+		return fault{callLost: true}
 	case 1, 2:
-		return fate{mute: true}
+		return fault{answerLost: true}
 	case 3:
-		return fate{transit: callTimeout + 1 + upTo(r, 20*time.Second)}
+		return fault{transitDelay: callTimeout + 1 + upTo(r, 20*time.Second)}
 	}
-	return fate{}
+	return fault{}
 }
 
-// orderFate keeps to the assumptions in the package's comment: a server that
-// checks gets no order sent later than the lease's margin after the check; on
-// one that doesn't, orders take effect within their lifetime or never.
-func (w *world) orderFate(r *rand.Rand, n *node) fate {
-	f := fate{lost: r.IntN(8) == 0, mute: r.IntN(3) == 0}
+// orderFault draws faults within the package's assumptions. To a server that
+// checks fencing numbers, orders are sent at most the lease's margin after the
+// lease was checked. On a server that doesn't, orders take effect within their
+// lifetime or never.
+func (w *simulation) orderFault(r *rand.Rand, n *node) fault {
+	f := fault{callLost: r.IntN(8) == 0, answerLost: r.IntN(3) == 0}
 	if r.IntN(3) == 0 {
-		f.transit = upTo(r, 14*time.Second)
+		f.transitDelay = upTo(r, 14*time.Second)
 	}
 	if r.IntN(3) == 0 {
-		f.again = upTo(r, 7*time.Second)
+		f.duplicateAfter = upTo(r, 7*time.Second)
 	}
 	if _, running := n.book.MaySend(w.now, server); running && r.IntN(4) == 0 {
-		f.unsent = upTo(r, 900*time.Millisecond)
+		f.sendDelay = upTo(r, 900*time.Millisecond)
 		if !w.engine.checks {
-			f.unsent *= 9
+			f.sendDelay *= 9
 		}
 	}
 	return f
 }
 
-// owned returns a world in which the first node owns the server.
-func owned(t *testing.T, checks bool) (*world, *node, *node) {
-	w := newWorld(checks)
+// newOwnedServer returns a simulation in which the first node owns the server,
+// and the two nodes.
+func newOwnedServer(t *testing.T, checks bool) (*simulation, *node, *node) {
+	w := newSimulation(checks)
 	a, b := w.nodes[0], w.nodes[1]
-	a.renew(fate{})
-	a.take(fate{})
+	a.renew(fault{})
+	a.take(fault{})
 	a.poll()
 	require.Equal(t, uint64(1), a.ledger.Epoch())
 	return w, a, b
 }
 
-// takeOver lets the second node wait out the first one's session, then own.
-func (w *world) takeOver(t *testing.T, b *node) {
-	b.renew(fate{})
-	b.take(fate{}) // sees who owns the server
-	b.take(fate{}) // sees the session
+// takeOver lets the second node wait until the first node's session has expired
+// and then acquire the server.
+func (w *simulation) takeOver(t *testing.T, b *node) {
+	b.renew(fault{})
+	b.take(fault{}) // observes the owner of the server
+	b.take(fault{}) // observes the owner's session
 	w.advance(8 * time.Second)
-	b.renew(fate{})
-	b.take(fate{})
+	b.renew(fault{})
+	b.take(fault{})
 	b.poll()
 	require.Equal(t, uint64(2), b.ledger.Epoch())
 }
 
-// fill loads all that fits with the node's ledger.
-func (w *world) fill(n *node) {
+// fill loads every item that the node's ledger allows.
+func (w *simulation) fill(n *node) {
 	for _, item := range items[1:] {
-		n.renew(fate{})
-		n.give(item, fate{})
+		n.renew(fault{})
+		n.orderItem(item, fault{})
 		w.advance(3 * time.Second)
-		n.renew(fate{})
+		n.renew(fault{})
 		n.poll()
 	}
 }
 
-func both(t *testing.T, f func(t *testing.T, checks bool)) {
+func withAndWithoutFencing(t *testing.T, f func(t *testing.T, checks bool)) {
 	t.Run("checks", func(t *testing.T) { f(t, true) })
 	t.Run("does not check", func(t *testing.T) { f(t, false) })
 }
 
-// TestInvariantMemoryNeverOvercommittedPausedOwner: an owner passes its lease
-// check, is paused for longer than its lease, and sends when it wakes; by then
-// another owner has filled the server.
+// TestInvariantMemoryNeverOvercommittedPausedOwner guards against an owner that
+// pauses between its lease check and the send for longer than its lease, and
+// sends after another owner has filled the server.
 func TestInvariantMemoryNeverOvercommittedPausedOwner(t *testing.T) {
-	both(t, func(t *testing.T, checks bool) {
-		w, a, b := owned(t, checks)
-		a.give(items[0], fate{unsent: 25 * time.Second})
+	withAndWithoutFencing(t, func(t *testing.T, checks bool) {
+		w, a, b := newOwnedServer(t, checks)
+		a.orderItem(items[0], fault{sendDelay: 25 * time.Second})
 		w.takeOver(t, b)
 		w.fill(b)
-		w.advance(20 * time.Second) // the paused owner wakes and sends
+		w.advance(20 * time.Second) // the paused owner resumes and sends
 		require.LessOrEqual(t, w.engine.peak, int64(capacity))
-		require.Equal(t, checks, w.engine.items[items[0]] == nil, "refused only where numbers are checked")
+		require.Equal(t, checks, w.engine.items[items[0]] == nil, "refused only if the server checks fencing numbers")
 
-		a.poll() // awake, it orders once more
+		a.poll() // after the pause it sends another order
 		loads := w.engine.loads
-		a.give(items[0], fate{})
-		a.give(items[3], fate{})
+		a.orderItem(items[0], fault{})
+		a.orderItem(items[3], fault{})
 		w.advance(time.Second)
-		require.Equal(t, loads, w.engine.loads, "an order after the lease was lost")
+		require.Equal(t, loads, w.engine.loads, "an order was executed after the lease was lost")
 	})
 }
 
-// TestInvariantMemoryNeverOvercommittedLateOrder: a load order arrives 29.9 s
-// after its item was given up, of the 30 s that are its lifetime.
+// TestInvariantMemoryNeverOvercommittedLateOrder guards against freeing memory
+// too early when a call times out: its load order arrives after 29.9 s, within
+// its lifetime of 30 s.
 func TestInvariantMemoryNeverOvercommittedLateOrder(t *testing.T) {
-	both(t, func(t *testing.T, checks bool) {
-		w, a, _ := owned(t, checks)
-		a.give(items[0], fate{transit: 29900 * time.Millisecond})
+	withAndWithoutFencing(t, func(t *testing.T, checks bool) {
+		w, a, _ := newOwnedServer(t, checks)
+		a.orderItem(items[0], fault{transitDelay: 29900 * time.Millisecond})
 		w.advance(callTimeout)
-		a.renew(fate{})
+		a.renew(fault{})
 		a.poll()
 		require.Equal(t, ledger.Uncertain, a.ledger.Entry(items[0]).State)
-		require.Equal(t, int64(capacity-55), a.ledger.Free(), "given up, not given back")
-		if checks { // a new epoch makes the order void at once
-			a.take(fate{mute: true})
+		require.Equal(t, int64(capacity-55), a.ledger.Free(), "the call timed out, but the memory stays reserved")
+		if checks { // a new epoch invalidates the order immediately
+			a.take(fault{answerLost: true})
 			a.poll()
 			require.Equal(t, int64(capacity), a.ledger.Free())
 		}
 		w.fill(a)
 		w.advance(30 * time.Second)
 		require.LessOrEqual(t, w.engine.peak, int64(capacity))
-		require.Equal(t, checks, w.engine.stale > 0)
+		require.Equal(t, checks, w.engine.staleOrders > 0)
 		require.Positive(t, w.engine.loads)
 	})
 }
 
-// TestInvariantMemoryNeverOvercommittedRestartWhileOwnerPaused: the engine
-// restarts while an earlier owner's order is checked and not sent; the new boot
-// proves nothing about it.
+// TestInvariantMemoryNeverOvercommittedRestartWhileOwnerPaused guards against
+// settling an order because of a new boot id: the engine restarts between an
+// earlier owner's lease check and its send, so the order reaches the new boot.
 func TestInvariantMemoryNeverOvercommittedRestartWhileOwnerPaused(t *testing.T) {
-	w, a, b := owned(t, false)
-	a.give(items[0], fate{unsent: 29 * time.Second})
+	w, a, b := newOwnedServer(t, false)
+	a.orderItem(items[0], fault{sendDelay: 29 * time.Second})
 	w.takeOver(t, b)
 	w.advance(time.Second)
 	b.poll()
@@ -227,8 +232,9 @@
 	require.LessOrEqual(t, w.engine.peak, int64(capacity))
 }
 
-// TestHoldsWhatIsNotProved: cases in which an entry looks settled and isn't.
-func TestHoldsWhatIsNotProved(t *testing.T) {
+// TestUnsettledOrderKeepsMemory covers orders that seem settled but may still
+// take effect, next to similar ones that are settled.
+func TestUnsettledOrderKeepsMemory(t *testing.T) {
 	item := items[0]
 	inventory := func(states ...backend.ItemState) backend.Inventory {
 		inv := backend.Inventory{BootID: "b"}
@@ -252,7 +258,7 @@
 		require.True(t, ok)
 		l.Sending(4, id)
 		l.Answered(5, id, ledger.NotDone)
-		require.Equal(t, int64(45), l.Free(), "the first call may yet arrive")
+		require.Equal(t, int64(45), l.Free(), "the first call may still arrive")
 	})
 	t.Run("refused the first time", func(t *testing.T) {
 		l, id := sent()
@@ -262,7 +268,7 @@
 	t.Run("resident while a call is open", func(t *testing.T) {
 		l, id := sent()
 		l.Observe(3, 4, inventory(backend.Resident))
-		require.Equal(t, int64(45), l.Free(), "a restart now could bring the load's peak again")
+		require.Equal(t, int64(45), l.Free(), "after a restart the open call could load the item again")
 		_, err := l.Reserve(5, backend.Unload, item, ledger.Cost{}, nil)
 		require.ErrorContains(t, err, string(ledger.Unsettled))
 		l.Answered(6, id, ledger.Accepted)
@@ -300,25 +306,25 @@
 	})
 }
 
-// TestUncertainOrderEnds: what the lifetime settles is free again after it, and
-// not before.
+// TestUncertainOrderEnds checks that a lost order's memory is freed when the
+// order's lifetime has passed, and not earlier.
 func TestUncertainOrderEnds(t *testing.T) {
-	w, a, _ := owned(t, false)
-	a.give(items[0], fate{lost: true})
-	keep := func(d time.Duration) {
+	w, a, _ := newOwnedServer(t, false)
+	a.orderItem(items[0], fault{callLost: true})
+	advancePolling := func(d time.Duration) {
 		for end := w.now + d; w.now < end; {
 			w.advance(time.Second)
-			a.renew(fate{})
+			a.renew(fault{})
 			a.poll()
 		}
 	}
-	keep(callTimeout + lifetime - 2*time.Second)
+	advancePolling(callTimeout + lifetime - 2*time.Second)
 	require.Equal(t, ledger.Uncertain, a.ledger.Entry(items[0]).State)
-	keep(3 * time.Second)
+	advancePolling(3 * time.Second)
 	require.Equal(t, ledger.Absent, a.ledger.Entry(items[0]).State)
 }
 
-// TestReserveRefuses: each reason for which the ledger allows no order.
+// TestReserveRefuses covers each reason for which an order is refused.
 func TestReserveRefuses(t *testing.T) {
 	model, old := backend.Item{Name: "m", Version: "2"}, backend.Item{Name: "m", Version: "1"}
 	adapter := backend.Item{Name: "x", Version: "1", Base: "m"}
@@ -367,16 +373,17 @@
 	}
 }
 
-// TestSessionEndsAsAWhole: after a rival has taken one server, no renewal of
-// the old session can succeed, not even one sent before.
+// TestSessionEndsAsAWhole checks that after another node has acquired one server,
+// no renewal of the previous owner's session is committed, not even one that was
+// sent earlier.
 func TestSessionEndsAsAWhole(t *testing.T) {
-	w, a, b := owned(t, true)
+	w, a, b := newOwnedServer(t, true)
 	var late row.Tx
 	w.advance(time.Second)
 	late = a.book.Renew(w.now)
 	w.takeOver(t, b)
 	require.False(t, w.table.commit(late).Committed)
-	a.renew(fate{})
+	a.renew(fault{})
 	_, held := a.book.Held(server)
 	require.False(t, held)
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -9,56 +9,56 @@
 	"guavapaddle/core/backend"
 )
 
-const maxDoublings = 3
+const maxResendDoublings = 3
 
 type (
-	// Settings of a Ledger.
+	// Settings configures a Ledger.
 	Settings struct {
 		Server   string
-		Capacity int64                   // bytes for items: memory less the reserve for KV cache
-		Checks   bool                    // the server refuses old fencing numbers
-		Lifetime time.Duration           // of an order on a server that doesn't check; zero: it never ends
+		Capacity int64                   // bytes available for items: memory less the reserve for the KV cache
+		Checks   bool                    // the server refuses outdated fencing numbers
+		Lifetime time.Duration           // of an order on a server that doesn't check; zero means unlimited
 		Cost     func(backend.Item) Cost // of items found in an inventory; may be nil
 	}
 
-	// Ledger is the memory of one backend server.
+	// Ledger accounts for the memory of one backend server.
 	Ledger struct {
-		set     Settings
-		epoch   uint64 // zero before Adopt
-		seq     uint64
-		boot    string
-		began   time.Duration // of the last observation of this boot
-		entries map[backend.Item]*Entry
+		settings    Settings
+		epoch       uint64 // zero before Adopt
+		seq         uint64
+		bootID      string
+		requestedAt time.Duration // when the last inventory of this boot was requested
+		entries     map[backend.Item]*Entry
 	}
 )
 
-// New returns a ledger that allows nothing until Adopt.
+// New returns a ledger that allows no order before the first call of Adopt.
 func New(s Settings) *Ledger {
-	return &Ledger{set: s, entries: map[backend.Item]*Entry{}}
+	return &Ledger{settings: s, entries: map[backend.Item]*Entry{}}
 }
 
-// Set replaces the settings, as after a change of the configuration. Bytes that
-// are held stay held.
-func (l *Ledger) Set(s Settings) { l.set = s }
+// Set replaces the settings, for example after a configuration change. Memory
+// that is reserved remains reserved.
+func (l *Ledger) Set(s Settings) { l.settings = s }
 
 // Epoch returns the epoch of the last Adopt.
 func (l *Ledger) Epoch() uint64 { return l.epoch }
 
-// Boot returns the boot id last seen.
-func (l *Ledger) Boot() string { return l.boot }
+// Boot returns the last observed boot id.
+func (l *Ledger) Boot() string { return l.bootID }
 
-// Adopt starts the ledger under a new, higher epoch, from an inventory read
-// after the server was taken and, on a server that checks, after the fence was
-// raised to the epoch. Inherited are the records that the server's row carried
-// when it was taken; they count only on a server that doesn't check. Taken is a
-// moment after the take.
+// Adopt restarts the ledger under a new, higher epoch. The inventory must have
+// been read after the server was acquired and, on a server that checks fencing
+// numbers, after the fence was raised to the epoch. Inherited are the records in
+// the server's row at its acquisition; they are used only on a server that
+// doesn't check. Taken is a time after the acquisition.
 func (l *Ledger) Adopt(taken time.Duration, epoch uint64, inv backend.Inventory, inherited []Record) {
 	if epoch <= l.epoch {
-		panic(fmt.Sprintf("ledger: epoch %d after %d", epoch, l.epoch))
+		panic(fmt.Sprintf("ledger: adopted epoch %d is not higher than %d", epoch, l.epoch))
 	}
-	l.epoch, l.seq, l.boot, l.began = epoch, 0, inv.BootID, taken
+	l.epoch, l.seq, l.bootID, l.requestedAt = epoch, 0, inv.BootID, taken
 	clear(l.entries)
-	if !l.set.Checks {
+	if !l.settings.Checks {
 		for _, r := range inherited {
 			l.inherit(taken, r)
 		}
@@ -66,7 +66,7 @@
 	l.apply(taken, taken, inv)
 }
 
-// inherit takes over an earlier owner's unsettled order.
+// inherit adds an unsettled order of an earlier owner.
 func (l *Ledger) inherit(taken time.Duration, r Record) {
 	sends := 1
 	if r.Resent {
@@ -75,11 +75,11 @@
 	l.entries[r.Order.Item] = &Entry{
 		Item: r.Order.Item, State: Uncertain, Cost: Cost{Bytes: r.Order.Bytes, Peak: r.Peak},
 		Order: r.Order, Since: taken, Sends: sends, inherited: true,
-		returned: taken, until: taken + l.set.Lifetime,
+		lastCallEnd: taken, expires: taken + l.settings.Lifetime,
 	}
 }
 
-// Used returns the bytes held.
+// Used returns the reserved bytes.
 func (l *Ledger) Used() int64 {
 	var n int64
 	for _, e := range l.entries {
@@ -88,11 +88,11 @@
 	return n
 }
 
-// Free returns the bytes that a new order may take; it can be negative.
-func (l *Ledger) Free() int64 { return l.set.Capacity - l.Used() }
+// Free returns the bytes available to new orders. It can be negative.
+func (l *Ledger) Free() int64 { return l.settings.Capacity - l.Used() }
 
-// Serving returns the items that are resident and not ordered to unload,
-// ordered by name.
+// Serving returns the items that are resident and not ordered to unload, sorted
+// by name.
 func (l *Ledger) Serving() []backend.Item {
 	var out []backend.Item
 	for _, e := range l.Entries() {
@@ -103,7 +103,7 @@
 	return out
 }
 
-// Coming returns the items that are to become resident, ordered by name.
+// Coming returns the items that may become resident, sorted by name.
 func (l *Ledger) Coming() []backend.Item {
 	var out []backend.Item
 	for _, e := range l.Entries() {
@@ -122,7 +122,7 @@
 	return Entry{Item: i, State: Absent}
 }
 
-// Entries returns all entries, ordered by item.
+// Entries returns all entries, sorted by item.
 func (l *Ledger) Entries() []Entry {
 	out := make([]Entry, 0, len(l.entries))
 	for _, e := range l.entries {
@@ -132,9 +132,9 @@
 	return out
 }
 
-// Records returns the orders that the next owner has to know of, ordered by
-// item. On a server that doesn't check they are kept in the table before any of
-// them is sent.
+// Records returns the unsettled orders, which the next owner has to know, sorted
+// by item. On a server that doesn't check fencing numbers the records must be
+// stored in the table before any of the orders is sent.
 func (l *Ledger) Records() []Record {
 	var out []Record
 	for _, e := range l.Entries() {
@@ -145,12 +145,13 @@
 	return out
 }
 
-// Reserve decides whether an order may be given, and takes its bytes. The cost
-// of an unload is the entry's own. Last tells whether an item is the last copy
-// that serves anywhere; nil protects nothing. The error is a *Refusal.
-func (l *Ledger) Reserve(now time.Duration, op backend.Op, item backend.Item, cost Cost, last func(backend.Item) bool) (backend.Order, error) {
+// Reserve decides whether an order is allowed and reserves its memory. For an
+// unload the cost is ignored: the entry has its own. IsLastCopy reports whether
+// an item is the last copy that serves anywhere; if it is nil, last copies may be
+// unloaded. The error is a *Refusal.
+func (l *Ledger) Reserve(now time.Duration, op backend.Op, item backend.Item, cost Cost, isLastCopy func(backend.Item) bool) (backend.Order, error) {
 	refuse := func(r Reason) (backend.Order, error) {
-		return backend.Order{}, &Refusal{Server: l.set.Server, Item: item.String(), Reason: r, Need: cost.Bytes + cost.Peak, Free: l.Free()}
+		return backend.Order{}, &Refusal{Server: l.settings.Server, Item: item.String(), Reason: r, Need: cost.Bytes + cost.Peak, Free: l.Free()}
 	}
 	e, ok := l.entries[item]
 	switch {
@@ -171,19 +172,20 @@
 		return refuse(NotResident)
 	case item.Base == "" && l.baseInUse(item):
 		return refuse(BaseInUse)
-	case last != nil && last(item):
+	case isLastCopy != nil && isLastCopy(item):
 		return refuse(LastCopy)
 	}
 	l.seq++
 	e.Order = backend.Order{
-		OrderID: fmt.Sprintf("%s/%d/%d", l.set.Server, l.epoch, l.seq),
+		OrderID: fmt.Sprintf("%s/%d/%d", l.settings.Server, l.epoch, l.seq),
 		Fence:   l.epoch, Op: op, Item: item, Bytes: e.Cost.Bytes,
 	}
-	e.Sends, e.returned, e.inherited, e.seen = 0, now, false, false
+	e.Sends, e.lastCallEnd, e.inherited, e.observed = 0, now, false, false
 	return e.Order, nil
 }
 
-// hasBase tells whether a version of the model serves and is to stay.
+// hasBase reports whether a version of the model is resident and has no
+// unsettled order.
 func (l *Ledger) hasBase(model string) bool {
 	for _, e := range l.entries {
 		if e.Item.Base == "" && e.Item.Name == model && e.State == Resident && !e.pending() {
@@ -193,8 +195,8 @@
 	return false
 }
 
-// baseInUse tells whether adapters need this version of their model: they are
-// there, and no other version of the model is.
+// baseInUse reports whether adapters need this version of their model: there are
+// entries for adapters, and no other version of the model serves.
 func (l *Ledger) baseInUse(item backend.Item) bool {
 	adapters := false
 	for _, e := range l.entries {
@@ -208,92 +210,94 @@
 	return adapters
 }
 
-// Resend returns an unsettled order to be sent again, with Sends counted up so
-// that Records tells of it; the caller keeps these first, as for a new order.
-// Orders inherited from an earlier owner are not sent again.
+// Resend returns an unsettled order to be sent again. It increments Sends, so
+// that the order's record shows the resend; as for a new order, the caller must
+// first store the records where that is required. Orders inherited from an
+// earlier owner are not sent again.
 func (l *Ledger) Resend(item backend.Item) (backend.Order, bool) {
 	e, ok := l.entries[item]
-	if !ok || !e.pending() || e.inherited || e.open > 0 || e.Sends == 0 {
+	if !ok || !e.pending() || e.inherited || e.openCalls > 0 || e.Sends == 0 {
 		return backend.Order{}, false
 	}
 	e.Sends++
 	return e.Order, true
 }
 
-// Overdue returns the entries with an order of this owner that has had no
-// effect since a call ended at least patience ago, doubled for each further
-// call up to eight times, ordered by item.
-func (l *Ledger) Overdue(now, patience time.Duration) []Entry {
+// Overdue returns the entries, sorted by item, whose order was given by this
+// owner, was sent, and has had no observed effect although its last call ended
+// at least resendAfter ago. That time doubles with each further call, up to
+// eight times resendAfter.
+func (l *Ledger) Overdue(now, resendAfter time.Duration) []Entry {
 	var out []Entry
 	for _, e := range l.Entries() {
-		if !e.pending() || e.inherited || e.open > 0 || e.Sends == 0 || e.seen || e.State == Resident {
+		if !e.pending() || e.inherited || e.openCalls > 0 || e.Sends == 0 || e.observed || e.State == Resident {
 			continue
 		}
-		if now-e.returned >= patience<<min(e.Sends-1, maxDoublings) {
+		if now-e.lastCallEnd >= resendAfter<<min(e.Sends-1, maxResendDoublings) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// Cancel takes back an order that Reserve or Resend returned and that was not
-// sent since.
+// Cancel cancels an order that was returned by Reserve or Resend and has not
+// been sent since.
 func (l *Ledger) Cancel(now time.Duration, orderID string) {
-	e := l.byOrder(orderID)
-	if e == nil || e.Sends > 0 || e.open > 0 {
-		return // a resend that is taken back leaves the order as it was
+	e := l.entryByOrder(orderID)
+	if e == nil || e.Sends > 0 || e.openCalls > 0 {
+		return // canceling a resend leaves the earlier send unsettled
 	}
 	l.undo(now, e)
 }
 
-// Sending tells that a call with the order is about to be made.
+// Sending records that a call with the order is about to be made.
 func (l *Ledger) Sending(now time.Duration, orderID string) {
-	e := l.byOrder(orderID)
+	e := l.entryByOrder(orderID)
 	if e == nil {
 		return
 	}
-	e.open++
+	e.openCalls++
 	if e.Sends == 0 {
 		e.Sends = 1
 		if e.Order.Op == backend.Load {
-			e.to(now, Loading)
+			e.setState(now, Loading)
 		} else {
-			e.to(now, Unloading)
+			e.setState(now, Unloading)
 		}
 	}
 }
 
-// Answered tells what became of the call.
+// Answered records the result of a call with the order.
 func (l *Ledger) Answered(now time.Duration, orderID string, a Answer) {
-	e := l.byOrder(orderID)
+	e := l.entryByOrder(orderID)
 	if e == nil {
 		return
 	}
-	e.open--
-	e.returned = now
+	e.openCalls--
+	e.lastCallEnd = now
 	switch {
-	case a == NotDone && e.Sends == 1 && !e.seen:
+	case a == NotDone && e.Sends == 1 && !e.observed:
 		l.undo(now, e)
 	case a != Accepted && e.State != Resident:
-		e.to(now, Uncertain)
+		e.setState(now, Uncertain)
 	case a == Accepted && e.State == Uncertain && e.Order.Op == backend.Load:
-		e.to(now, Loading)
+		e.setState(now, Loading)
 	case a == Accepted && e.State == Uncertain:
-		e.to(now, Unloading)
+		e.setState(now, Unloading)
 	}
 }
 
-// undo forgets an order that has no effect.
+// undo removes an order that has no effect.
 func (l *Ledger) undo(now time.Duration, e *Entry) {
 	if e.Order.Op == backend.Load {
 		delete(l.entries, e.Item)
 		return
 	}
-	e.settle()
-	e.to(now, Resident)
+	e.clearOrder()
+	e.setState(now, Resident)
 }
 
-func (l *Ledger) byOrder(id string) *Entry {
+func (l *Ledger) entryByOrder(id string) *Entry {
 	for _, e := range l.entries {
 		if e.Order.OrderID == id {
 			return e
@@ -302,116 +306,119 @@
 	return nil
 }
 
-// Observe tells the ledger an inventory, asked for at began and got at now, in
-// the order of asking. It returns true if the engine has restarted.
-func (l *Ledger) Observe(began, now time.Duration, inv backend.Inventory) bool {
+// Observe updates the ledger from an inventory that was requested at requestedAt
+// and received at now. Inventories must be passed in the order of their requests.
+// Observe reports whether the engine has restarted.
+func (l *Ledger) Observe(requestedAt, now time.Duration, inv backend.Inventory) bool {
 	if l.epoch == 0 {
 		return false
 	}
-	restarted := inv.BootID != l.boot
+	restarted := inv.BootID != l.bootID
 	if restarted {
 		l.restart(now)
-		l.boot = inv.BootID
+		l.bootID = inv.BootID
 	}
-	l.apply(began, now, inv)
-	l.began = began
+	l.apply(requestedAt, now, inv)
+	l.requestedAt = requestedAt
 	return restarted
 }
 
-// restart forgets what died with the engine's old boot.
+// restart removes the entries that ended with the engine's previous boot.
 func (l *Ledger) restart(now time.Duration) {
 	for item, e := range l.entries {
 		switch {
 		case !e.pending(), e.Order.Op == backend.Unload:
 			delete(l.entries, item)
 		case e.State == Reserved:
-		case e.open == 0 && !e.inherited && e.returned < l.began:
+		case e.openCalls == 0 && !e.inherited && e.lastCallEnd < l.requestedAt:
 			delete(l.entries, item)
-		default: // the call may reach or have reached the new boot
-			e.seen = false
-			e.to(now, Uncertain)
+		default: // a call may have reached the new boot or may still reach it
+			e.observed = false
+			e.setState(now, Uncertain)
 		}
 	}
 }
 
-// apply compares the entries with an inventory.
-func (l *Ledger) apply(began, now time.Duration, inv backend.Inventory) {
-	there := make(map[backend.Item]bool, len(inv.Items))
+// apply updates the entries from an inventory.
+func (l *Ledger) apply(requestedAt, now time.Duration, inv backend.Inventory) {
+	inInventory := make(map[backend.Item]bool, len(inv.Items))
 	for _, s := range inv.Items {
-		there[s.Item] = true
+		inInventory[s.Item] = true
 		e, ok := l.entries[s.Item]
 		if !ok {
-			e = l.found(now, s)
+			e = l.addFound(now, s)
 		}
 		e.Cost.Bytes = max(e.Cost.Bytes, s.Bytes)
-		l.present(began, now, e, s.State)
+		l.observePresent(requestedAt, now, e, s.State)
 	}
 	for item, e := range l.entries {
-		if !there[item] {
-			l.absent(began, now, e)
+		if !inInventory[item] {
+			l.observeAbsent(requestedAt, now, e)
 		}
 	}
 }
 
-// found adds an item that the ledger did not know of.
-func (l *Ledger) found(now time.Duration, s backend.ItemStatus) *Entry {
+// addFound adds an entry for an unknown item found in an inventory.
+func (l *Ledger) addFound(now time.Duration, s backend.ItemStatus) *Entry {
 	e := &Entry{Item: s.Item, State: Loading, Cost: Cost{Bytes: s.Bytes}, Since: now}
-	if l.set.Cost != nil {
-		e.Cost = l.set.Cost(s.Item)
+	if l.settings.Cost != nil {
+		e.Cost = l.settings.Cost(s.Item)
 	}
 	l.entries[s.Item] = e
 	return e
 }
 
-// present notes that the engine has the item.
-func (l *Ledger) present(began, now time.Duration, e *Entry, s backend.ItemState) {
+// observePresent updates the entry of an item that is in the inventory.
+func (l *Ledger) observePresent(requestedAt, now time.Duration, e *Entry, s backend.ItemState) {
 	if e.Order.Op == backend.Load {
-		e.seen = true
+		e.observed = true
 	}
 	switch {
 	case s == backend.Unloading:
-		e.to(now, Unloading)
+		e.setState(now, Unloading)
 	case e.Order.Op == backend.Unload:
-		if l.void(began, e) {
-			e.settle()
-			e.to(now, Resident)
+		if l.lifetimePassed(requestedAt, e) {
+			e.clearOrder()
+			e.setState(now, Resident)
 		}
 	case s == backend.Loading:
-		e.to(now, Loading)
+		e.setState(now, Loading)
 	default:
-		e.to(now, Resident)
-		// Only when no call can still be under way is the order settled: a
-		// second one could reach a later boot of the engine.
-		if e.open == 0 && began > e.returned && (!e.inherited || !e.resent() || began >= e.until) {
-			e.settle()
+		e.setState(now, Resident)
+		// The order is settled only when no call with it can still be in
+		// transit: another one could reach a later boot of the engine.
+		if e.openCalls == 0 && requestedAt > e.lastCallEnd && (!e.inherited || !e.resent() || requestedAt >= e.expires) {
+			e.clearOrder()
 		}
 	}
 }
 
-// absent notes that the engine does not have the item.
-func (l *Ledger) absent(began, now time.Duration, e *Entry) {
+// observeAbsent updates the entry of an item that is not in the inventory.
+func (l *Ledger) observeAbsent(requestedAt, now time.Duration, e *Entry) {
 	switch {
 	case !e.pending(), e.Order.Op == backend.Unload:
-		// It was there, and nothing can bring it back.
+		// The item was present, and no order can load it again.
 		delete(l.entries, e.Item)
 	case e.State == Reserved:
-	case l.void(began, e):
+	case l.lifetimePassed(requestedAt, e):
 		delete(l.entries, e.Item)
-	case e.seen || e.State == Resident:
-		// The load failed. An engine may forget that it had the order, so that
-		// another copy of it would load again.
-		e.seen = false
-		e.to(now, Uncertain)
+	case e.observed || e.State == Resident:
+		// The load failed. The engine may no longer know the order id, so that
+		// a duplicate of the order would load the item again.
+		e.observed = false
+		e.setState(now, Uncertain)
 	}
 }
 
-// void tells whether the lifetime of an unsettled order had passed at a moment.
-func (l *Ledger) void(at time.Duration, e *Entry) bool {
-	if l.set.Checks || l.set.Lifetime == 0 || e.open > 0 {
+// lifetimePassed reports whether the lifetime of an unsettled order had ended by
+// the given time. It is false on a server that checks fencing numbers, where the
+// lifetime is not used.
+func (l *Ledger) lifetimePassed(at time.Duration, e *Entry) bool {
+	if l.settings.Checks || l.settings.Lifetime == 0 || e.openCalls > 0 {
 		return false
 	}
 	if e.inherited {
-		return at >= e.until
+		return at >= e.expires
 	}
-	return at >= e.returned+l.set.Lifetime
+	return at >= e.lastCallEnd+l.settings.Lifetime
 }
--- a/core/ledger/world_test.go
+++ b/core/ledger/simulation_test.go
@@ -28,10 +28,11 @@
 	{Name: "a", Version: "1"}, {Name: "b", Version: "1"}, {Name: "c", Version: "1"}, {Name: "b", Version: "2"},
 }
 
-// cost makes any two of the items fit, never three, nor two that load at once.
+// cost is chosen so that any two items fit, but neither three items nor two that
+// load at the same time.
 func cost(backend.Item) ledger.Cost { return ledger.Cost{Bytes: 40, Peak: 15} }
 
-// TestMain fixes rapid's seed unless one is given.
+// TestMain sets a fixed seed for the property tests unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -43,14 +44,14 @@
 }
 
 type (
-	// world is a table, an engine and two nodes on one clock.
-	world struct {
+	// simulation models a table, an engine and two nodes with a common clock.
+	simulation struct {
 		now      time.Duration
 		events   []event
 		table    modelTable
 		engine   modelEngine
 		nodes    []*node
-		lifetime time.Duration // stated for the server
+		lifetime time.Duration // of orders, as configured for the server
 		traced   bool
 		trace    []string
 	}
@@ -66,42 +67,43 @@
 		down     bool
 	}
 
-	// modelEngine never refuses for want of memory: it measures.
+	// modelEngine measures its memory use and never refuses an order because
+	// memory is short.
 	modelEngine struct {
-		checks bool
-		boot   int
-		fence  uint64
-		items  map[backend.Item]*held
-		done   map[string]bool
-		peak   int64
-		loads  int
-		stale  int
+		checks      bool
+		boot        int
+		fence       uint64
+		items       map[backend.Item]*loadedItem
+		done        map[string]bool
+		peak        int64
+		loads       int
+		staleOrders int
 	}
 
-	held struct{ state backend.ItemState }
+	loadedItem struct{ state backend.ItemState }
 
-	// node does what internal/owner does, one call at a time.
+	// node does what package internal/owner does, but one call at a time.
 	node struct {
-		w      *world
-		name   string
-		starts int
-		busy   time.Duration // paused or in a call until then
-		book   *lease.Book
-		ledger *ledger.Ledger
+		w         *simulation
+		name      string
+		starts    int
+		busyUntil time.Duration // the node is paused or in a call until then
+		book      *lease.Book
+		ledger    *ledger.Ledger
 	}
 
-	// fate is what happens to one call.
-	fate struct {
-		unsent, transit time.Duration // from the lease check to the send, and then to the effect
-		lost, mute      bool          // the call, its answer
-		again           time.Duration // a second copy so much later, if not zero
+	// fault is the set of faults that affect one call. The zero value is none.
+	fault struct {
+		sendDelay, transitDelay time.Duration // from the lease check to the send, and from there to the effect
+		callLost, answerLost    bool          // whether the call or its reply is lost
+		duplicateAfter          time.Duration // delay of a duplicate of the call; zero means none
 	}
 )
 
-func newWorld(checks bool) *world {
-	w := &world{lifetime: lifetime}
+func newSimulation(checks bool) *simulation {
+	w := &simulation{lifetime: lifetime}
 	w.table.rows = map[string]row.Row{}
-	w.engine = modelEngine{checks: checks, items: map[backend.Item]*held{}, done: map[string]bool{}}
+	w.engine = modelEngine{checks: checks, items: map[backend.Item]*loadedItem{}, done: map[string]bool{}}
 	for i := range 2 {
 		n := &node{w: w, name: fmt.Sprintf("n%d", i)}
 		n.start()
@@ -110,20 +112,20 @@
 	return w
 }
 
-// note adds to the trace that a failure prints.
-func (w *world) note(format string, args ...any) {
+// tracef adds a line to the trace, which is printed if the test fails.
+func (w *simulation) tracef(format string, args ...any) {
 	if !w.traced {
 		return
 	}
 	w.trace = append(w.trace, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) schedule(d time.Duration, do func()) {
 	w.events = append(w.events, event{at: w.now + d, do: do})
 }
 
-// advance passes time and does what is due, in order.
-func (w *world) advance(d time.Duration) {
+// advance advances the clock and runs the events that become due, in order.
+func (w *simulation) advance(d time.Duration) {
 	end := w.now + d
 	for {
 		next := -1
@@ -193,13 +195,14 @@
 	return inv
 }
 
-// raise returns false for an old fencing number on an engine that checks.
-func (e *modelEngine) raise(fence uint64) bool {
+// raiseFence raises the fence. It returns false if the engine checks fencing
+// numbers and this one is outdated.
+func (e *modelEngine) raiseFence(fence uint64) bool {
 	if !e.checks {
 		return true
 	}
 	if fence < e.fence {
-		e.stale++
+		e.staleOrders++
 		return false
 	}
 	e.fence = fence
@@ -208,36 +211,36 @@
 
 func (e *modelEngine) restart() {
 	e.boot++
-	e.fence, e.items, e.done = 0, map[backend.Item]*held{}, map[string]bool{}
+	e.fence, e.items, e.done = 0, map[backend.Item]*loadedItem{}, map[string]bool{}
 }
 
-// order takes effect now.
-func (w *world) order(o backend.Order) ledger.Answer {
+// order executes o at the engine.
+func (w *simulation) order(o backend.Order) ledger.Answer {
 	e := &w.engine
 	if e.done[o.OrderID] {
 		return ledger.Accepted
 	}
-	if !e.raise(o.Fence) {
+	if !e.raiseFence(o.Fence) {
 		return ledger.NotDone
 	}
-	w.note("engine does %s %s %s, has %d", o.OrderID, o.Op, o.Item, len(e.items))
+	w.tracef("engine does %s %s %s, has %d", o.OrderID, o.Op, o.Item, len(e.items))
 	e.done[o.OrderID] = true
 	_, there := e.items[o.Item]
 	switch {
 	case o.Op == backend.Unload:
 		delete(e.items, o.Item)
 	case !there:
-		h := &held{state: backend.Loading}
+		h := &loadedItem{state: backend.Loading}
 		e.items[o.Item] = h
 		e.loads++
 		e.measure()
 		fails := e.loads%9 == 0
-		w.after(loadTime, func() {
+		w.schedule(loadTime, func() {
 			if e.items[o.Item] != h {
 				return
 			}
 			h.state = backend.Resident
-			if fails { // and is forgotten, so that a second copy would load again
+			if fails { // the engine forgets the order id, so that a duplicate loads again
 				delete(e.items, o.Item)
 				delete(e.done, o.OrderID)
 			}
@@ -246,12 +249,12 @@
 	return ledger.Accepted
 }
 
-// start makes the node new, as after a crash.
+// start resets the node to its initial state, as after a crash.
 func (n *node) start() {
 	n.starts++
 	n.book = lease.NewBook(lease.Settings{Node: n.name, Incarnation: fmt.Sprint(n.starts)})
 	n.reset()
-	n.busy = 0
+	n.busyUntil = 0
 }
 
 func (n *node) reset() {
@@ -259,17 +262,17 @@
 		Lifetime: n.w.lifetime, Cost: cost})
 }
 
-// transact commits a transaction with a fate; late ones commit after their
-// answer was given up.
-func (n *node) transact(tx row.Tx, f fate) {
+// transact commits a transaction, subject to the fault f. A delayed transaction
+// commits after the node has stopped waiting for its reply.
+func (n *node) transact(tx row.Tx, f fault) {
 	t := &n.w.table
-	if t.down || f.lost {
+	if t.down || f.callLost {
 		return
 	}
-	if f.transit > callTimeout {
-		n.w.after(f.transit, func() { t.commit(tx) })
+	if f.transitDelay > callTimeout {
+		n.w.schedule(f.transitDelay, func() { t.commit(tx) })
 		n.pause(callTimeout)
-		n.w.after(callTimeout, n.alive(func() {
+		n.w.schedule(callTimeout, n.whileRunning(func() {
 			if !t.down {
 				n.book.Observe(n.w.now, t.read(n.book.Keys(tx)...)...)
 			}
@@ -278,7 +281,7 @@
 	}
 	r := t.commit(tx)
 	switch {
-	case f.mute:
+	case f.answerLost:
 		n.book.Observe(n.w.now, t.read(n.book.Keys(tx)...)...)
 	case r.Committed:
 		n.book.Committed(n.w.now, tx, r.Revision)
@@ -287,8 +290,8 @@
 	}
 }
 
-// alive returns f bound to this start of the node.
-func (n *node) alive(f func()) func() {
+// whileRunning returns a function that calls f unless the node has restarted.
+func (n *node) whileRunning(f func()) func() {
 	starts := n.starts
 	return func() {
 		if n.starts == starts {
@@ -297,22 +300,22 @@
 	}
 }
 
-func (n *node) pause(d time.Duration) { n.busy = max(n.busy, n.w.now+d) }
+func (n *node) pause(d time.Duration) { n.busyUntil = max(n.busyUntil, n.w.now+d) }
 
-func (n *node) renew(f fate) { n.transact(n.book.Renew(n.w.now), f) }
+func (n *node) renew(f fault) { n.transact(n.book.Renew(n.w.now), f) }
 
-func (n *node) take(f fate) {
+func (n *node) take(f fault) {
 	if n.w.table.down {
 		return
 	}
 	n.book.Observe(n.w.now, n.w.table.read(n.book.Watch(server)...)...)
 	_, held := n.book.Held(server)
-	if tx, ok := n.book.Take(n.w.now, server, 0); ok && (!held || f.mute) { // now and then the next epoch
+	if tx, ok := n.book.Take(n.w.now, server, 0); ok && (!held || f.answerLost) { // sometimes moves to the next epoch
 		n.transact(tx, f)
 	}
 }
 
-// poll adopts the server under a new epoch or reads its inventory.
+// poll adopts the server if the epoch is new, or else reads its inventory.
 func (n *node) poll() {
 	epoch, held := n.book.Held(server)
 	if !held {
@@ -322,26 +325,27 @@
 		e := &n.w.engine
 		_, running := n.book.MaySend(n.w.now, server)
 		if inv := e.inventory(); n.ledger.Observe(n.w.now, n.w.now, inv) && running {
-			e.raise(epoch)
+			e.raiseFence(epoch)
 		}
 		return
 	}
-	// The fence is raised only under a running lease: an engine that restarted
-	// has forgotten that a rival raised it.
-	if _, running := n.book.MaySend(n.w.now, server); !running || epoch < n.ledger.Epoch() || !n.w.engine.raise(epoch) {
+	// The fence may be raised only under a valid lease: an engine that restarted
+	// no longer has the fence that another owner raised.
+	if _, running := n.book.MaySend(n.w.now, server); !running || epoch < n.ledger.Epoch() || !n.w.engine.raiseFence(epoch) {
 		return
 	}
 	r, _ := n.book.Row(server)
 	var records []ledger.Record
 	if len(r.Orders) > 0 && json.Unmarshal(r.Orders, &records) != nil {
-		panic("orders in row")
+		panic("malformed orders in the server's row")
 	}
-	n.w.note("%s adopts %d with %v", n.name, epoch, records)
+	n.w.tracef("%s adopts %d with %v", n.name, epoch, records)
 	n.ledger.Adopt(n.w.now, epoch, n.w.engine.inventory(), records)
 }
 
-// give orders an item, or sends its unsettled order again.
-func (n *node) give(item backend.Item, f fate) {
+// orderItem orders an item to be loaded, or to be unloaded if it is resident, or
+// sends its unsettled order again.
+func (n *node) orderItem(item backend.Item, f fault) {
 	entry := n.ledger.Entry(item)
 	op := backend.Load
 	if entry.State == ledger.Resident {
@@ -354,16 +358,17 @@
 			return
 		}
 	}
-	if !n.w.engine.checks && !n.record() || !n.permit() {
+	if !n.w.engine.checks && !n.record() || !n.maySend() {
 		n.ledger.Cancel(n.w.now, order.OrderID)
 		return
 	}
 	n.send(order, f)
 }
 
-// permit is the check immediately before a send. In an outage of the table the
-// owner of a server that checks goes on.
-func (n *node) permit() bool {
+// maySend checks whether the node may send, immediately before it does. During an
+// outage of the table the owner of a server that checks fencing numbers may
+// continue to send.
+func (n *node) maySend() bool {
 	epoch, running := n.book.MaySend(n.w.now, server)
 	if running {
 		return epoch == n.ledger.Epoch()
@@ -382,44 +387,44 @@
 	if !ok || n.w.table.down {
 		return false
 	}
-	n.transact(tx, fate{})
+	n.transact(tx, fault{})
 	r, _ := n.book.Row(server)
 	_, held := n.book.Held(server)
 	return held && bytes.Equal(r.Orders, orders)
 }
 
-// send puts an order on its way.
-func (n *node) send(o backend.Order, f fate) {
-	n.w.note("%s sends %s %s %s %+v", n.name, o.OrderID, o.Op, o.Item, f)
+// send sends an order, subject to the fault f.
+func (n *node) send(o backend.Order, f fault) {
+	n.w.tracef("%s sends %s %s %s %+v", n.name, o.OrderID, o.Op, o.Item, f)
 	n.ledger.Sending(n.w.now, o.OrderID)
 	done := false
 	l := n.ledger
 	answer := func(a ledger.Answer) func() {
-		return n.alive(func() {
+		return n.whileRunning(func() {
 			if !done && n.ledger == l {
 				done = true
 				l.Answered(n.w.now, o.OrderID, a)
 			}
 		})
 	}
-	n.w.after(f.unsent, func() {
-		if f.lost {
+	n.w.schedule(f.sendDelay, func() {
+		if f.callLost {
 			return
 		}
-		boot := n.w.engine.boot // the connection dies with it
+		boot := n.w.engine.boot // a connection ends with the engine's process
 		arrive := func() {
 			if boot != n.w.engine.boot {
 				return
 			}
-			if a := n.w.order(o); !f.mute {
+			if a := n.w.order(o); !f.answerLost {
 				answer(a)()
 			}
 		}
-		n.w.after(f.transit, arrive)
-		if f.again > 0 {
-			n.w.after(f.transit+f.again, arrive)
+		n.w.schedule(f.transitDelay, arrive)
+		if f.duplicateAfter > 0 {
+			n.w.schedule(f.transitDelay+f.duplicateAfter, arrive)
 		}
 	})
-	n.pause(f.unsent + min(f.transit, callTimeout))
-	n.w.after(f.unsent+callTimeout, answer(ledger.Unknown))
+	n.pause(f.sendDelay + min(f.transitDelay, callTimeout))
+	n.w.schedule(f.sendDelay+callTimeout, answer(ledger.Unknown))
 }
