--- a/core/suspect/copies.go
+++ b/core/suspect/copies.go
@@ -1,39 +1,40 @@
 package suspect
 
-// Copies tells where copies of the same request run that have not shown yet
-// that they can run. A node sends a further copy to the same server, so that
-// copies sent at the same time can crash that server only. The zero value is
-// ready. Its owner guards it against concurrent use.
+// Copies records on which server unproven copies of a request run: copies that
+// have not yet shown that they run without a crash. A node sends a further copy
+// to the same server, so that concurrent copies can crash only that one. The zero
+// value is ready to use. Copies is not safe for concurrent use.
 type Copies struct {
-	running map[Fingerprint]place
+	running map[Fingerprint]location
 }
 
-// place is where the first copies run.
-type place struct {
+// location is the server of the first copy and the number of its running copies.
+type location struct {
 	server string
 	copies int
 }
 
-// Where returns the server at which copies of fp run that are not proven.
+// Where returns the server on which unproven copies of fp run, and false if there
+// are none.
 func (c *Copies) Where(fp Fingerprint) (string, bool) {
 	p, found := c.running[fp]
 	return p.server, found
 }
 
-// Begin notes that a copy was sent to server. A copy that had to go elsewhere
-// than Where is not counted.
+// Begin records that a copy was sent to server. A copy that had to be sent to
+// another server than the one returned by Where is not counted.
 func (c *Copies) Begin(fp Fingerprint, server string) {
 	if c.running == nil {
-		c.running = map[Fingerprint]place{}
+		c.running = map[Fingerprint]location{}
 	}
 	p, found := c.running[fp]
 	if found && p.server != server {
 		return
 	}
-	c.running[fp] = place{server: server, copies: p.copies + 1}
+	c.running[fp] = location{server: server, copies: p.copies + 1}
 }
 
-// End notes that a copy at server has ended.
+// End records that a copy at server has ended.
 func (c *Copies) End(fp Fingerprint, server string) {
 	p, found := c.running[fp]
 	if !found || p.server != server {
--- a/core/suspect/main_test.go
+++ b/core/suspect/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests unless one is given.
+// TestMain sets a fixed seed for the property tests unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/core/suspect/mark.go
+++ b/core/suspect/mark.go
@@ -11,21 +11,21 @@
 const fingerprintBytes = 16
 
 type (
-	// Fingerprint tells requests apart by team, model and body.
+	// Fingerprint identifies a request by its team, model and body.
 	Fingerprint string
 
-	// Incident is one crash of a server, or one trial whose end is not known.
+	// Incident is a crash of a server, or a trial whose result is not known.
 	Incident struct {
 		Server string `json:"server"`
-		BootID string `json:"boot-id,omitempty"` // of the run that crashed
+		BootID string `json:"boot-id,omitempty"` // boot of the server that crashed
 		Trial  string `json:"trial,omitempty"`   // attempt id, for a trial
 	}
 
-	// Mark is what is known against one fingerprint. It is immutable.
+	// Mark is the suspicion mark of a fingerprint. It is immutable.
 	Mark struct {
 		Fingerprint Fingerprint `json:"fingerprint"`
-		Incidents   []Incident  `json:"incidents,omitempty"` // sorted, without doubles
-		Cleared     []Incident  `json:"cleared,omitempty"`   // sorted, without doubles
+		Incidents   []Incident  `json:"incidents,omitempty"` // sorted, without duplicates
+		Cleared     []Incident  `json:"cleared,omitempty"`   // sorted, without duplicates
 		ExpiresMS   int64       `json:"expires-ms"`          // milliseconds since 1970
 	}
 )
@@ -33,7 +33,7 @@
 // Of returns the fingerprint of a request.
 func Of(team, model string, body []byte) Fingerprint {
 	h := sha256.New()
-	_, _ = fmt.Fprintf(h, "%d:%s%d:%s", len(team), team, len(model), model) // a hash does not fail
+	_, _ = fmt.Fprintf(h, "%d:%s%d:%s", len(team), team, len(model), model) // writes to a hash never fail
 	_, _ = h.Write(body)
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
@@ -49,7 +49,7 @@
 	return n
 }
 
-// Trying tells whether a trial is charged whose end is not known.
+// Trying reports whether a trial is charged whose result is not known.
 func (m Mark) Trying() bool {
 	for _, i := range m.Incidents {
 		if i.Trial != "" && !contains(m.Cleared, i) {
@@ -59,20 +59,20 @@
 	return false
 }
 
-// WithIncident returns m with one more incident.
+// WithIncident returns m with the incident added.
 func (m Mark) WithIncident(i Incident, expiresMS int64) Mark {
 	m.Incidents = union(m.Incidents, []Incident{i})
 	m.ExpiresMS = max(m.ExpiresMS, expiresMS)
 	return m
 }
 
-// WithCleared returns m with the incidents cleared.
+// WithCleared returns m with the given incidents cleared.
 func (m Mark) WithCleared(incidents ...Incident) Mark {
 	m.Cleared = union(m.Cleared, incidents)
 	return m
 }
 
-// Merge returns what m and o know together.
+// Merge returns the union of m and o.
 func (m Mark) Merge(o Mark) Mark {
 	return Mark{
 		Fingerprint: m.Fingerprint,
@@ -82,13 +82,13 @@
 	}
 }
 
-// Equal tells whether m and o know the same.
+// Equal reports whether m and o have the same contents.
 func (m Mark) Equal(o Mark) bool {
 	return m.Fingerprint == o.Fingerprint && m.ExpiresMS == o.ExpiresMS &&
 		slices.Equal(m.Incidents, o.Incidents) && slices.Equal(m.Cleared, o.Cleared)
 }
 
-// compare orders incidents.
+// compare orders incidents by server, boot id and trial.
 func compare(a, b Incident) int {
 	if c := strings.Compare(a.Server, b.Server); c != 0 {
 		return c
@@ -99,13 +99,13 @@
 	return strings.Compare(a.Trial, b.Trial)
 }
 
-// contains tells whether sorted has i.
+// contains reports whether the sorted slice contains i.
 func contains(sorted []Incident, i Incident) bool {
 	_, found := slices.BinarySearchFunc(sorted, i, compare)
 	return found
 }
 
-// union returns the sorted union of sorted a and any b in a new slice.
+// union returns the sorted union of a and b in a new slice.
 func union(a, b []Incident) []Incident {
 	if len(a)+len(b) == 0 {
 		return nil
--- a/core/suspect/record.go
+++ b/core/suspect/record.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// Prefix begins the key of every mark row.
+	// Prefix is the key prefix of mark rows.
 	Prefix = "suspect/"
-	// SlotPrefix begins the key of every slot row.
+	// SlotPrefix is the key prefix of slot rows.
 	SlotPrefix = "suspect-slot/"
 )
 
 type (
-	// Slot is the value of a slot row: the trial that a server runs. One marked
-	// request a server at a time keeps a second crash from being laid at the
-	// door of an innocent one.
+	// Slot is the value of a slot row: the trial that runs on a server. A server
+	// runs one marked request at a time, so that a second crash is not charged to
+	// a harmless one.
 	Slot struct {
 		Trial       Incident    `json:"trial"`
 		Fingerprint Fingerprint `json:"fingerprint"`
 		UntilMS     int64       `json:"until-ms"` // milliseconds since 1970
 	}
 
-	// Plan is what a node that wants to run a marked request is to do.
+	// Plan is the decision on a marked request.
 	Plan struct {
 		Verdict Verdict
-		Busy    bool   // the server runs another trial: try another server
-		Tx      row.Tx // to be committed before anything is sent or refused
-		Mark    Mark   // as the row will be
+		Busy    bool   // the server runs another trial: use another server
+		Tx      row.Tx // to be committed before the request is sent or refused
+		Mark    Mark   // contents of the mark row after Tx
 	}
 
-	// RowError means that a row's value can't be understood.
+	// RowError is returned for a row whose value can't be decoded.
 	RowError struct {
 		Key string
 		Err error
 	}
 )
 
-// Error returns key and cause.
+// Error returns the key of the row and the cause.
 func (e *RowError) Error() string { return fmt.Sprintf("suspect: row %s: %v", e.Key, e.Err) }
 
 // Unwrap returns the cause.
@@ -52,7 +52,7 @@
 // SlotKey returns the key of a server's slot row.
 func SlotKey(server string) string { return SlotPrefix + server }
 
-// Decode returns the mark in r, an empty one of fp if r is absent.
+// Decode returns the mark in r, or an empty mark of fp if r is absent.
 func Decode(fp Fingerprint, r row.Row) (Mark, error) {
 	m := Mark{Fingerprint: fp}
 	if r.Revision == 0 {
@@ -64,13 +64,13 @@
 	return m, nil
 }
 
-// Plan judges whether fp may run on trial now, given its mark row and the slot
-// row of the trial's server as they were read, and takes over what the mark row
-// knows. If so its Tx charges the mark and takes the slot until until; the
-// request may be sent once Tx is known to have taken effect, which Mine tells
-// from the row after a lost answer.
+// Plan decides whether fp may run on trial now, given the current mark row of fp
+// and the current slot row of the trial's server. It merges the mark row into s.
+// If a trial is allowed, Tx charges it and reserves the slot until the time
+// until. The request may be sent once Tx is known to be committed; if the reply
+// was lost, Mine derives that from the mark row.
 func (s *Set) Plan(now time.Time, fp Fingerprint, trial Incident, until time.Time, mark, slot row.Row) (Plan, error) {
-	m, err := s.known(now, fp, mark)
+	m, err := s.mergeRow(now, fp, mark)
 	if err != nil {
 		return Plan{}, err
 	}
@@ -93,18 +93,19 @@
 	return p, nil
 }
 
-// Update returns the transaction that writes what s knows about fp into its
-// mark row, as it was read, and takes over what the row knows.
+// Update merges the current mark row of fp into s and returns the transaction
+// that writes the merged mark to the row.
 func (s *Set) Update(now time.Time, fp Fingerprint, mark row.Row) (row.Tx, error) {
-	m, err := s.known(now, fp, mark)
+	m, err := s.mergeRow(now, fp, mark)
 	if err != nil {
 		return row.Tx{}, err
 	}
 	return Record(mark, m), nil
 }
 
-// Record returns the transaction that writes m over its row as it was read. It
-// is empty if the row holds m already.
+// Record returns the transaction that replaces the current row r by m. It is
+// empty if the row already holds m, or if the row is absent and m has no
+// incidents.
 func Record(r row.Row, m Mark) row.Tx {
 	v := encode(m)
 	if string(v) == string(r.Value) || (r.Revision == 0 && len(m.Incidents) == 0) {
@@ -113,13 +114,13 @@
 	return row.Tx{}.When(Key(m.Fingerprint), r.Revision).Put(Key(m.Fingerprint), v)
 }
 
-// Mine tells whether the row shows that the trial was charged.
+// Mine reports whether the trial is charged in the mark row r.
 func Mine(fp Fingerprint, trial Incident, r row.Row) (bool, error) {
 	m, err := Decode(fp, r)
 	return contains(m.Incidents, trial), err
 }
 
-// FreeSlot returns tx with the removal of the slot if the trial holds it.
+// FreeSlot returns tx extended to delete the slot row if the trial holds it.
 func FreeSlot(tx row.Tx, trial Incident, slot row.Row) row.Tx {
 	var held Slot
 	if slot.Revision == 0 || json.Unmarshal(slot.Value, &held) != nil || held.Trial != trial {
@@ -128,8 +129,8 @@
 	return tx.When(slot.Key, slot.Revision).Delete(slot.Key)
 }
 
-// Sweep returns the transaction that removes those of the rows under Prefix or
-// SlotPrefix whose time has passed, and false if there are none.
+// Sweep returns the transaction that removes the expired rows among rows, which
+// are under Prefix or SlotPrefix. It returns false if none is expired.
 func Sweep(now time.Time, rows []row.Row) (row.Tx, bool) {
 	var tx row.Tx
 	for _, r := range rows {
@@ -144,8 +145,8 @@
 	return tx, len(tx.Writes) > 0
 }
 
-// known merges the row into s and returns what is known of fp.
-func (s *Set) known(now time.Time, fp Fingerprint, r row.Row) (Mark, error) {
+// mergeRow merges the row of fp into s and returns the merged mark.
+func (s *Set) mergeRow(now time.Time, fp Fingerprint, r row.Row) (Mark, error) {
 	m, err := Decode(fp, r)
 	if err != nil {
 		return m, err
@@ -154,7 +155,7 @@
 	return s.mark(now, fp), nil
 }
 
-// slotTaken tells whether another trial holds the slot.
+// slotTaken reports whether another trial holds the slot.
 func slotTaken(now time.Time, trial Incident, r row.Row) (bool, error) {
 	if r.Revision == 0 {
 		return false, nil
@@ -166,11 +167,11 @@
 	return held.Trial != trial && held.UntilMS > now.UnixMilli(), nil
 }
 
-// encode returns the row value of v.
+// encode returns the encoded row value of v.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("suspect: marshal: %v", err)) // no value of the types fails
+		panic(fmt.Sprintf("suspect: marshal: %v", err)) // every mark and slot can be encoded
 	}
 	return b
 }
--- a/core/suspect/set.go
+++ b/core/suspect/set.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Verdict is what may be done with a fingerprint.
+// Verdict is the decision on the requests of a fingerprint.
 type Verdict string
 
 const (
-	// Clear means that the request runs as any other.
+	// Clear means that the request may run like any other.
 	Clear Verdict = "clear"
-	// Alone means that the request may run on trial.
+	// Alone means that the request may run only on trial.
 	Alone Verdict = "alone"
 	// Refuse means that the request is refused.
 	Refuse Verdict = "refuse"
 )
 
 const (
-	// DefaultLifetime is how long a mark lasts after its last incident.
+	// DefaultLifetime is how long a mark is kept after its last incident.
 	DefaultLifetime = time.Hour
-	// DefaultMaxMarks bounds the marks that a node keeps.
+	// DefaultMaxMarks is the default limit of the marks that a node keeps.
 	DefaultMaxMarks = 4096
 
-	refuseAt = 2 // standing incidents
+	refusalThreshold = 2 // open incidents at which a request is refused
 )
 
 type (
-	// Set is a node's copy of the marks. The zero value uses the defaults. Its
-	// owner guards it against concurrent use.
+	// Set is a node's copy of the marks. The zero value is ready to use, with the
+	// defaults. A Set is not safe for concurrent use.
 	Set struct {
 		Lifetime time.Duration // of a mark after its last incident
 		MaxMarks int
@@ -39,63 +39,65 @@
 		dropped uint64
 	}
 
-	// entry is a mark and when it last changed here.
+	// entry is a mark and the number of its last change in the set.
 	entry struct {
 		mark    Mark
 		changed uint64
 	}
 )
 
-// Crash notes that a server crashed with requests in flight and returns their
-// marks, to be told to the other nodes at once. The same incident may be noted
-// by several nodes; it counts once. The charge of a request that was on trial
-// stays, so a second crash of the same server counts whatever its boot id.
+// Crash records that a server crashed with the given requests in flight. It
+// returns their marks, which must be broadcast to the other nodes immediately. An
+// incident that is recorded by several nodes counts once. The charge of a request
+// on trial remains, so that a crash during the trial counts even if the incident
+// has the boot id of an earlier one.
 func (s *Set) Crash(now time.Time, i Incident, inflight []Fingerprint) []Mark {
 	out := make([]Mark, 0, len(inflight))
 	for _, fp := range inflight {
-		out = append(out, s.note(now, fp, i))
+		out = append(out, s.addIncident(now, fp, i))
 	}
-	s.bound(now)
+	s.enforceLimit(now)
 	return out
 }
 
-// Charged notes that a request is on trial and returns its mark, to be told to
-// the other nodes.
+// Charged records that a request is on trial and returns its mark, which must be
+// broadcast to the other nodes.
 func (s *Set) Charged(now time.Time, fp Fingerprint, trial Incident) Mark {
-	m := s.note(now, fp, trial)
-	s.bound(now)
+	m := s.addIncident(now, fp, trial)
+	s.enforceLimit(now)
 	return m
 }
 
-// Success notes that a request ran to its end: all that is known against it is
-// cleared. It returns its mark and whether there was one.
+// Success records that a request completed, which clears all its known incidents.
+// It returns the mark, and whether there were incidents to clear.
 func (s *Set) Success(now time.Time, fp Fingerprint) (Mark, bool) {
 	m := s.mark(now, fp)
 	if m.Standing() == 0 {
 		return m, false
 	}
 	m = m.WithCleared(m.Incidents...)
-	s.put(m)
+	s.store(m)
 	return m, true
 }
 
-// NotRun notes that a trial provably did not run and returns the mark.
+// NotRun records that a trial provably did not run, which clears its charge, and
+// returns the mark.
 func (s *Set) NotRun(now time.Time, fp Fingerprint, trial Incident) Mark {
 	m := s.mark(now, fp).WithCleared(trial)
-	s.put(m)
+	s.store(m)
 	return m
 }
 
-// Verdict tells what may be done with fp.
+// Verdict returns the decision on requests with the fingerprint fp.
 func (s *Set) Verdict(now time.Time, fp Fingerprint) Verdict {
 	return s.mark(now, fp).verdict()
 }
 
-// Mark returns what is known against fp.
+// Mark returns the mark of fp, which is empty if there is none in force.
 func (s *Set) Mark(now time.Time, fp Fingerprint) Mark { return s.mark(now, fp) }
 
-// Merge takes over what others know and returns the number of marks that
-// changed.
+// Merge merges marks received from other nodes and returns the number of marks
+// that changed.
 func (s *Set) Merge(now time.Time, marks []Mark) int {
 	changed := 0
 	for _, o := range marks {
@@ -104,15 +106,15 @@
 		}
 		m := s.mark(now, o.Fingerprint)
 		if n := m.Merge(o); !n.Equal(m) {
-			s.put(n)
+			s.store(n)
 			changed++
 		}
 	}
-	s.bound(now)
+	s.enforceLimit(now)
 	return changed
 }
 
-// Marks returns the marks that have not expired, those that changed last first.
+// Marks returns the marks that have not expired, the most recently changed first.
 func (s *Set) Marks(now time.Time) []Mark {
 	s.expire(now)
 	all := make([]entry, 0, len(s.marks))
@@ -127,35 +129,35 @@
 	return out
 }
 
-// Len returns the number of marks, expired ones included.
+// Len returns the number of marks, including expired ones.
 func (s *Set) Len() int { return len(s.marks) }
 
-// Dropped returns how many marks were dropped because there were too many.
+// Dropped returns the number of marks that were removed to keep the limit.
 func (s *Set) Dropped() uint64 { return s.dropped }
 
-// verdict tells what may be done with the request that m is about.
+// verdict returns the decision on the requests that m applies to.
 func (m Mark) verdict() Verdict {
 	switch n := m.Standing(); {
 	case n == 0:
 		return Clear
-	case n < refuseAt:
+	case n < refusalThreshold:
 		return Alone
 	}
 	return Refuse
 }
 
-// note adds an incident.
-func (s *Set) note(now time.Time, fp Fingerprint, i Incident) Mark {
+// addIncident adds an incident to the mark of fp and extends the mark's lifetime.
+func (s *Set) addIncident(now time.Time, fp Fingerprint, i Incident) Mark {
 	lifetime := s.Lifetime
 	if lifetime == 0 {
 		lifetime = DefaultLifetime
 	}
 	m := s.mark(now, fp).WithIncident(i, now.Add(lifetime).UnixMilli())
-	s.put(m)
+	s.store(m)
 	return m
 }
 
-// mark returns the mark of fp, an empty one if there is none in force.
+// mark returns the mark of fp, or an empty one if there is none in force.
 func (s *Set) mark(now time.Time, fp Fingerprint) Mark {
 	e, found := s.marks[fp]
 	if !found || e.mark.ExpiresMS <= now.UnixMilli() {
@@ -164,8 +166,8 @@
 	return e.mark
 }
 
-// put keeps m.
-func (s *Set) put(m Mark) {
+// store replaces the mark of m's fingerprint by m.
+func (s *Set) store(m Mark) {
 	if s.marks == nil {
 		s.marks = map[Fingerprint]entry{}
 	}
@@ -173,7 +175,7 @@
 	s.marks[m.Fingerprint] = entry{mark: m, changed: s.changes}
 }
 
-// expire removes the marks whose time has passed.
+// expire removes expired marks.
 func (s *Set) expire(now time.Time) {
 	for fp, e := range s.marks {
 		if e.mark.ExpiresMS <= now.UnixMilli() {
@@ -182,14 +184,15 @@
 	}
 }
 
-// bound removes marks until there are at most MaxMarks: cleared ones first,
-// refused ones last, and of those the ones that changed longest ago first.
-func (s *Set) bound(now time.Time) {
-	most := s.MaxMarks
-	if most == 0 {
-		most = DefaultMaxMarks
+// enforceLimit removes marks until there are at most MaxMarks: first those without
+// open incidents, last those that are refused, and among equals the least
+// recently changed first.
+func (s *Set) enforceLimit(now time.Time) {
+	limit := s.MaxMarks
+	if limit == 0 {
+		limit = DefaultMaxMarks
 	}
-	if len(s.marks) <= most {
+	if len(s.marks) <= limit {
 		return
 	}
 	s.expire(now)
@@ -199,10 +202,10 @@
 	}
 	slices.SortFunc(all, func(a, b entry) int {
 		return cmp.Or(
-			cmp.Compare(min(a.mark.Standing(), refuseAt), min(b.mark.Standing(), refuseAt)),
+			cmp.Compare(min(a.mark.Standing(), refusalThreshold), min(b.mark.Standing(), refusalThreshold)),
 			cmp.Compare(a.changed, b.changed))
 	})
-	for _, e := range all[:max(0, len(all)-most)] {
+	for _, e := range all[:max(0, len(all)-limit)] {
 		delete(s.marks, e.mark.Fingerprint)
 		s.dropped++
 	}
--- a/core/suspect/set_test.go
+++ b/core/suspect/set_test.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	now   = time.UnixMilli(1_800_000_000_000)
-	crash = suspect.Incident{Server: "s1", BootID: "b1"}
-	again = suspect.Incident{Server: "s2", BootID: "b7"}
-	trial = suspect.Incident{Server: "s2", Trial: "t1"}
+	now         = time.UnixMilli(1_800_000_000_000)
+	crash       = suspect.Incident{Server: "s1", BootID: "b1"}
+	secondCrash = suspect.Incident{Server: "s2", BootID: "b7"}
+	trial       = suspect.Incident{Server: "s2", Trial: "t1"}
 )
 
-func TestOfTellsTeamModelAndBodyApart(t *testing.T) {
+func TestFingerprintCoversTeamModelAndBody(t *testing.T) {
 	base := suspect.Of("c", "m", []byte("b"))
 	require.Len(t, string(base), 32)
 	require.NotEqual(t, base, suspect.Of("d", "m", []byte("b")))
@@ -34,8 +34,8 @@
 	require.Len(t, s.Crash(now, crash, fps), 2)
 	require.Equal(t, suspect.Alone, s.Verdict(now, "a"))
 	s.Crash(now, crash, fps)
-	require.Equal(t, suspect.Alone, s.Verdict(now, "a"), "the same incident told twice counts once")
-	s.Crash(now, again, fps[:1])
+	require.Equal(t, suspect.Alone, s.Verdict(now, "a"), "an incident reported twice counts once")
+	s.Crash(now, secondCrash, fps[:1])
 	require.Equal(t, suspect.Refuse, s.Verdict(now, "a"))
 	_, marked := s.Success(now, "b")
 	require.True(t, marked)
@@ -56,7 +56,7 @@
 	require.Equal(t, suspect.Alone, s.Verdict(now, "a"))
 }
 
-func TestOneTrialAServer(t *testing.T) {
+func TestOneTrialPerServer(t *testing.T) {
 	var s suspect.Set
 	s.Crash(now, crash, []suspect.Fingerprint{"a", "b"})
 	until := now.Add(time.Minute)
@@ -65,9 +65,9 @@
 	require.NoError(t, err)
 	require.Equal(t, suspect.Alone, p.Verdict)
 	require.Len(t, p.Tx.Writes, 2)
-	mine, err := suspect.Mine("a", trial, row.Row{Key: suspect.Key("a"), Value: p.Tx.Writes[0].Value, Revision: 3})
+	charged, err := suspect.Mine("a", trial, row.Row{Key: suspect.Key("a"), Value: p.Tx.Writes[0].Value, Revision: 3})
 	require.NoError(t, err)
-	require.True(t, mine)
+	require.True(t, charged)
 
 	slot.Value, slot.Revision = p.Tx.Writes[1].Value, 3
 	other := suspect.Incident{Server: "s2", Trial: "t2"}
@@ -76,21 +76,21 @@
 	require.NoError(t, err)
 	require.True(t, p.Busy)
 	require.Empty(t, p.Tx.Writes)
-	require.Empty(t, suspect.FreeSlot(row.Tx{}, other, slot).Writes, "only its trial frees a slot")
+	require.Empty(t, suspect.FreeSlot(row.Tx{}, other, slot).Writes, "only the trial that holds a slot frees it")
 	require.Equal(t, row.Tx{}.When(slot.Key, 3).Delete(slot.Key), suspect.FreeSlot(row.Tx{}, trial, slot))
 
 	p, err = s.Plan(until, "b", other, until.Add(time.Minute), mark, slot)
 	require.NoError(t, err)
-	require.False(t, p.Busy, "a slot whose holder was not heard of is free in the end")
+	require.False(t, p.Busy, "a slot that is not released becomes free when its time has passed")
 
 	_, err = s.Plan(now, "b", other, until, row.Row{Key: mark.Key, Value: []byte("{"), Revision: 1}, slot)
 	require.ErrorAs(t, err, new(*suspect.RowError))
 }
 
-func TestMarksAreBoundedAndTheWorstStay(t *testing.T) {
+func TestMarkLimitKeepsRefusedMarks(t *testing.T) {
 	s := suspect.Set{MaxMarks: 10}
 	s.Crash(now, crash, []suspect.Fingerprint{"bad"})
-	s.Crash(now, again, []suspect.Fingerprint{"bad"})
+	s.Crash(now, secondCrash, []suspect.Fingerprint{"bad"})
 	for i := range 100 {
 		s.Crash(now, crash, []suspect.Fingerprint{suspect.Fingerprint(fmt.Sprint("f", i))})
 	}
@@ -98,7 +98,7 @@
 	require.EqualValues(t, 91, s.Dropped())
 	require.Equal(t, suspect.Refuse, s.Verdict(now, "bad"))
 	require.Equal(t, suspect.Alone, s.Verdict(now, "f99"))
-	require.Equal(t, suspect.Fingerprint("f99"), s.Marks(now)[0].Fingerprint, "the last change first")
+	require.Equal(t, suspect.Fingerprint("f99"), s.Marks(now)[0].Fingerprint, "the most recently changed mark is first")
 	require.Empty(t, s.Marks(now.Add(2*time.Hour)))
 }
 
@@ -115,8 +115,8 @@
 	require.False(t, some)
 }
 
-// TestMergeInAnyOrder: nodes that got the same marks, in any order and doubled,
-// know the same.
+// TestMergeInAnyOrder checks that nodes that receive the same marks, in any order
+// and with duplicates, end with the same marks.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var marks []suspect.Mark
@@ -141,15 +141,15 @@
 	})
 }
 
-// TestCopiesGoToOneServer: copies of a request that are sent at the same time
-// follow the first one until all of them have ended.
+// TestCopiesGoToOneServer checks that concurrent copies of a request are directed
+// to the server of the first one until all of them have ended.
 func TestCopiesGoToOneServer(t *testing.T) {
 	var c suspect.Copies
 	_, found := c.Where("a")
 	require.False(t, found)
 	c.Begin("a", "s1")
 	c.Begin("a", "s1")
-	c.Begin("a", "s2") // the first server had no room
+	c.Begin("a", "s2") // the first server had no free slot
 	c.End("a", "s2")
 	c.End("a", "s1")
 	server, found := c.Where("a")
