--- a/core/forward/token.go
+++ b/core/forward/token.go
@@ -8,31 +8,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const tokenParts = 3
+const tokenFields = 3
 
-// Token tells where a streamed answer can be resumed. Callers get it as the id
-// of each event and give it back as Last-Event-ID.
+// Token identifies the position at which a streamed answer can be resumed.
+// Callers receive it as the id of each event and return it in Last-Event-ID.
 type Token struct {
 	RequestID string
-	Offset    int // tokens that the caller has
+	Offset    int // number of tokens that the caller has
 	Server    string
 }
 
-// BadToken is the failure of a token that does not parse.
+// BadToken is the error for a resume token that can't be parsed.
 type BadToken struct{ Token string }
 
-// Error names the token.
+// Error returns a message with the quoted token.
 func (e *BadToken) Error() string { return "resume token does not parse: " + strconv.Quote(e.Token) }
 
-// String returns the token's text.
+// String returns the text form of the token, which ParseToken parses.
 func (t Token) String() string {
 	return t.RequestID + "." + strconv.Itoa(t.Offset) + "." + t.Server
 }
 
-// ParseToken returns the token of a text, or a *BadToken.
+// ParseToken parses the text form of a token. The error is a *BadToken.
 func ParseToken(text string) (Token, error) {
-	parts := strings.SplitN(text, ".", tokenParts)
-	if len(parts) != tokenParts || parts[0] == "" || parts[2] == "" {
+	parts := strings.SplitN(text, ".", tokenFields)
+	if len(parts) != tokenFields || parts[0] == "" || parts[2] == "" {
 		return Token{}, &BadToken{Token: text}
 	}
 	n, err := strconv.Atoi(parts[1])
@@ -43,7 +43,7 @@
 }
 
 // EngineID returns the request id at the engine. It contains a hash of the
-// team, so that no team can resume another's answer.
+// team, so that a team can't resume the answer of another team.
 func EngineID(team, requestID string) string {
 	var b [8]byte
 	h := xxhash.Sum64String(team)
