--- a/core/outcome/doc.go
+++ b/core/outcome/doc.go
@@ -1,17 +1,17 @@
-// Package outcome names how a request ended and why.
+// Package outcome defines how a request ended and why.
 //
-// Every answer that guavapaddle gives carries exactly one Outcome, and every
-// answer other than Done carries a Reason. The two are the vocabulary of the
-// logs, of the counters and of the headers that a caller sees.
+// Every answer of guavapaddle has exactly one Outcome, and every answer with an
+// outcome other than Done has a Reason. Logs, metrics and the headers returned to
+// callers use the same values.
 //
 // # Usage
 //
-// Code that ends a request returns an *Error, which carries the outcome, the
-// reason, a detail for people and, for refusals, when to come back:
+// Code that ends a request returns an *Error with the outcome, the reason, an
+// optional human-readable detail and, for refusals, a retry delay:
 //
 //	return outcome.Refuse(outcome.QueueFull, "12 requests ahead", 800*time.Millisecond)
 //
-// RefusedNotRun may only be used when no byte of the request was written to
-// any backend connection, or when every backend server that got the request
-// affirmed that it did not run it. When in doubt the outcome is Unknown.
+// RefusedNotRun may be used only if no byte of the request was written to any
+// backend connection, or if every backend server that received the request
+// confirmed that it did not run it. In case of doubt the outcome is Unknown.
 package outcome
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// Outcome tells how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome string
 
-// Reason tells why a request did not end as Done, or why it was retried.
+// Reason is the reason why a request did not end as Done, or was retried.
 type Reason string
 
 const (
-	// Done means that the caller got the whole answer.
+	// Done means that the caller received the complete answer.
 	Done Outcome = "done"
 	// RefusedNotRun means that the request provably did not run anywhere.
 	RefusedNotRun Outcome = "refused-not-run"
-	// FailedAfterStart means that the request was started and failed.
+	// FailedAfterStart means that the request started to run and then failed.
 	FailedAfterStart Outcome = "failed-after-start"
 	// Unknown means that the request may or may not have run.
 	Unknown Outcome = "unknown"
 )
 
 const (
-	// BadRequest means that the request could not be understood.
+	// BadRequest means that the request is malformed.
 	BadRequest Reason = "bad-request"
-	// BodyTooLarge means that the body exceeded the configured bound.
+	// BodyTooLarge means that the body exceeded the configured limit.
 	BodyTooLarge Reason = "body-too-large"
-	// HeaderTooLarge means that the headers exceeded the configured bound.
+	// HeaderTooLarge means that the headers exceeded the configured limit.
 	HeaderTooLarge Reason = "header-too-large"
-	// Unauthorized means that no team has the given key.
+	// Unauthorized means that the given key belongs to no team.
 	Unauthorized Reason = "unauthorized"
 	// NotFound means that the model or path is not declared for the team.
 	NotFound Reason = "not-found"
-	// KeyReused means that an idempotency key came with another body.
+	// KeyReused means that an idempotency key was used again for another call.
 	KeyReused Reason = "key-reused"
-	// KeyRequired means that a resumption or claim lacks its key.
+	// KeyRequired means that a request to resume or to claim has no key.
 	KeyRequired Reason = "key-required"
-	// InProgress means that the same call is running elsewhere.
+	// InProgress means that the same call is already running.
 	InProgress Reason = "in-progress"
-	// AnswerLost means that the call ran and its stored answer can't be read.
+	// AnswerLost means that the call ran but its stored answer can't be read.
 	AnswerLost Reason = "answer-lost"
-	// TeamLimit means that the team is over its share.
+	// TeamLimit means that the team exceeds its share.
 	TeamLimit Reason = "team-limit"
-	// QueueFull means that the queue is at its bound.
+	// QueueFull means that the queue has reached its limit.
 	QueueFull Reason = "queue-full"
 	// DeadlineUnreachable means that the request can't end before its deadline.
 	DeadlineUnreachable Reason = "deadline-unreachable"
-	// DeadlinePassed means that the deadline passed while the request waited.
+	// DeadlinePassed means that the deadline passed while the request was waiting.
 	DeadlinePassed Reason = "deadline-passed"
-	// NoCopy means that no live backend server holds the model now.
+	// NoCopy means that no live backend server currently holds the model.
 	NoCopy Reason = "no-copy"
 	// NoServer means that no backend server of the service is available.
 	NoServer Reason = "no-server"
@@ -60,21 +60,24 @@
 	NoConfig Reason = "no-config"
 	// Draining means that the node is shutting down.
 	Draining Reason = "draining"
-	// ServerLeaving means that the backend server takes no new work.
+	// ServerLeaving means that the backend server accepts no new requests.
 	ServerLeaving Reason = "server-leaving"
-	// CrashSuspect means that the request crashed backend servers before.
+	// CrashSuspect means that the request is suspected of crashing backend servers.
 	CrashSuspect Reason = "crash-suspect"
-	// RetryBudget means that the retry budget is spent.
+	// RetryBudget means that the retry budget is exhausted.
 	RetryBudget Reason = "retry-budget"
-	// Preempted means that deferrable work gave way to urgent work.
+	// Preempted means that a deferrable request was displaced by an urgent one.
 	Preempted Reason = "preempted"
-	// BackendRefused means that the backend server affirmed it did not run it.
+	// BackendRefused means that the backend server confirmed that it did not run
+	// the request.
 	BackendRefused Reason = "backend-refused"
-	// BackendFailed means that the backend server answered with a failure.
+	// BackendFailed means that the backend server returned an error.
 	BackendFailed Reason = "backend-failed"
-	// BackendUnreachable means that no connection could be opened.
+	// BackendUnreachable means that no connection to the backend server could be
+	// opened.
 	BackendUnreachable Reason = "backend-unreachable"
-	// BackendLost means that the connection broke or went silent mid-request.
+	// BackendLost means that the connection to the backend server broke or timed
+	// out during the request.
 	BackendLost Reason = "backend-lost"
 	// BackendCut means that an answer ended without its end marker.
 	BackendCut Reason = "backend-cut"
@@ -84,7 +87,7 @@
 	PeerLost Reason = "peer-lost"
 	// CallerGone means that the caller closed its connection.
 	CallerGone Reason = "caller-gone"
-	// Internal means a fault of guavapaddle itself.
+	// Internal means an internal error of guavapaddle.
 	Internal Reason = "internal"
 )
 
@@ -92,11 +95,11 @@
 type Error struct {
 	Outcome    Outcome       // never Done
 	Reason     Reason        // one of the constants of this package
-	Detail     string        // for people, may be empty
-	RetryAfter time.Duration // when to come back, zero if unknown
+	Detail     string        // human-readable, may be empty
+	RetryAfter time.Duration // delay before a retry, zero if unknown
 }
 
-// Error returns outcome, reason and detail in one line.
+// Error returns the outcome, the reason and the detail, if any.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return fmt.Sprintf("%s: %s", e.Outcome, e.Reason)
