--- a/core/queue/heaps.go
+++ b/core/queue/heaps.go
@@ -3,13 +3,14 @@
 // expiryHeap orders waiting entries by their latest start, for container/heap.
 type expiryHeap []*waiting
 
-// ageHeap orders waiting entries by the time they age, for container/heap.
+// ageHeap orders waiting entries by the time of their next promotion, for
+// container/heap.
 type ageHeap []*waiting
 
 // Len returns the number of entries.
 func (h expiryHeap) Len() int { return len(h) }
 
-// Less tells whether entry i expires before entry j.
+// Less reports whether entry i expires before entry j.
 func (h expiryHeap) Less(i, j int) bool { return h[i].latestStart.Before(h[j].latestStart) }
 
 // Swap swaps entries i and j.
@@ -18,14 +19,14 @@
 	h[i].expiryIndex, h[j].expiryIndex = i, j
 }
 
-// Push adds a *waiting at the end.
+// Push appends a *waiting.
 func (h *expiryHeap) Push(x any) {
 	w := x.(*waiting)
 	w.expiryIndex = len(*h)
 	*h = append(*h, w)
 }
 
-// Pop takes the last entry off.
+// Pop removes and returns the last entry.
 func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	w := (*h)[last]
@@ -38,7 +39,7 @@
 // Len returns the number of entries.
 func (h ageHeap) Len() int { return len(h) }
 
-// Less tells whether entry i ages before entry j.
+// Less reports whether entry i is promoted before entry j.
 func (h ageHeap) Less(i, j int) bool {
 	if !h[i].ageAt.Equal(h[j].ageAt) {
 		return h[i].ageAt.Before(h[j].ageAt)
@@ -52,14 +53,14 @@
 	h[i].ageIndex, h[j].ageIndex = i, j
 }
 
-// Push adds a *waiting at the end.
+// Push appends a *waiting.
 func (h *ageHeap) Push(x any) {
 	w := x.(*waiting)
 	w.ageIndex = len(*h)
 	*h = append(*h, w)
 }
 
-// Pop takes the last entry off.
+// Pop removes and returns the last entry.
 func (h *ageHeap) Pop() any {
 	last := len(*h) - 1
 	w := (*h)[last]
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -10,107 +10,107 @@
 	"guavapaddle/core/outcome"
 )
 
-const topPriority = 2 // of an urgent request at the engine
+const topPriority = 2 // engine priority of an urgent request
 
 // running is an entry that was dispatched and is not done.
 type running struct {
 	Entry
-	seconds  float64
-	started  time.Time
-	yielding bool // the caller was told to cancel it
+	seconds    float64
+	started    time.Time
+	cancelling bool // a dispatch asked the caller to cancel it
 }
 
 // Queue holds the waiting and the running requests of one backend server.
 type Queue struct {
-	given    Settings // as given to New
-	set      Settings // with defaults
-	learned  estimator
-	tree     tree
-	expiry   expiryHeap
-	ages     ageHeap
-	aged     *list.List // of *waiting, those that waited longest first
-	agedAt   map[string]*list.Element
-	waiting  map[string]*waiting
-	running  map[string]*running
-	deferred int  // running entries that are deferrable
-	yielding int  // running entries that the caller was told to cancel
-	alone    bool // the only running entry runs alone
-	turn     int  // dispatches since the last aged one
-	sequence uint64
+	requested         Settings // as passed to New
+	settings          Settings // requested with defaults applied
+	estimates         estimator
+	tree              tree
+	expiry            expiryHeap
+	ages              ageHeap
+	aged              *list.List // promoted entries (*waiting), longest wait first
+	agedElements      map[string]*list.Element
+	waiting           map[string]*waiting
+	running           map[string]*running
+	runningDeferrable int  // number of running deferrable entries
+	cancelling        int  // number of running entries being cancelled
+	isolated          bool // an isolated entry is running
+	sinceAged         int  // dispatches since the last one of a promoted entry
+	sequence          uint64
 }
 
 // New returns an empty queue.
-func New(given Settings) *Queue {
-	set := given.withDefaults()
+func New(requested Settings) *Queue {
+	settings := requested.withDefaults()
 	return &Queue{
-		given:   given,
-		set:     set,
-		learned: newEstimator(set),
-		tree:    tree{random: rand.New(rand.NewPCG(1, 2))},
-		aged:    list.New(),
-		agedAt:  map[string]*list.Element{},
-		waiting: map[string]*waiting{},
-		running: map[string]*running{},
+		requested:    requested,
+		settings:     settings,
+		estimates:    newEstimator(settings),
+		tree:         tree{random: rand.New(rand.NewPCG(1, 2))},
+		aged:         list.New(),
+		agedElements: map[string]*list.Element{},
+		waiting:      map[string]*waiting{},
+		running:      map[string]*running{},
 	}
 }
 
-// SetSlots sets how many requests the server runs at the same time.
+// SetSlots sets the number of requests that the server runs concurrently.
 func (q *Queue) SetSlots(slots int) {
-	q.given.Slots = slots
-	q.set = q.given.withDefaults()
+	q.requested.Slots = slots
+	q.settings = q.requested.withDefaults()
 }
 
-// Offer admits e to the queue or refuses it. An entry whose id is known is
-// refused with reason in-progress.
+// Offer admits e to the queue or refuses it. An entry whose ID is already
+// waiting or running is refused with reason in-progress.
 func (q *Queue) Offer(now time.Time, e Entry) Result {
-	if q.known(e.ID) {
+	if q.contains(e.ID) {
 		return Result{Reason: outcome.InProgress, RetryAfter: minRetryAfter}
 	}
 	w := q.newWaiting(now, e)
-	wait := q.waitOf(now, w)
+	wait := q.estimateWait(now, w)
 	r := Result{Wait: wait, Seconds: w.seconds}
-	if q.probes(now, w, wait) {
+	if q.isProbe(now, w, wait) {
 		w.latestStart = w.Deadline
 	} else if late := q.lateness(now, w, wait); late > 0 {
 		r.Reason, r.RetryAfter = outcome.DeadlineUnreachable, max(late, minRetryAfter)
 		return r
 	}
-	if q.tree.len() >= q.set.Limit {
+	if q.tree.len() >= q.settings.Limit {
 		last := q.tree.last()
 		if last.class <= w.class {
 			r.Reason, r.RetryAfter = outcome.QueueFull, q.drainTime()
 			return r
 		}
-		q.take(last)
+		q.removeWaiting(last)
 		r.Evicted = &Ended{Entry: last.Entry, Reason: outcome.Preempted, RetryAfter: q.drainTime()}
 	}
-	q.add(w)
+	q.addWaiting(w)
 	r.Admitted = true
 	return r
 }
 
 // Next returns the next entry to send to the server, or false if none may be
-// sent now. The entry counts as running until Done.
+// sent now. The entry counts as running until Done is called for it.
 func (q *Queue) Next(now time.Time) (Dispatch, bool) {
-	q.age(now)
-	if q.alone {
+	q.promoteAged(now)
+	if q.isolated {
 		return Dispatch{}, false
 	}
-	w := q.agedTurn()
+	w := q.nextAged()
 	if w != nil {
-		if d, ok := q.try(now, w); ok || w.Alone {
+		if d, ok := q.tryDispatch(now, w); ok || w.Alone {
 			return d, ok
 		}
 	}
 	if w = q.tree.first(); w == nil {
 		return Dispatch{}, false
 	}
-	return q.try(now, w)
+	return q.tryDispatch(now, w)
 }
 
-// Done tells that a running entry ended. A positive seconds is its service time
-// and is learned; give zero for one that failed or was cancelled. It tells
-// whether the entry was running.
+// Done removes a running entry that has ended and reports whether it was
+// running. A positive seconds is its service time and updates the estimates;
+// pass zero for an entry that failed or was cancelled.
 func (q *Queue) Done(id string, now time.Time, seconds float64) bool {
 	r, ok := q.running[id]
 	if !ok {
@@ -118,38 +118,38 @@
 	}
 	delete(q.running, id)
 	if r.Urgency == config.Deferrable {
-		q.deferred--
+		q.runningDeferrable--
 	}
 	if r.Alone {
-		q.alone = false
+		q.isolated = false
 	}
-	if r.yielding {
-		q.yielding--
+	if r.cancelling {
+		q.cancelling--
 	}
 	if seconds > 0 {
-		q.learned.learn(r.Kind, r.Tokens, seconds)
+		q.estimates.learn(r.Kind, r.Tokens, seconds)
 	}
 	return true
 }
 
-// Cancel takes a waiting entry out, and tells whether it was waiting. A running
-// entry stays until Done.
+// Cancel removes a waiting entry and reports whether it was waiting. A running
+// entry stays until Done is called for it.
 func (q *Queue) Cancel(id string) bool {
 	w, ok := q.waiting[id]
 	if ok {
-		q.take(w)
+		q.removeWaiting(w)
 	}
 	return ok
 }
 
-// Expire takes out the entries that can no longer end in time even if they
-// started now, and returns them in the order of their latest start.
+// Expire removes the waiting entries that would miss their deadline even if they
+// started now, and returns them in order of their latest start time.
 func (q *Queue) Expire(now time.Time) []Ended {
 	var out []Ended
 	for len(q.expiry) > 0 && q.expiry[0].latestStart.Before(now) {
 		w := q.expiry[0]
-		wait := q.waitOf(now, w)
-		q.take(w)
+		wait := q.estimateWait(now, w)
+		q.removeWaiting(w)
 		e := Ended{Entry: w.Entry, Reason: outcome.DeadlineUnreachable, RetryAfter: max(wait, minRetryAfter)}
 		if !now.Before(w.Deadline) {
 			e.Reason = outcome.DeadlinePassed
@@ -159,8 +159,8 @@
 	return out
 }
 
-// NextExpiry returns when Expire has something to return, or false if no
-// waiting entry has a deadline.
+// NextExpiry returns the earliest time at which Expire returns an entry, or
+// false if no waiting entry has a deadline.
 func (q *Queue) NextExpiry() (time.Time, bool) {
 	if len(q.expiry) == 0 {
 		return time.Time{}, false
@@ -168,33 +168,35 @@
 	return q.expiry[0].latestStart.Add(time.Nanosecond), true
 }
 
-// Drain takes out all waiting entries, in the order of dispatch, for a server
-// that leaves or is lost. Running entries stay until Done.
+// Drain removes all waiting entries and returns them in dispatch order. It is
+// used when a server leaves or is lost. Running entries stay until Done is
+// called for them.
 func (q *Queue) Drain() []Entry {
 	out := make([]Entry, 0, len(q.waiting))
 	for w := q.tree.first(); w != nil; w = q.tree.first() {
-		q.take(w)
+		q.removeWaiting(w)
 		out = append(out, w.Entry)
 	}
 	return out
 }
 
-// State returns the state of the queue, for the view of its server.
+// State returns the current state of the queue, to be published in the server's
+// view.
 func (q *Queue) State(now time.Time) State {
 	s := State{
-		Slots:   q.set.Slots,
+		Slots:   q.settings.Slots,
 		Running: len(q.running),
 		Queued:  q.tree.len(),
 		Wait:    make(map[config.Urgency]time.Duration, 3),
-		Seconds: q.learned.seconds("", 0),
+		Seconds: q.estimates.seconds("", 0),
 	}
 	for _, u := range []config.Urgency{config.Urgent, config.Normal, config.Deferrable} {
-		s.Wait[u] = q.waitOf(now, &waiting{class: classOf(u), Entry: Entry{Urgency: u}, sequence: q.sequence + 1})
+		s.Wait[u] = q.estimateWait(now, &waiting{class: classOf(u), Entry: Entry{Urgency: u}, sequence: q.sequence + 1})
 	}
 	return s
 }
 
-func (q *Queue) known(id string) bool {
+func (q *Queue) contains(id string) bool {
 	_, waits := q.waiting[id]
 	_, runs := q.running[id]
 	return waits || runs
@@ -203,25 +205,27 @@
 func (q *Queue) newWaiting(now time.Time, e Entry) *waiting {
 	q.sequence++
 	w := &waiting{
-		Entry: e, seconds: q.learned.seconds(e.Kind, e.Tokens), arrived: now, class: classOf(e.Urgency),
-		worth: q.learned.worth(e), sequence: q.sequence, ageAt: now.Add(q.set.AgeAfter), expiryIndex: -1, ageIndex: -1,
+		Entry: e, seconds: q.estimates.seconds(e.Kind, e.Tokens), arrived: now, class: classOf(e.Urgency),
+		valueRate: q.estimates.valueRate(e), sequence: q.sequence, ageAt: now.Add(q.settings.AgeAfter), expiryIndex: -1, ageIndex: -1,
 	}
 	if !e.Deadline.IsZero() {
-		w.latestStart = e.Deadline.Add(-q.needed(w.seconds))
+		w.latestStart = e.Deadline.Add(-q.withMargin(w.seconds))
 	}
 	return w
 }
 
-// needed returns the time that a service time is held against a deadline with.
-func (q *Queue) needed(seconds float64) time.Duration {
-	return time.Duration(seconds * q.set.Margin * float64(time.Second))
+// withMargin returns a service time multiplied by Margin, for comparison with a
+// deadline.
+func (q *Queue) withMargin(seconds float64) time.Duration {
+	return time.Duration(seconds * q.settings.Margin * float64(time.Second))
 }
 
-// probes tells whether w is admitted whatever its estimated service time, since
-// the server would run it at once and has half of its slots free. Without such
-// requests an estimate that is too high would never be corrected.
-func (q *Queue) probes(now time.Time, w *waiting, wait time.Duration) bool {
-	return wait == 0 && 2*len(q.running) < q.set.Slots && !w.Deadline.IsZero() && now.Before(w.Deadline)
+// isProbe reports whether w is admitted regardless of its estimated service time,
+// because the server would run it at once and more than half of its slots are
+// free. Without such isProbe an estimate that is too high would never be
+// corrected.
+func (q *Queue) isProbe(now time.Time, w *waiting, wait time.Duration) bool {
+	return wait == 0 && 2*len(q.running) < q.settings.Slots && !w.Deadline.IsZero() && now.Before(w.Deadline)
 }
 
 // lateness returns by how much w would miss its deadline.
@@ -229,11 +233,11 @@
 	if w.latestStart.IsZero() {
 		return 0
 	}
-	wait = time.Duration(float64(wait) * q.set.Margin)
+	wait = time.Duration(float64(wait) * q.settings.Margin)
 	return now.Add(wait).Sub(w.latestStart)
 }
 
-func (q *Queue) add(w *waiting) {
+func (q *Queue) addWaiting(w *waiting) {
 	q.waiting[w.ID] = w
 	q.tree.insert(w)
 	heap.Push(&q.ages, w)
@@ -242,8 +246,8 @@
 	}
 }
 
-// take removes w from every structure.
-func (q *Queue) take(w *waiting) {
+// removeWaiting removes w from the tree, the heaps and the indexes.
+func (q *Queue) removeWaiting(w *waiting) {
 	delete(q.waiting, w.ID)
 	q.tree.remove(w)
 	if w.ageIndex >= 0 {
@@ -252,18 +256,19 @@
 	if w.expiryIndex >= 0 {
 		heap.Remove(&q.expiry, w.expiryIndex)
 	}
-	if el, ok := q.agedAt[w.ID]; ok {
+	if el, ok := q.agedElements[w.ID]; ok {
 		q.aged.Remove(el)
-		delete(q.agedAt, w.ID)
+		delete(q.agedElements, w.ID)
 	}
 }
 
-// age raises the class of entries that have waited for AgeAfter.
-func (q *Queue) age(now time.Time) {
+// promoteAged promotes each entry that has waited for AgeAfter since it arrived or was
+// last promoted.
+func (q *Queue) promoteAged(now time.Time) {
 	for len(q.ages) > 0 && !q.ages[0].ageAt.After(now) {
 		w := heap.Pop(&q.ages).(*waiting)
-		if _, ok := q.agedAt[w.ID]; !ok {
-			q.agedAt[w.ID] = q.aged.PushBack(w)
+		if _, ok := q.agedElements[w.ID]; !ok {
+			q.agedElements[w.ID] = q.aged.PushBack(w)
 		}
 		if w.class == 0 {
 			continue
@@ -271,59 +276,62 @@
 		q.tree.remove(w)
 		w.class--
 		q.tree.insert(w)
-		w.ageAt = w.ageAt.Add(q.set.AgeAfter)
+		w.ageAt = w.ageAt.Add(q.settings.AgeAfter)
 		heap.Push(&q.ages, w)
 	}
 }
 
-// agedTurn returns the aged entry that has waited longest if it is its turn.
-func (q *Queue) agedTurn() *waiting {
+// nextAged returns the promoted entry that has waited longest if AgedEvery-1
+// dispatches have passed since the last one of a promoted entry, or nil.
+func (q *Queue) nextAged() *waiting {
 	front := q.aged.Front()
-	if front == nil || q.turn+1 < q.set.AgedEvery {
+	if front == nil || q.sinceAged+1 < q.settings.AgedEvery {
 		return nil
 	}
 	return front.Value.(*waiting)
 }
 
-// try dispatches w if there is a place for it.
-func (q *Queue) try(now time.Time, w *waiting) (Dispatch, bool) {
+// tryDispatch dispatches w if a slot is free or can be preempted for it.
+func (q *Queue) tryDispatch(now time.Time, w *waiting) (Dispatch, bool) {
 	if w.Alone && len(q.running) > 0 {
 		return Dispatch{}, false
 	}
-	victim, ok := q.place(w)
+	victim, ok := q.findSlot(w)
 	if !ok {
 		return Dispatch{}, false
 	}
 	d := q.dispatch(now, w)
-	if victim != nil && q.set.CancelToPreempt {
-		victim.yielding = true
-		q.yielding++
+	if victim != nil && q.settings.CancelToPreempt {
+		victim.cancelling = true
+		q.cancelling++
 		d.Preempts = victim.ID
 	}
 	return d, true
 }
 
-// place tells whether w may be sent now, and which running entry it displaces.
-func (q *Queue) place(w *waiting) (victim *running, ok bool) {
-	limit := q.set.Slots
+// findSlot reports whether w may be dispatched now, and which running entry it
+// preempts, if any.
+func (q *Queue) findSlot(w *waiting) (victim *running, ok bool) {
+	limit := q.settings.Slots
 	if w.class == classOf(config.Deferrable) {
-		limit -= q.set.Reserve
+		limit -= q.settings.Reserve
 	}
-	if len(q.running)-q.yielding < limit {
+	if len(q.running)-q.cancelling < limit {
 		return nil, true
 	}
-	if w.Urgency != config.Urgent || w.Alone || len(q.running)-q.deferred >= q.set.Slots {
+	if w.Urgency != config.Urgent || w.Alone || len(q.running)-q.runningDeferrable >= q.settings.Slots {
 		return nil, false
 	}
 	v := q.victim()
 	return v, v != nil
 }
 
-// victim returns the running deferrable entry that started last.
+// victim returns the running deferrable entry that started last and is not
+// being cancelled already, or nil if there is none.
 func (q *Queue) victim() *running {
 	var v *running
 	for _, r := range q.running {
-		if r.Urgency != config.Deferrable || r.yielding {
+		if r.Urgency != config.Deferrable || r.cancelling {
 			continue
 		}
 		if v == nil || r.started.After(v.started) || r.started.Equal(v.started) && r.ID > v.ID {
@@ -334,23 +342,23 @@
 }
 
 func (q *Queue) dispatch(now time.Time, w *waiting) Dispatch {
-	if _, aged := q.agedAt[w.ID]; aged {
-		q.turn = 0
+	if _, aged := q.agedElements[w.ID]; aged {
+		q.sinceAged = 0
 	} else {
-		q.turn++
+		q.sinceAged++
 	}
-	q.take(w)
+	q.removeWaiting(w)
 	q.running[w.ID] = &running{Entry: w.Entry, seconds: w.seconds, started: now}
 	if w.Urgency == config.Deferrable {
-		q.deferred++
+		q.runningDeferrable++
 	}
-	q.alone = w.Alone
+	q.isolated = w.Alone
 	return Dispatch{
 		Entry: w.Entry, Waited: now.Sub(w.arrived),
 		Priority: Priority(w.Urgency),
 	}
 }
 
-// Priority returns the priority at the engine of work of urgency u, for
-// backend.Generate: higher goes first.
+// Priority returns the engine priority of work of urgency u, for
+// backend.Generate. A higher priority runs first.
 func Priority(u config.Urgency) int { return topPriority - classOf(u) }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -26,7 +26,7 @@
 	return e
 }
 
-// drain dispatches until nothing more may run and returns the ids.
+// drain dispatches until no more entries may run and returns their IDs.
 func drain(q *queue.Queue, now time.Time) []string {
 	var ids []string
 	for d, ok := q.Next(now); ok; d, ok = q.Next(now) {
@@ -47,13 +47,13 @@
 		{"value within urgency", []queue.Entry{
 			entry("low", config.Normal, 1, 10), entry("high", config.Normal, 2, 90),
 		}, []string{"high", "low"}},
-		{"short work of a little less value first", []queue.Entry{
+		{"value per second of service time", []queue.Entry{
 			{ID: "long", Kind: "long", Urgency: config.Normal, Value: 10, Tokens: 90}, {ID: "short", Kind: "short", Urgency: config.Normal, Value: 8, Tokens: 30},
 		}, []string{"short", "long"}},
 		{"deadline within value", []queue.Entry{
 			entry("none", config.Normal, 1, 0), entry("late", config.Normal, 1, 90), entry("soon", config.Normal, 1, 50),
 		}, []string{"soon", "late", "none"}},
-		{"arrival last", []queue.Entry{
+		{"arrival within deadline", []queue.Entry{
 			entry("first", config.Normal, 1, 60), entry("second", config.Normal, 1, 60),
 		}, []string{"first", "second"}},
 	}
@@ -85,15 +85,15 @@
 			require.True(t, q.Offer(at(0), entry(fmt.Sprint(i), config.Urgent, 1, 0)).Admitted)
 			drain(q, at(0))
 		}
-		// 2 run for 1 s more, 4 wait for 2 s: the seventh starts after 3 s and
-		// ends after 4 s.
+		// The 2 running entries take 1 s more and the 4 waiting ones 2 s, so the
+		// seventh starts after 3 s and completes after 4 s.
 		r := q.Offer(at(0), entry("late", config.Urgent, 0, 3))
 		require.False(t, r.Admitted)
 		require.Equal(t, outcome.DeadlineUnreachable, r.Reason)
 		require.Equal(t, time.Second, r.RetryAfter)
 		require.True(t, q.Offer(at(0), entry("in-time", config.Urgent, 0, 4.1)).Admitted)
 	})
-	t.Run("full queue, less urgent work gives way", func(t *testing.T) {
+	t.Run("full queue evicts less urgent work", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 1, Limit: 2})
 		q.Offer(at(0), entry("runs", config.Urgent, 1, 0))
 		drain(q, at(0))
@@ -114,7 +114,7 @@
 		drain(q, at(0))
 		require.Equal(t, outcome.InProgress, q.Offer(at(0), entry("a", config.Normal, 1, 0)).Reason)
 	})
-	t.Run("an estimate that is too high is tried again on an idle server", func(t *testing.T) {
+	t.Run("idle server admits a probe despite a high estimate", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 4})
 		q.Offer(at(0), entry("slow", config.Normal, 1, 0))
 		drain(q, at(0))
@@ -146,7 +146,7 @@
 }
 
 func TestDeferrable(t *testing.T) {
-	t.Run("leaves slots free", func(t *testing.T) {
+	t.Run("leaves reserved slots free", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 8, Reserve: 2})
 		for i := range 8 {
 			q.Offer(at(0), entry(fmt.Sprint(i), config.Deferrable, 1, 0))
@@ -155,7 +155,7 @@
 		q.Offer(at(0), entry("n", config.Normal, 1, 0))
 		require.Equal(t, []string{"n"}, drain(q, at(0)))
 	})
-	t.Run("gives way to urgent work, by cancelling", func(t *testing.T) {
+	t.Run("preempted by urgent work through cancellation", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 2, Reserve: -1, CancelToPreempt: true})
 		q.Offer(at(0), entry("d1", config.Deferrable, 1, 0))
 		q.Offer(at(0), entry("d2", config.Deferrable, 1, 0))
@@ -170,9 +170,9 @@
 		require.True(t, ok)
 		require.Equal(t, "d1", d.Preempts)
 		q.Offer(at(0), entry("u3", config.Urgent, 1, 0))
-		require.Empty(t, drain(q, at(0)), "urgent work holds every slot")
+		require.Empty(t, drain(q, at(0)), "urgent work occupies every slot")
 	})
-	t.Run("two urgent entries cancel two entries", func(t *testing.T) {
+	t.Run("two urgent entries cancel two deferrable entries", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 2, Reserve: -1, CancelToPreempt: true})
 		q.Offer(at(0), entry("d1", config.Deferrable, 1, 0))
 		q.Offer(at(0), entry("d2", config.Deferrable, 1, 0))
@@ -186,7 +186,7 @@
 		}
 		require.Equal(t, []string{"d2", "d1"}, cancelled)
 	})
-	t.Run("gives way to urgent work, by engine priority", func(t *testing.T) {
+	t.Run("preempted by urgent work through engine priority", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 2, Reserve: -1})
 		q.Offer(at(0), entry("d1", config.Deferrable, 1, 0))
 		q.Offer(at(0), entry("d2", config.Deferrable, 1, 0))
@@ -203,27 +203,27 @@
 		q.Done("u0", at(1), 1)
 		require.Equal(t, []string{"u2"}, drain(q, at(1)))
 	})
-	t.Run("moves under a constant stream of urgent work", func(t *testing.T) {
+	t.Run("makes progress under a constant stream of urgent work", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 1, AgeAfter: 10 * time.Second, AgedEvery: 4, Limit: 1000})
 		q.Offer(at(0), entry("d", config.Deferrable, 0, 0))
-		seen := -1
+		dispatchedAt := -1
 		for i := range 60 {
 			now := at(float64(i))
 			q.Offer(now, entry(fmt.Sprint("u", i), config.Urgent, 1, 0))
 			q.Offer(now, entry(fmt.Sprint("v", i), config.Urgent, 1, 0))
 			for _, id := range drain(q, now) {
 				if id == "d" {
-					seen = i
+					dispatchedAt = i
 				}
 				q.Done(id, now, 0)
 			}
 		}
-		require.GreaterOrEqual(t, seen, 0, "the deferrable entry never ran")
-		require.LessOrEqual(t, seen, 10+4)
+		require.GreaterOrEqual(t, dispatchedAt, 0, "the deferrable entry never ran")
+		require.LessOrEqual(t, dispatchedAt, 10+4)
 	})
 }
 
-func TestAlone(t *testing.T) {
+func TestIsolatedEntry(t *testing.T) {
 	q := queue.New(queue.Settings{Slots: 4})
 	q.Offer(at(0), entry("a", config.Normal, 1, 0))
 	require.Equal(t, []string{"a"}, drain(q, at(0)))
@@ -231,16 +231,17 @@
 	suspect.Alone = true
 	q.Offer(at(0), suspect)
 	q.Offer(at(0), entry("b", config.Normal, 1, 0))
-	require.Empty(t, drain(q, at(0)), "b must not start before the suspect that is first")
+	require.Empty(t, drain(q, at(0)), "b must not start before the isolated entry ahead of it")
 	q.Done("a", at(1), 1)
 	require.Equal(t, []string{"suspect"}, drain(q, at(1)))
 	q.Offer(at(1), entry("u", config.Urgent, 1, 0))
-	require.Empty(t, drain(q, at(1)), "nothing runs beside the suspect")
+	require.Empty(t, drain(q, at(1)), "no entry may run concurrently with the isolated one")
 	q.Done("suspect", at(2), 1)
 	require.Equal(t, []string{"u", "b"}, drain(q, at(2)))
 }
 
-// TestProperties drives a queue at random and holds it against a plain model.
+// TestProperties applies random operations to a queue and compares its state
+// with a simple model.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := queue.Settings{
@@ -279,7 +280,7 @@
 				}
 				require.Contains(t, waiting, d.ID)
 				for _, r := range running {
-					require.False(t, r.Alone || d.Alone, "an entry runs beside one that must run alone")
+					require.False(t, r.Alone || d.Alone, "an entry runs concurrently with an isolated one")
 				}
 				delete(waiting, d.ID)
 				running[d.ID] = d.Entry
@@ -310,27 +311,28 @@
 				require.Equal(t, len(waiting), s.Queued)
 				require.Equal(t, len(running), s.Running)
 				require.LessOrEqual(t, s.Queued, set.Limit)
-				deferred, urgent := 0, 0
+				deferrable, other := 0, 0
 				for _, r := range running {
 					if r.Urgency == config.Deferrable {
-						deferred++
+						deferrable++
 					} else {
-						urgent++
+						other++
 					}
 				}
-				require.LessOrEqual(t, urgent, set.Slots)
+				require.LessOrEqual(t, other, set.Slots)
 				if set.CancelToPreempt {
 					require.LessOrEqual(t, len(running)-len(cancelled), set.Slots)
 				}
 				for _, e := range waiting {
-					require.True(t, e.Deadline.IsZero() || !e.Deadline.Before(now), "a passed deadline is still waiting")
+					require.True(t, e.Deadline.IsZero() || !e.Deadline.Before(now), "an entry past its deadline is still waiting")
 				}
 			},
 		})
 	})
 }
 
-// BenchmarkQueue offers, dispatches and ends one entry with n waiting.
+// BenchmarkQueue measures enqueueing, dispatching and completing one entry while
+// n entries wait.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{16, 256, 4096, 65536} {
 		b.Run(fmt.Sprint("waiting=", n), func(b *testing.B) {
@@ -338,7 +340,7 @@
 			q := queue.New(queue.Settings{Slots: 16, Limit: n + 100})
 			urgencies := []config.Urgency{config.Urgent, config.Normal, config.Deferrable}
 			id := 0
-			offer := func() {
+			enqueue := func() {
 				id++
 				e := entry(fmt.Sprint(id), urgencies[random.IntN(3)], float64(random.IntN(4)), 1e6+float64(random.IntN(1000)))
 				if !q.Offer(at(0), e).Admitted {
@@ -346,11 +348,11 @@
 				}
 			}
 			for range n {
-				offer()
+				enqueue()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				offer()
+				enqueue()
 				if d, ok := q.Next(at(0)); ok {
 					q.Done(d.ID, at(0), 1)
 				}
--- a/core/queue/settings.go
+++ b/core/queue/settings.go
@@ -11,40 +11,41 @@
 	defaultStepSeconds = 0.01
 	defaultMargin      = 1.0
 	minRetryAfter      = 50 * time.Millisecond
-	learnRate          = 0.1 // weight of a new service time in its mean
+	learnRate          = 0.1 // weight of a new sample in the exponentially weighted mean
 )
 
-// Settings sets up a Queue. The zero value of each field stands for its
-// default.
+// Settings configures a Queue. The zero value of a field selects its default.
 type Settings struct {
-	// Slots is how many requests the server runs at the same time, default 8.
+	// Slots is the number of requests that the server runs concurrently,
+	// default 8.
 	Slots int
-	// Reserve is how many slots deferrable work leaves free, default one in
-	// eight slots, at least 1 if there is more than one slot. Negative: none.
+	// Reserve is the number of slots that deferrable work leaves free, default
+	// one in eight slots and at least 1 if there is more than one slot. A
+	// negative value reserves none.
 	Reserve int
-	// Limit bounds the waiting entries, default 256.
+	// Limit is the maximum number of waiting entries, default 256.
 	Limit int
-	// AgeAfter is the wait after which an entry counts as of the next higher
+	// AgeAfter is the wait after which an entry is promoted to the next higher
 	// urgency, default 20 s.
 	AgeAfter time.Duration
-	// AgedEvery is the share of dispatches that go to the aged entry that has
-	// waited longest: one in AgedEvery, default 16.
+	// AgedEvery is the aging ratio: one dispatch in AgedEvery goes to the
+	// promoted entry that has waited longest, default 16.
 	AgedEvery int
-	// Seconds is the service time assumed before one has been learned,
-	// default 1 s.
+	// Seconds is the service time assumed until one has been learned, default
+	// 1 s.
 	Seconds float64
-	// StepSeconds is the time a token assumed before one has been learned,
+	// StepSeconds is the time per token assumed until one has been learned,
 	// default 10 ms.
 	StepSeconds float64
-	// Margin multiplies estimated times when they are held against a deadline,
-	// default 1. Higher refuses more.
+	// Margin multiplies estimated times when they are compared with a deadline,
+	// default 1. A higher value refuses more requests.
 	Margin float64
-	// CancelToPreempt tells that the engine does not preempt by priority: a
+	// CancelToPreempt is set if the engine does not preempt by priority. A
 	// dispatch then names a running deferrable entry to cancel.
 	CancelToPreempt bool
 }
 
-// withDefaults returns s with each zero field at its default.
+// withDefaults returns s with each zero field set to its default.
 func (s Settings) withDefaults() Settings {
 	if s.Slots <= 0 {
 		s.Slots = defaultSlots
--- a/core/queue/tree.go
+++ b/core/queue/tree.go
@@ -7,36 +7,36 @@
 	"guavapaddle/core/config"
 )
 
-// waiting is an entry in the tree and in the two heaps.
+// waiting is a queued entry with its position in the tree and the two heaps.
 type waiting struct {
 	Entry
 	seconds     float64 // estimated service time
 	arrived     time.Time
-	class       int // 0 is the most urgent; falls with age
-	worth       int // step of its kind's value for each second of service
+	class       int // 0 is the most urgent; decremented by each promotion
+	valueRate   int // see estimator.valueRate
 	sequence    uint64
 	latestStart time.Time // zero if the entry has no deadline
-	ageAt       time.Time // when class falls next
-	expiryIndex int       // in the expiry heap, -1 if not there
-	ageIndex    int       // in the ageing heap, -1 if not there
+	ageAt       time.Time // time of the next promotion
+	expiryIndex int       // index in Queue.expiry, -1 if absent
+	ageIndex    int       // index in Queue.ages, -1 if absent
 }
 
-// node is a node of a treap that sums the service times below it.
+// node is a treap node with the aggregates of its subtree.
 type node struct {
 	w           *waiting
 	priority    uint64
 	left, right *node
-	seconds     float64 // of the subtree
-	count       int     // of the subtree
+	seconds     float64 // total estimated service time of the subtree
+	count       int     // number of entries in the subtree
 }
 
-// tree holds the waiting entries in the order of dispatch.
+// tree is a treap of the waiting entries in dispatch order.
 type tree struct {
 	root   *node
 	random *rand.Rand
 }
 
-// classOf returns the class of an urgency: 0 for the most urgent.
+// classOf returns the class of an urgency, 0 for the most urgent.
 func classOf(u config.Urgency) int {
 	switch u {
 	case config.Urgent:
@@ -48,13 +48,13 @@
 	}
 }
 
-// before tells whether a is dispatched before b.
+// before reports whether a is dispatched before b.
 func before(a, b *waiting) bool {
 	if a.class != b.class {
 		return a.class < b.class
 	}
-	if a.worth != b.worth {
-		return a.worth > b.worth
+	if a.valueRate != b.valueRate {
+		return a.valueRate > b.valueRate
 	}
 	if !a.Deadline.Equal(b.Deadline) {
 		if a.Deadline.IsZero() || b.Deadline.IsZero() {
@@ -79,7 +79,7 @@
 	n.count = lc + rc + 1
 }
 
-// split divides n into entries before w and the rest.
+// split divides n into the entries before w and the remaining ones.
 func split(n *node, w *waiting) (l, r *node) {
 	if n == nil {
 		return nil, nil
@@ -94,19 +94,19 @@
 	return l, n
 }
 
-// join returns the tree of l and r, all of l being before all of r.
-func join(l, r *node) *node {
+// merge returns the union of l and r. All entries of l must precede those of r.
+func merge(l, r *node) *node {
 	switch {
 	case l == nil:
 		return r
 	case r == nil:
 		return l
 	case l.priority > r.priority:
-		l.right = join(l.right, r)
+		l.right = merge(l.right, r)
 		l.update()
 		return l
 	default:
-		r.left = join(l, r.left)
+		r.left = merge(l, r.left)
 		r.update()
 		return r
 	}
@@ -121,10 +121,10 @@
 	l, r := split(t.root, w)
 	n := &node{w: w, priority: t.random.Uint64()}
 	n.update()
-	t.root = join(join(l, n), r)
+	t.root = merge(merge(l, n), r)
 }
 
-// remove takes w out; w must be in the tree.
+// remove removes w, which must be in the tree.
 func (t *tree) remove(w *waiting) { t.root = remove(t.root, w) }
 
 func remove(n *node, w *waiting) *node {
@@ -132,7 +132,7 @@
 	case n == nil:
 		return nil
 	case n.w == w:
-		return join(n.left, n.right)
+		return merge(n.left, n.right)
 	case before(w, n.w):
 		n.left = remove(n.left, w)
 	default:
@@ -142,7 +142,7 @@
 	return n
 }
 
-// first returns the entry to dispatch first, nil if there is none.
+// first returns the entry to dispatch first, or nil if the tree is empty.
 func (t *tree) first() *waiting {
 	n := t.root
 	if n == nil {
@@ -154,7 +154,7 @@
 	return n.w
 }
 
-// last returns the entry to dispatch last, nil if there is none.
+// last returns the entry to dispatch last, or nil if the tree is empty.
 func (t *tree) last() *waiting {
 	n := t.root
 	if n == nil {
@@ -166,7 +166,7 @@
 	return n.w
 }
 
-// secondsBefore returns the summed service time of entries before w.
+// secondsBefore returns the total estimated service time of the entries before w.
 func (t *tree) secondsBefore(w *waiting) float64 {
 	var sum float64
 	for n := t.root; n != nil; {
