--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -1,22 +1,23 @@
-// Package quota holds teams to their quotas over all nodes together.
+// Package quota enforces the quotas of teams across all nodes.
 //
-// A quota is a token bucket of a rate and a burst. One granter keeps a Ledger
-// with a bucket for each team; each node keeps a Purse.
+// A quota is a token bucket with a rate and a burst. The granter, the node that
+// grants slots, keeps a Ledger with one bucket per team; each node keeps a Purse.
 //
-//   - A request to a model engine is charged in the granter's ledger together
-//     with its place, so that it costs no call of its own.
-//   - Another request is charged in the node's purse and told to the granter with
-//     the next report. While the team's bucket runs low the node keeps to its share
-//     of the quota; what it spends is missing from what the granter can charge.
-//   - A node that reaches no granter spends its share for all requests. Shares
-//     follow what nodes have spent of late; they sum to one. The granter keeps the
-//     shares of nodes that have fallen silent back for as long as they may be
-//     spent.
+//   - A request to a model engine is charged in the granter's ledger when its slot
+//     is granted, so that charging needs no call of its own.
+//   - Any other request is charged in the node's account and included in the node's
+//     next report to the granter. While the team's bucket is low, the node stays
+//     within its share of the quota; what it spends reduces what the granter can
+//     charge.
+//   - A node that can't reach the granter charges all requests to its share. Shares
+//     follow the recent spending of the nodes and sum to at most one. The granter
+//     withholds the shares of nodes that have stopped reporting for as long as they
+//     may still be spent.
 //
-// What a granter, a report or a node can err by is bounded by the tolerance
-// that the operator states: a quarter of it for what nodes spend by themselves,
-// a quarter for a granter that begins without knowledge, the rest for reports that
-// are under way.
+// The total error is bounded by the tolerance that the operator configures: a
+// quarter of it is for what nodes spend without the granter, a quarter for a
+// granter that starts without knowledge of earlier spending, and the rest for
+// reports in flight.
 //
 // # Usage
 //
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -8,125 +8,129 @@
 )
 
 const (
-	// silentAfter is how long after a node's last report its share is kept back: it may
-	// have begun to spend by itself.
+	// silentAfter is the time since a node's last report after which its share is
+	// withheld, because the node may have started to spend without the granter.
 	silentAfter = 2500 * time.Millisecond
-	// memory is the time over which shares follow what nodes spend.
-	memory = 4 * time.Second
-	// evenPart is the part of a quota that all nodes share evenly, since callers may turn
-	// to any of them.
-	evenPart = 0.2
-	// scarcePart is the part of the burst below which nodes keep to their shares.
-	scarcePart = 0.5
-	// greedyPart is the part of its quota from which on a team lets others go first.
-	greedyPart = 0.75
-	// tidyEvery is how often silent nodes are looked for.
-	tidyEvery = 100 * time.Millisecond
-	// settleTime is how long a granter listens to the nodes before it tells them shares.
-	settleTime = 2 * time.Second
-	// rounding, in milliseconds, is what sums of floating-point numbers may be off by.
-	rounding = 1e-6
+	// usageDecay is the time constant of the decaying sums of spending, from which shares
+	// are computed.
+	usageDecay = 4 * time.Second
+	// evenFraction is the fraction of a quota that is divided evenly among all nodes, since
+	// clients may send requests to any of them.
+	evenFraction = 0.2
+	// lowFraction is the fraction of the burst below which a bucket is low and nodes stay
+	// within their shares.
+	lowFraction = 0.5
+	// overShareFraction is the fraction of its quota above which a team yields to others.
+	overShareFraction = 0.75
+	// pruneInterval is the interval between checks for silent nodes.
+	pruneInterval = 100 * time.Millisecond
+	// warmupTime is how long a new granter collects reports before it assigns shares.
+	warmupTime = 2 * time.Second
+	// roundingErrorMS is the tolerance for floating-point error in sums, in milliseconds.
+	roundingErrorMS = 1e-6
 )
 
 type (
 	// Sum is what a node has spent of a team's quota, in units since the node started.
 	Sum struct {
-		Spent float64 // in all, for the node's share
-		Owed  float64 // that no granter has charged, less what was given back
+		Spent float64 // total, from which the node's share is computed
+		Owed  float64 // charged by the node and not by a granter, less refunds
 	}
 
-	// Use is what a node has spent of a team's quota.
+	// Use is a node's report of what it has spent of one team's quota.
 	Use struct {
 		Team  string
 		Now   Sum
-		Known Sum     // as of the last report that was answered, whoever did
-		Share float64 // that the node was told last, by whomever
+		Known Sum     // as of the last report that any granter acknowledged
+		Share float64 // last share assigned to the node by any granter
 	}
 
-	// Uses is what a node reports. Reports of a node are numbered, so that one that comes
-	// late or twice counts once.
+	// Uses is a node's usage report. The reports of a node are numbered, so that a
+	// delayed or duplicate report is counted once.
 	Uses struct {
 		Number uint64
 		Uses   []Use
 	}
 
-	// State is what a node is told of a team's quota.
+	// State is the granter's reply to a node about one team's quota.
 	State struct {
-		Share  float64 // of the quota, for what no granter charges; zero leaves the last one
-		Scarce bool    // little is left: keep to the share
+		Share  float64 // fraction of the quota for requests that no granter charges; zero keeps the last share
+		Scarce bool    // the bucket is low and the node must stay within its share
 	}
 
-	// Account is a team's use as an operator sees it.
+	// Account is the state of a team's bucket, for operators.
 	Account struct {
 		Team  string
 		Quota fleet.Quota
-		Left  float64 // units, below zero for debt
-		Used  float64 // units a second of late
+		Left  float64 // units, negative for debt
+		Used  float64 // recent usage, units per second
 	}
 
-	// Ledger keeps the buckets of all teams. Its exported fields are set before the first
-	// call. It is not safe for concurrent use.
+	// Ledger keeps the buckets of all teams. Its exported fields must be set before the
+	// first call. It is not safe for concurrent use.
 	Ledger struct {
 		Tolerance Tolerance
 
-		teams  map[string]*account
-		nodes  map[string]*member
-		tidied time.Time
+		teams    map[string]*bucket
+		nodes    map[string]*nodeUsage
+		prunedAt time.Time
 	}
 
-	account struct {
-		quota    fleet.Quota
-		level    float64 // units left, below zero for debt
-		at       time.Time
-		told     float64   // sum of the nodes' shares, one at most
-		withheld float64   // part of the rate kept back for silent nodes
-		begun    time.Time // when this ledger began to keep it
-		claimed  float64   // sum of the shares that nodes held when they first reported here
-		used     decaying
+	// bucket is the token bucket of one team.
+	bucket struct {
+		quota     fleet.Quota
+		level     float64 // units left, negative for debt
+		at        time.Time
+		assigned  float64   // sum of the shares assigned to nodes, at most one
+		withheld  float64   // fraction of the rate withheld for silent nodes
+		startedAt time.Time // when this ledger created the bucket
+		inherited float64   // sum of the shares that nodes held from earlier granters at their first report
+		used      decayingSum
 	}
 
-	// member is a node that reports.
-	member struct {
+	// nodeUsage is the state of a node that reports.
+	nodeUsage struct {
 		incarnation string
-		number      uint64
-		sums        map[string]Sum // as last reported
+		number      uint64         // of the last report
+		sums        map[string]Sum // as last reported, by team
 
-		heard  time.Time
-		silent time.Time // since when its shares are kept back, zero if they aren't
-		used   map[string]*decaying
-		shares map[string]float64 // as it was told
+		lastReport  time.Time
+		silentSince time.Time // start of the time for which its shares are withheld, zero if they aren't
+		used        map[string]*decayingSum
+		shares      map[string]float64 // as last assigned, by team
 	}
 
-	// decaying is a sum in which older values count less.
-	decaying struct {
+	// decayingSum is a sum whose values decay exponentially with their age.
+	decayingSum struct {
 		value float64
 		at    time.Time
 	}
 )
 
-// Reset begins anew, as a granter must that doesn't know what was spent before it.
+// Reset discards all state, as a new granter must, which doesn't know what was spent
+// before.
 func (l *Ledger) Reset(now time.Time, teams []fleet.Team) {
-	l.teams = map[string]*account{}
-	l.nodes = map[string]*member{}
+	l.teams = map[string]*bucket{}
+	l.nodes = map[string]*nodeUsage{}
 	l.Configure(now, teams)
 }
 
-// Configure puts quotas in force. What is left of a bucket stays, up to its new burst.
+// Configure applies the quotas of teams. A bucket keeps its level, up to its new burst.
 func (l *Ledger) Configure(now time.Time, teams []fleet.Team) {
 	if l.teams == nil {
-		l.teams = map[string]*account{}
-		l.nodes = map[string]*member{}
+		l.teams = map[string]*bucket{}
+		l.nodes = map[string]*nodeUsage{}
 	}
-	there := make(map[string]bool, len(teams))
+	configured := make(map[string]bool, len(teams))
 	for _, t := range teams {
 		if t.Quota.Rate <= 0 {
 			continue
 		}
-		there[t.Name] = true
+		configured[t.Name] = true
 		a := l.teams[t.Name]
 		if a == nil {
-			l.teams[t.Name] = &account{quota: t.Quota, at: now, begun: now,
-				level: min(t.Quota.Burst, beginPart*l.Tolerance.Excess(t.Quota))}
+			l.teams[t.Name] = &bucket{quota: t.Quota, at: now, startedAt: now,
+				level: min(t.Quota.Burst, initialFraction*l.Tolerance.Excess(t.Quota))}
 			continue
 		}
 		l.refill(now, a)
@@ -134,14 +138,14 @@
 		a.level = min(a.level, t.Quota.Burst)
 	}
 	for name := range l.teams {
-		if !there[name] {
+		if !configured[name] {
 			delete(l.teams, name)
 		}
 	}
 }
 
-// Charge takes the cost of a request out of a team's bucket, or tells when to come back.
-// A request larger than the whole burst is taken when the bucket is full.
+// Charge takes the cost of a request from a team's bucket, or returns the time after
+// which to retry. A request larger than the burst is charged once the bucket is full.
 func (l *Ledger) Charge(now time.Time, team string, cost float64) (ok bool, after time.Duration) {
 	a := l.teams[team]
 	if a == nil {
@@ -149,21 +153,21 @@
 	}
 	l.refill(now, a)
 	if need := min(cost, a.quota.Burst); a.level < need {
-		return false, seconds((need - a.level) / a.quota.Rate)
+		return false, ceilMilliseconds((need - a.level) / a.quota.Rate)
 	}
 	a.level -= cost
 	return true, 0
 }
 
-// Greedy tells whether a team has used so much of its quota of late that it lets others
-// go first while there isn't enough for all. A team that sends many times its usual would
-// else take their part, also below its quota.
+// Greedy reports whether a team's recent usage is so close to its quota that requests of
+// other teams go first while capacity is short. Without this, a team that sends many times
+// its usual load would take the others' capacity even while it is below its quota.
 func (l *Ledger) Greedy(now time.Time, team string) bool {
 	a := l.teams[team]
-	return a != nil && a.used.sum(now) > greedyPart*a.quota.Rate*memory.Seconds()
+	return a != nil && a.used.sum(now) > overShareFraction*a.quota.Rate*usageDecay.Seconds()
 }
 
-// Refund gives back what a request was charged that hasn't run.
+// Refund returns the charge of a request that hasn't run.
 func (l *Ledger) Refund(now time.Time, team string, cost float64) {
 	if a := l.teams[team]; a != nil {
 		l.refill(now, a)
@@ -171,34 +175,34 @@
 	}
 }
 
-// Report takes in what a node has spent, one process of which is an incarnation, and
-// returns what it is told of the teams that it serves.
+// Report applies a node's usage report and returns the state of the quotas, by team. The
+// incarnation identifies the node's process.
 func (l *Ledger) Report(now time.Time, node, incarnation string, r Uses) map[string]State {
 	if len(l.teams) == 0 {
 		return nil
 	}
-	l.tidy(now)
+	l.prune(now)
 	m := l.nodes[node]
 	if m == nil {
-		m = &member{used: map[string]*decaying{}, shares: map[string]float64{}}
+		m = &nodeUsage{used: map[string]*decayingSum{}, shares: map[string]float64{}}
 		l.nodes[node] = m
 	}
-	l.resume(now, m)
-	m.heard = now
+	l.resumeNode(now, m)
+	m.lastReport = now
 	if m.incarnation != incarnation {
 		m.incarnation, m.number, m.sums = incarnation, 0, map[string]Sum{}
 	}
 	if r.Number > m.number {
 		m.number = r.Number
 		for _, u := range r.Uses {
-			l.enter(now, m, u)
+			l.applyUse(now, m, u)
 		}
 	}
-	return l.state(now, m)
+	return l.assignShares(now, m)
 }
 
-// enter takes in one use.
-func (l *Ledger) enter(now time.Time, m *member, u Use) {
+// applyUse applies a node's usage of one team's quota.
+func (l *Ledger) applyUse(now time.Time, m *nodeUsage, u Use) {
 	before, ok := m.sums[u.Team]
 	if !ok {
 		before = u.Known
@@ -210,30 +214,30 @@
 	}
 	l.refill(now, a)
 	if !ok {
-		a.claimed += u.Share
+		a.inherited += u.Share
 	}
 	a.level = min(a.level-(u.Now.Owed-before.Owed), a.quota.Burst)
 	spent := u.Now.Spent - before.Spent
 	a.used.add(now, spent)
 	d := m.used[u.Team]
 	if d == nil {
-		d = &decaying{}
+		d = &decayingSum{}
 		m.used[u.Team] = d
 	}
 	d.add(now, spent)
 }
 
-// state returns what a node is told of each team, and notes its shares.
-func (l *Ledger) state(now time.Time, m *member) map[string]State {
+// assignShares recomputes a node's shares and returns its state for each team.
+func (l *Ledger) assignShares(now time.Time, m *nodeUsage) map[string]State {
 	out := map[string]State{}
-	l.untell(m)
+	l.revokeShares(m)
 	for name, a := range l.teams {
 		l.refill(now, a)
-		s := State{Scarce: a.level < scarcePart*a.quota.Burst}
-		if d := m.used[name]; d != nil && now.Sub(a.begun) >= settleTime {
-			s.Share = min(l.share(now, a, d), max(0, 1-a.told))
+		s := State{Scarce: a.level < lowFraction*a.quota.Burst}
+		if d := m.used[name]; d != nil && now.Sub(a.startedAt) >= warmupTime {
+			s.Share = min(l.computeShare(now, a, d), max(0, 1-a.assigned))
 			m.shares[name] = s.Share
-			a.told += s.Share
+			a.assigned += s.Share
 		}
 		if s != (State{}) {
 			out[name] = s
@@ -242,122 +246,126 @@
 	return out
 }
 
-// untell forgets the shares that a node was told.
-func (l *Ledger) untell(m *member) {
+// revokeShares removes the shares that were assigned to a node.
+func (l *Ledger) revokeShares(m *nodeUsage) {
 	for team, share := range m.shares {
 		if a := l.teams[team]; a != nil {
-			a.told = max(0, a.told-share)
+			a.assigned = max(0, a.assigned-share)
 		}
 	}
 	clear(m.shares)
 }
 
-// share returns a node's part of a quota.
-func (l *Ledger) share(now time.Time, a *account, d *decaying) float64 {
-	even := evenPart / float64(len(l.nodes))
+// computeShare returns a node's share of a quota, given its recent spending d: an even
+// fraction plus one proportional to its spending.
+func (l *Ledger) computeShare(now time.Time, a *bucket, d *decayingSum) float64 {
+	even := evenFraction / float64(len(l.nodes))
 	all := a.used.sum(now)
 	if all <= 0 {
 		return even
 	}
-	return (1-evenPart)*min(1, d.sum(now)/all) + even
+	return (1-evenFraction)*min(1, d.sum(now)/all) + even
 }
 
-// tidy keeps the shares of nodes back that have fallen silent, and forgets nodes whose
-// shares may not be spent any more.
-func (l *Ledger) tidy(now time.Time) {
-	if now.Sub(l.tidied) < tidyEvery {
+// prune withholds the shares of nodes that have stopped reporting, and removes nodes whose
+// shares can no longer be spent.
+func (l *Ledger) prune(now time.Time) {
+	if now.Sub(l.prunedAt) < pruneInterval {
 		return
 	}
-	l.tidied = now
+	l.prunedAt = now
 	for name, m := range l.nodes {
-		quiet := now.Sub(m.heard)
+		silence := now.Sub(m.lastReport)
 		switch {
-		case quiet > silentAfter+l.Tolerance.Window:
-			if !m.silent.IsZero() {
-				l.withhold(now, m, -1)
+		case silence > silentAfter+l.Tolerance.Window:
+			if !m.silentSince.IsZero() {
+				l.adjustWithheld(now, m, -1)
 			}
-			l.untell(m)
+			l.revokeShares(m)
 			delete(l.nodes, name)
-		case quiet > silentAfter && m.silent.IsZero():
-			m.silent = m.heard
-			l.withhold(now, m, 1)
-			l.lend(now, m, -1)
+		case silence > silentAfter && m.silentSince.IsZero():
+			m.silentSince = m.lastReport
+			l.adjustWithheld(now, m, 1)
+			l.creditShares(now, m, -1)
 		}
 	}
 }
 
-// withhold adds a node's shares, so many times, to the part of the rate that is kept back.
-func (l *Ledger) withhold(now time.Time, m *member, times float64) {
+// adjustWithheld adds a node's shares to the withheld fractions of the rates, or subtracts
+// them if sign is -1.
+func (l *Ledger) adjustWithheld(now time.Time, m *nodeUsage, sign float64) {
 	for team, share := range m.shares {
 		if a := l.teams[team]; a != nil {
 			l.refill(now, a)
-			a.withheld = min(1, max(0, a.withheld+times*share))
+			a.withheld = min(1, max(0, a.withheld+sign*share))
 		}
 	}
 }
 
-// resume gives the shares of a silent node back to its teams, with what was kept back
-// meanwhile: what it has spent of that it reports.
-func (l *Ledger) resume(now time.Time, m *member) {
-	if m.silent.IsZero() {
+// resumeNode releases the withheld shares of a silent node, including what accrued
+// meanwhile. The node reports what it has spent of that.
+func (l *Ledger) resumeNode(now time.Time, m *nodeUsage) {
+	if m.silentSince.IsZero() {
 		return
 	}
-	l.withhold(now, m, -1)
-	l.lend(now, m, 1)
-	m.silent = time.Time{}
+	l.adjustWithheld(now, m, -1)
+	l.creditShares(now, m, 1)
+	m.silentSince = time.Time{}
 }
 
-// lend adds to the buckets, so many times, what a silent node's shares have brought in since
-// it was last heard of.
-func (l *Ledger) lend(now time.Time, m *member, times float64) {
+// creditShares adds to the buckets what a silent node's shares have accrued since its last
+// report, or subtracts it if sign is -1.
+func (l *Ledger) creditShares(now time.Time, m *nodeUsage, sign float64) {
 	for team, share := range m.shares {
 		if a := l.teams[team]; a != nil {
-			a.level = min(a.level+times*share*a.quota.Rate*now.Sub(m.silent).Seconds(), a.quota.Burst)
+			a.level = min(a.level+sign*share*a.quota.Rate*now.Sub(m.silentSince).Seconds(), a.quota.Burst)
 		}
 	}
 }
 
-// Accounts returns the use of all teams with a quota.
+// Accounts returns the bucket state of all teams that have a quota.
 func (l *Ledger) Accounts(now time.Time) []Account {
 	out := make([]Account, 0, len(l.teams))
 	for name, a := range l.teams {
 		l.refill(now, a)
-		out = append(out, Account{Team: name, Quota: a.quota, Left: a.level, Used: a.used.sum(now) / memory.Seconds()})
+		out = append(out, Account{Team: name, Quota: a.quota, Left: a.level, Used: a.used.sum(now) / usageDecay.Seconds()})
 	}
 	return out
 }
 
-// refill adds to a bucket what has come in since the last call. Shares that an earlier
-// granter told may be spent by nodes that haven't reported to this one yet.
-func (l *Ledger) refill(now time.Time, a *account) {
+// refill adds to a bucket what has accrued since the last call. For one window after the
+// start, once nodes have reported shares of an earlier granter, it accrues only the sum
+// of those shares plus the even fraction, because nodes that haven't reported to this
+// granter yet may still spend their shares.
+func (l *Ledger) refill(now time.Time, a *bucket) {
 	dt := now.Sub(a.at)
 	if dt <= 0 {
 		return
 	}
-	part := 1.0
-	if a.claimed > 0 && now.Sub(a.begun) < l.Tolerance.Window {
-		part = min(1, a.claimed+evenPart)
+	fraction := 1.0
+	if a.inherited > 0 && now.Sub(a.startedAt) < l.Tolerance.Window {
+		fraction = min(1, a.inherited+evenFraction)
 	}
-	part = max(0, part-a.withheld)
-	a.level = min(a.quota.Burst, a.level+a.quota.Rate*part*dt.Seconds())
+	fraction = max(0, fraction-a.withheld)
+	a.level = min(a.quota.Burst, a.level+a.quota.Rate*fraction*dt.Seconds())
 	a.at = now
 }
 
-// add adds a value.
-func (d *decaying) add(now time.Time, v float64) {
+// add adds the value v.
+func (d *decayingSum) add(now time.Time, v float64) {
 	d.value = d.sum(now) + v
 	d.at = now
 }
 
-// sum returns the sum as it counts now.
-func (d *decaying) sum(now time.Time) float64 {
+// sum returns the sum, decayed to the time now.
+func (d *decayingSum) sum(now time.Time) float64 {
 	if d.value == 0 {
 		return 0
 	}
-	return d.value * math.Exp(-max(0, now.Sub(d.at)).Seconds()/memory.Seconds())
+	return d.value * math.Exp(-max(0, now.Sub(d.at)).Seconds()/usageDecay.Seconds())
 }
 
-// seconds returns a time in whole milliseconds, rounded up.
-func seconds(s float64) time.Duration {
-	return time.Duration(math.Ceil(s*1000-rounding)) * time.Millisecond
+// ceilMilliseconds converts seconds to a duration, rounded up to whole milliseconds.
+func ceilMilliseconds(s float64) time.Duration {
+	return time.Duration(math.Ceil(s*1000-roundingErrorMS)) * time.Millisecond
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -27,14 +27,14 @@
 	return &quota.Purse{Tolerance: tolerance, Rand: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// spend charges a request of the desk at a node that is led.
+// spend charges a request of team desk at a node that has a leader.
 func spend(t *testing.T, p *quota.Purse, cost float64) {
 	t.Helper()
 	ok, _ := p.Spend(start, desk, cost, true)
 	require.True(t, ok)
 }
 
-func TestChargeTakesTheBurstAndThenTheRate(t *testing.T) {
+func TestChargeUsesBurstThenRate(t *testing.T) {
 	l := newLedger()
 	ok, _ := l.Charge(start, "desk", 900)
 	require.True(t, ok)
@@ -42,13 +42,13 @@
 	require.False(t, ok)
 	require.Equal(t, 500*time.Millisecond, after)
 	ok, _ = l.Charge(start.Add(after), "desk", 600)
-	require.True(t, ok, "it may come back when it is told to")
+	require.True(t, ok, "a retry after the returned delay must be admitted")
 	l.Refund(start.Add(after), "desk", 600)
 	ok, _ = l.Charge(start.Add(after), "desk", 600)
-	require.True(t, ok, "what hasn't run is given back")
+	require.True(t, ok, "the charge of a request that hasn't run must be refunded")
 }
 
-func TestARequestLargerThanTheBurstIsTakenFromAFullBucket(t *testing.T) {
+func TestChargeAboveBurstNeedsFullBucket(t *testing.T) {
 	l := newLedger()
 	ok, _ := l.Charge(start, "desk", 5000)
 	require.True(t, ok)
@@ -57,7 +57,7 @@
 	require.Equal(t, 4100*time.Millisecond, after)
 }
 
-func TestTeamsWithoutAQuotaAreNotBound(t *testing.T) {
+func TestTeamWithoutQuotaIsUnlimited(t *testing.T) {
 	l := &quota.Ledger{Tolerance: tolerance}
 	l.Reset(start, []fleet.Team{{Name: "free"}})
 	for range 100 {
@@ -69,7 +69,7 @@
 	require.True(t, ok)
 }
 
-func TestALowerQuotaBindsAtOnce(t *testing.T) {
+func TestLowerQuotaAppliesImmediately(t *testing.T) {
 	l := newLedger()
 	lower := desk
 	lower.Quota.Rate, lower.Quota.Burst = 100, 100
@@ -81,15 +81,15 @@
 	require.Equal(t, 500*time.Millisecond, after)
 }
 
-// TestReportsThatAreLostOrComeTwiceCountOnce loses the answer to a report, has the report
-// come again late, and has another granter take over.
-func TestReportsThatAreLostOrComeTwiceCountOnce(t *testing.T) {
+// TestUnacknowledgedAndDuplicateReportsCountOnce loses the reply to a report, delivers
+// that report again after a later one, and lets another granter take over.
+func TestUnacknowledgedAndDuplicateReportsCountOnce(t *testing.T) {
 	l := newLedger()
 	left := func(l *quota.Ledger) float64 { return l.Accounts(start)[0].Left }
 	p := newPurse(1)
 	spend(t, p, 200)
 	lost := p.Report()
-	l.Report(start, "n1", "a", lost) // its answer doesn't arrive
+	l.Report(start, "n1", "a", lost) // the reply is lost
 	require.Equal(t, 800.0, left(l))
 	spend(t, p, 100)
 	second := p.Report()
@@ -97,22 +97,22 @@
 	p.Answered(second.Number)
 	require.Equal(t, 700.0, left(l))
 	l.Report(start, "n1", "a", lost)
-	require.Equal(t, 700.0, left(l), "a late report changes nothing")
+	require.Equal(t, 700.0, left(l), "a delayed report must not be counted again")
 
 	other := newLedger()
 	spend(t, p, 50)
 	other.Report(start, "n1", "a", p.Report())
-	require.Equal(t, 950.0, left(other), "another granter charges what none has answered for")
+	require.Equal(t, 950.0, left(other), "another granter must charge what none has acknowledged")
 
 	p = newPurse(2)
 	spend(t, p, 40)
 	l.Report(start, "n1", "b", p.Report())
-	require.Equal(t, 660.0, left(l), "the node's next process counts from zero")
+	require.Equal(t, 660.0, left(l), "the sums of the node's next process start at zero")
 }
 
-// TestSharesOfSilentNodesAreKeptBack has one of two nodes fall silent, which may spend its
-// share by itself, and return.
-func TestSharesOfSilentNodesAreKeptBack(t *testing.T) {
+// TestSilentNodeShareIsWithheld lets one of two nodes stop reporting, during which it may
+// spend its share without the granter, and then report again.
+func TestSilentNodeShareIsWithheld(t *testing.T) {
 	l := newLedger()
 	purses := map[string]*quota.Purse{"n1": newPurse(1), "n2": newPurse(2)}
 	report := func(now time.Time, name string) {
@@ -125,7 +125,7 @@
 		report(start, name)
 	}
 	now := start
-	for range 21 { // until shares are told
+	for range 21 { // until shares are assigned
 		now = now.Add(100 * time.Millisecond)
 		report(now, "n1")
 		report(now, "n2")
@@ -139,7 +139,7 @@
 	now = now.Add(time.Second)
 	report(now, "n1")
 	ok, _ = l.Charge(now, "desk", 700)
-	require.False(t, ok, "the share of n2 is kept back")
+	require.False(t, ok, "the share of n2 must be withheld")
 	ok, _ = l.Charge(now, "desk", 300)
 	require.True(t, ok)
 
@@ -148,12 +148,12 @@
 	report(now, "n1")
 	report(now, "n2")
 	ok, _ = l.Charge(now, "desk", 950)
-	require.True(t, ok, "n2 is back and has spent nothing")
+	require.True(t, ok, "n2 reports again and has spent nothing")
 }
 
-// TestAShareHoldsOnWhileGrantersChange has another granter take over, which knows no shares
-// yet, and then none answer.
-func TestAShareHoldsOnWhileGrantersChange(t *testing.T) {
+// TestShareSurvivesGranterChange lets another granter take over, which has not assigned
+// shares yet, and then lets no granter reply.
+func TestShareSurvivesGranterChange(t *testing.T) {
 	p := newPurse(1)
 	p.Told(start, map[string]quota.State{"desk": {Share: 1}}, 1)
 	p.Told(start, map[string]quota.State{"desk": {Scarce: true}}, 1)
@@ -161,12 +161,13 @@
 	spend(t, p, 200)
 	require.Equal(t, 1.0, p.Report().Uses[0].Share)
 	p.Told(start.Add(time.Minute), nil, 1)
-	require.Zero(t, p.Report().Uses[0].Share, "not for good")
+	require.Zero(t, p.Report().Uses[0].Share, "the share must expire")
 }
 
-// TestNoWindowGoesOverWithinTheTolerance plays a team that asks many times its quota at
-// nodes that lose their granter, and the granter its memory, at random.
-func TestNoWindowGoesOverWithinTheTolerance(t *testing.T) {
+// TestUsageStaysWithinTolerance simulates a team whose demand is four times its quota, at
+// nodes that lose their connection to the granter at random, while the granter loses its
+// state at random.
+func TestUsageStaysWithinTolerance(t *testing.T) {
 	const nodes, step, length = 40, 50 * time.Millisecond, 40 * time.Second
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 7))
@@ -176,16 +177,16 @@
 		l := &quota.Ledger{Tolerance: tolerance}
 		l.Reset(start, []fleet.Team{team})
 		var purses []*quota.Purse
-		cut := make([]time.Time, nodes) // until when the node reaches no granter
+		disconnectedUntil := make([]time.Time, nodes) // end of the node's disconnection from the granter
 		for i := range nodes {
 			purses = append(purses, newPurse(seed*100+uint64(i)))
 		}
-		type run struct {
+		type admission struct {
 			at   time.Time
 			cost float64
 		}
-		var runs []run
-		asked := 4 * team.Quota.Rate * step.Seconds() // by all nodes in a step
+		var admissions []admission
+		demand := 4 * team.Quota.Rate * step.Seconds() // units per step, over all nodes
 		for now := start; now.Before(start.Add(length)); now = now.Add(step) {
 			if rnd.Float64() < 0.004 {
 				l = &quota.Ledger{Tolerance: tolerance}
@@ -194,19 +195,19 @@
 			if rnd.Float64() < 0.01 {
 				for i := range nodes {
 					if rnd.Float64() < 0.33 {
-						cut[i] = now.Add(time.Duration(rnd.Float64() * 4 * float64(time.Second)))
+						disconnectedUntil[i] = now.Add(time.Duration(rnd.Float64() * 4 * float64(time.Second)))
 					}
 				}
 			}
 			for i, p := range purses {
-				if now.Before(cut[i]) || rnd.IntN(16) != 0 {
+				if now.Before(disconnectedUntil[i]) || rnd.IntN(16) != 0 {
 					continue
 				}
 				r := p.Report()
 				p.Told(now, l.Report(now, string(rune('A'+i)), "x", r), nodes)
 				p.Answered(r.Number)
 			}
-			for spent := 0.0; spent < asked; {
+			for spent := 0.0; spent < demand; {
 				i, cost, plain := rnd.IntN(nodes), 200+2800*rnd.Float64(), rnd.IntN(3) == 0
 				if plain {
 					cost = 200
@@ -214,31 +215,31 @@
 				spent += cost
 				var ok bool
 				switch p := purses[i]; {
-				case now.Before(cut[i]), plain:
-					ok, _ = p.Spend(now, team, cost, !now.Before(cut[i]))
+				case now.Before(disconnectedUntil[i]), plain:
+					ok, _ = p.Spend(now, team, cost, !now.Before(disconnectedUntil[i]))
 				default:
 					if ok, _ = l.Charge(now, "desk", cost); ok {
 						p.Charged("desk", cost)
 					}
 				}
 				if ok {
-					runs = append(runs, run{now, cost})
+					admissions = append(admissions, admission{now, cost})
 				}
 			}
 		}
 		q := team.Quota
 		bound := (q.Rate*tolerance.Window.Seconds()+q.Burst)*(1+tolerance.Over) + tolerance.Slack
-		most, all, sum, first := 0.0, 0.0, 0.0, 0
-		for _, x := range runs {
-			all += x.cost
+		peak, total, sum, first := 0.0, 0.0, 0.0, 0
+		for _, x := range admissions {
+			total += x.cost
 			sum += x.cost
-			for x.at.Sub(runs[first].at) > tolerance.Window {
-				sum -= runs[first].cost
+			for x.at.Sub(admissions[first].at) > tolerance.Window {
+				sum -= admissions[first].cost
 				first++
 			}
-			most = max(most, sum)
+			peak = max(peak, sum)
 		}
-		require.LessOrEqual(t, most, bound, "seed %d", seed)
-		require.Greater(t, all, 0.7*q.Rate*length.Seconds(), "seed %d: callers get what they are owed", seed)
+		require.LessOrEqual(t, peak, bound, "seed %d", seed)
+		require.Greater(t, total, 0.7*q.Rate*length.Seconds(), "seed %d: admitted usage must stay close to the quota", seed)
 	}
 }
--- a/core/quota/tolerance.go
+++ b/core/quota/tolerance.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// beginPart is the part of the tolerance with which a granter begins that knows
-	// nothing of what was spent before.
-	beginPart = 0.25
-	// reservePart is the part of the tolerance that nodes may spend beside their shares
-	// of the rate while they reach no granter, all of them together.
-	reservePart = 0.25
+	// initialFraction is the fraction of the tolerance to which buckets are filled at first, as
+	// a new granter doesn't know what was spent before.
+	initialFraction = 0.25
+	// reserveFraction is the fraction of the tolerance that all nodes together may spend in
+	// addition to their shares of the rate while they can't reach a granter.
+	reserveFraction = 0.25
 )
 
-// Tolerance is how far the use of a quota may go over in a window: by a part of
-// what the quota allows in it, and a slack in units.
+// Tolerance is the maximum by which usage may exceed a quota in any window.
 type Tolerance struct {
 	Window time.Duration
-	Over   float64
-	Slack  float64
+	Over   float64 // fraction of what the quota allows in a window
+	Slack  float64 // units, in addition to Over
 }
 
-// Excess returns the units by which a team may go over its quota in a window.
+// Excess returns the units by which a team may exceed the quota q in a window.
 func (t Tolerance) Excess(q fleet.Quota) float64 {
 	return t.Over*(q.Rate*t.Window.Seconds()+q.Burst) + t.Slack
 }
