--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -1,23 +1,25 @@
-// Package limit decides whether a team's request is taken on, by shares of
-// the node's capacity.
+// Package limit decides whether a team's request is admitted, by shares of the
+// node's capacity.
 //
-// As long as the node's whole use is below its capacity nobody is limited. Once
-// it is not, a team is taken on only while its own use is below its share:
-// the capacity divided by the weights of the teams in use, where what a
-// team leaves of its share is divided among the others (max-min fairness).
-// Work of lesser urgency is taken on only up to a part of the capacity, so that
-// urgent work finds room. Rules bound a team and kind in any case.
+// No team is limited while the node's total usage is below its capacity. Above
+// it, a team's requests are admitted only while the team's usage is below its
+// share. Shares divide the capacity among the active teams by weight, and what a
+// team leaves unused is divided among the others (max-min fairness). Work of
+// lower urgency is admitted only up to a fraction of the capacity, so that
+// capacity is left for urgent work. Rules limit a team and kind regardless of
+// the capacity.
 //
-// Use is measured in units a second over a window: of units settled it fades
-// with the window, of units reserved it stays until they are settled. A
-// cancelled request that may still run keeps its reservation: only the proven
-// unused part is given back. These rules for expensive work (reserve an
-// estimate, settle the actual cost once, keep what is not proven) are taken
-// from "How to review rate limits around expensive API operations".
+// Usage is measured in units per second over a window. Settled units decay
+// exponentially with the window as the time constant; reserved units don't decay
+// until they are settled. A cancelled request that may still run keeps its
+// reservation; only units that are known to be unused are released. These rules
+// for expensive work (reserve an estimate, settle the actual cost once, keep
+// what is not known to be unused) are taken from "How to review rate limits
+// around expensive API operations".
 //
-// Two policies stand behind one interface: ByRequests counts every request as
-// one unit and ByCost counts the caller's estimate, replaced by the actual cost
-// when it is known.
+// Two policies implement the Policy interface: ByRequests counts every request
+// as one unit, and ByCost counts the caller's estimate, which is replaced by the
+// actual cost once it is known.
 //
 // # Usage
 //
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// DefaultWindow is the time over which use is measured.
+	// DefaultWindow is the time constant over which usage is measured.
 	DefaultWindow = 10 * time.Second
-	// DefaultNormalPart is the part of the capacity up to which normal work is
-	// taken on.
+	// DefaultNormalPart is the fraction of the capacity up to which normal work
+	// is admitted.
 	DefaultNormalPart = 0.95
-	// DefaultDeferrablePart is the part of the capacity up to which deferrable
-	// work is taken on.
+	// DefaultDeferrablePart is the fraction of the capacity up to which
+	// deferrable work is admitted.
 	DefaultDeferrablePart = 0.8
-	// MinRetryAfter is the least time after which a refused caller may come back.
+	// MinRetryAfter is the minimum retry delay of a refused request.
 	MinRetryAfter = 100 * time.Millisecond
-	// MaxRetryAfter is the longest time after which a refused caller may come back.
+	// MaxRetryAfter is the maximum retry delay of a refused request.
 	MaxRetryAfter = 30 * time.Second
 )
 
 type (
-	// Policy takes requests on or refuses them.
+	// Policy admits or refuses requests.
 	Policy interface {
-		// Admit tells whether a request of team is taken on at now, and if
-		// not, when its caller may come back.
+		// Admit reports whether a request of team is admitted at the time now.
+		// It returns the reservation or, for a refused request, the delay before
+		// a retry.
 		Admit(now time.Time, team config.Team, kind config.Kind, estimate float64) (Reservation, bool, time.Duration)
 		// Settle replaces the units that r reserved by the actual ones. It does
-		// nothing for a reservation that is settled already.
+		// nothing if r is already settled.
 		Settle(now time.Time, r Reservation, actual float64)
 	}
 
-	// Reservation is the hold of an admitted request on its team's share.
+	// Reservation records the units that an admitted request holds of its team's
+	// share.
 	Reservation struct {
 		id    uint64
 		team  string
@@ -40,17 +42,17 @@
 		units float64
 	}
 
-	// Rule bounds the use of one team and kind, whatever the capacity.
+	// Rule limits the usage of a team and kind regardless of the capacity.
 	Rule struct {
-		Team string  `json:"team"` // "*" for each team on its own
+		Team string  `json:"team"` // "*" for each team separately
 		Kind string  `json:"kind"` // "*" for all kinds together
-		Rate float64 `json:"rate"` // units a second
+		Rate float64 `json:"rate"` // units per second
 	}
 
-	// Settings are the settings of a policy. Capacity zero means no limit but
-	// the rules.
+	// Settings configures a policy. With a Capacity of zero only the rules
+	// apply.
 	Settings struct {
-		Capacity       float64       // units a second of this node
+		Capacity       float64       // of this node, in units per second
 		Window         time.Duration // DefaultWindow if zero
 		NormalPart     float64       // DefaultNormalPart if zero
 		DeferrablePart float64       // DefaultDeferrablePart if zero
@@ -58,18 +60,19 @@
 	}
 )
 
-// Units returns the units that r holds until it is settled.
+// Units returns the number of units that r holds until it is settled.
 func (r Reservation) Units() float64 { return r.units }
 
-// part returns the part of the capacity that work of urgency u may fill.
-func (s Settings) part(u config.Urgency) float64 {
+// usableFraction returns the fraction of the capacity that is available to work
+// of urgency u.
+func (s Settings) usableFraction(u config.Urgency) float64 {
 	switch u {
 	case config.Urgent:
 		return 1
 	case config.Deferrable:
-		return or(s.DeferrablePart, DefaultDeferrablePart)
+		return orDefault(s.DeferrablePart, DefaultDeferrablePart)
 	}
-	return or(s.NormalPart, DefaultNormalPart)
+	return orDefault(s.NormalPart, DefaultNormalPart)
 }
 
 // window returns the window in seconds.
@@ -80,8 +83,8 @@
 	return s.Window.Seconds()
 }
 
-// or returns v, or d if v is zero.
-func or(v, d float64) float64 {
+// orDefault returns v, or the default d if v is zero.
+func orDefault(v, d float64) float64 {
 	if v == 0 {
 		return d
 	}
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -13,20 +13,20 @@
 )
 
 var (
-	start  = time.UnixMilli(1_800_000_000_000)
-	urgent = config.Kind{Name: "live", Urgency: config.Urgent}
-	normal = config.Kind{Name: "desk", Urgency: config.Normal}
-	later  = config.Kind{Name: "batch", Urgency: config.Deferrable}
+	start      = time.UnixMilli(1_800_000_000_000)
+	urgent     = config.Kind{Name: "live", Urgency: config.Urgent}
+	normal     = config.Kind{Name: "desk", Urgency: config.Normal}
+	deferrable = config.Kind{Name: "batch", Urgency: config.Deferrable}
 )
 
-// team returns a team.
 func team(name string, weight float64) config.Team {
 	return config.Team{Name: name, Weight: weight}
 }
 
-// load lets teams ask at their rates, in units a second, of requests of
-// cost units, for the given seconds. It returns the units admitted to each.
-func load(p limit.Policy, seconds int, cost float64, kind config.Kind, rates map[string]float64, weights map[string]float64) map[string]float64 {
+// simulate runs teams that send requests of the given cost at their rates, in
+// units per second, for a number of seconds. It returns the units admitted for
+// each team.
+func simulate(p limit.Policy, seconds int, cost float64, kind config.Kind, rates map[string]float64, weights map[string]float64) map[string]float64 {
 	r := rand.New(rand.NewPCG(1, 1))
 	got := map[string]float64{}
 	const tick = 10 * time.Millisecond
@@ -51,17 +51,17 @@
 func TestShares(t *testing.T) {
 	const seconds, capacity = 120, 100.0
 	for name, c := range map[string]struct {
-		rates, weights, want map[string]float64 // units a second
+		rates, weights, want map[string]float64 // units per second
 	}{
-		"below capacity nobody is limited": {
+		"no limit below capacity": {
 			map[string]float64{"a": 80, "b": 5}, map[string]float64{"a": 1, "b": 9}, map[string]float64{"a": 80, "b": 5}},
-		"equal weights share equally": {
+		"equal weights get equal shares": {
 			map[string]float64{"a": 500, "b": 500}, map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 50, "b": 50}},
 		"shares follow weights": {
 			map[string]float64{"a": 500, "b": 500}, map[string]float64{"a": 3, "b": 1}, map[string]float64{"a": 75, "b": 25}},
-		"what one leaves the others get": {
+		"unused share is divided among the others": {
 			map[string]float64{"a": 500, "b": 500, "c": 10}, map[string]float64{"a": 1, "b": 1, "c": 2}, map[string]float64{"a": 45, "b": 45, "c": 10}},
-		"a burst does not reach others": {
+		"burst of one team does not affect others": {
 			map[string]float64{"a": 5000, "b": 30}, map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 70, "b": 30}},
 	} {
 		for policy, p := range map[string]limit.Policy{
@@ -69,9 +69,9 @@
 			"requests": limit.NewByRequests(limit.Settings{Capacity: capacity, NormalPart: 1}),
 		} {
 			t.Run(name+" by "+policy, func(t *testing.T) {
-				got := load(p, seconds, 1, normal, c.rates, c.weights)
+				got := simulate(p, seconds, 1, normal, c.rates, c.weights)
 				for who, want := range c.want {
-					// A window's worth of the capacity is taken at the start.
+					// The capacity of one window is used up at the start.
 					require.InDelta(t, want, got[who]/seconds, want*0.12+1, who)
 				}
 			})
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestCostCountsFanOut is the paper's case: a small request that costs much is
-// refused by cost and let through by count.
+// TestCostCountsFanOut is the example of the paper cited in the package comment:
+// ByCost refuses a small request with a high cost and ByRequests admits it.
 func TestCostCountsFanOut(t *testing.T) {
 	const window = 10.0
 	cost := limit.NewByCost(limit.Settings{Capacity: 100 / window, NormalPart: 1})
@@ -92,27 +92,27 @@
 	large, ok, _ := cost.Admit(start, c, normal, 30)
 	require.True(t, ok)
 	_, ok, after := cost.Admit(start, c, normal, 36)
-	require.False(t, ok, "40 settled and 30 reserved leave 30")
+	require.False(t, ok, "40 units settled and 30 reserved leave 30")
 	require.Greater(t, after, time.Duration(0))
 	cost.Settle(start, large, 24)
 	small, ok, _ := cost.Admit(start, c, normal, 36)
-	require.True(t, ok, "24 instead of 30: 36 are left")
+	require.True(t, ok, "settling 24 units instead of 30 leaves 36")
 
 	cost.Settle(start, large, 24)
 	cost.Settle(start, large, -1000)
 	_, ok, _ = cost.Admit(start, c, normal, 1)
-	require.False(t, ok, "a reservation is settled once")
+	require.False(t, ok, "a reservation must be settled only once")
 	cost.Settle(start, small, 72)
 	_, ok, _ = cost.Admit(start, c, normal, 1)
-	require.False(t, ok, "more than estimated counts too")
+	require.False(t, ok, "a cost above the estimate must be counted")
 	for _, estimate := range []float64{40, 30, 36} {
 		_, ok, _ = count.Admit(start, c, normal, estimate)
 		require.True(t, ok)
 	}
 }
 
-// TestUnsettledStaysReserved: what is not proven to be unused is not given back
-// by the clock.
+// TestUnsettledStaysReserved checks that the passing of time does not release
+// units that aren't known to be unused.
 func TestUnsettledStaysReserved(t *testing.T) {
 	p := limit.NewByCost(limit.Settings{Capacity: 10, NormalPart: 1})
 	r, ok, _ := p.Admit(start, team("a", 1), normal, 100)
@@ -125,15 +125,15 @@
 	require.True(t, ok)
 }
 
-func TestUrgentFindsRoom(t *testing.T) {
+func TestCapacityReservedForUrgent(t *testing.T) {
 	p := limit.NewByRequests(limit.Settings{Capacity: 100})
-	got := load(p, 60, 1, later, map[string]float64{"a": 1000}, nil)
+	got := simulate(p, 60, 1, deferrable, map[string]float64{"a": 1000}, nil)
 	require.InDelta(t, 80, got["a"]/60, 15)
 	end := start.Add(time.Minute)
 	for range 1000 {
-		p.Admit(end, team("a", 1), later, 1)
+		p.Admit(end, team("a", 1), deferrable, 1)
 	}
-	_, ok, _ := p.Admit(end, team("a", 1), later, 1)
+	_, ok, _ := p.Admit(end, team("a", 1), deferrable, 1)
 	require.False(t, ok)
 	for range 100 {
 		_, ok, _ = p.Admit(end, team("a", 1), urgent, 1)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestRetryAfterTellsTheTruth(t *testing.T) {
+func TestRetryAfterIsAccurate(t *testing.T) {
 	p := limit.NewByCost(limit.Settings{Capacity: 100, NormalPart: 1})
 	c := team("a", 1)
 	now := start
@@ -155,7 +155,7 @@
 	require.GreaterOrEqual(t, after, limit.MinRetryAfter)
 	require.LessOrEqual(t, after, limit.MaxRetryAfter)
 	_, ok, _ = p.Admit(now.Add(after*9/10), c, normal, 200)
-	require.False(t, ok, "not much too late")
+	require.False(t, ok, "the delay must not be much too long")
 	_, ok, _ = p.Admit(now.Add(after+time.Millisecond), c, normal, 200)
 	require.True(t, ok)
 }
@@ -175,15 +175,15 @@
 		}
 		return n
 	}
-	require.Equal(t, 20, admitted("b", later), "two a second over ten seconds")
-	require.Equal(t, 20, admitted("c", later), "each team on its own")
+	require.Equal(t, 20, admitted("b", deferrable), "two per second over ten seconds")
+	require.Equal(t, 20, admitted("c", deferrable), "each team is counted separately")
 	require.Equal(t, 1000, admitted("b", normal))
-	require.Equal(t, 20, admitted("a", later))
-	require.Equal(t, 30, admitted("a", normal), "all kinds together")
+	require.Equal(t, 20, admitted("a", deferrable))
+	require.Equal(t, 30, admitted("a", normal), "all kinds are counted together")
 }
 
-// TestLargeRequestIsNotLockedOut: one that exceeds its whole share is taken on
-// when nothing else is in use.
+// TestLargeRequestIsNotLockedOut checks that a request above its team's whole
+// share is admitted while no other request is in use.
 func TestLargeRequestIsNotLockedOut(t *testing.T) {
 	p := limit.NewByCost(limit.Settings{Capacity: 1})
 	_, ok, _ := p.Admit(start, team("a", 1), normal, 500)
--- a/core/limit/shares.go
+++ b/core/limit/shares.go
@@ -9,37 +9,39 @@
 )
 
 const (
-	// idle is the level in units below which a team counts as not in use.
-	idle = 1e-3
-	// sweepEvery is the admissions between removals of idle teams.
-	sweepEvery = 1024
-	wildcard   = "*"
+	// idleUnits is the usage in units up to which a team counts as inactive.
+	idleUnits = 1e-3
+	// sweepInterval is the number of calls to Admit between removals of inactive
+	// teams.
+	sweepInterval = 1024
+	wildcard      = "*"
 )
 
 type (
-	// ByCost limits by the estimated cost of requests, settled afterwards. It
-	// is not safe for concurrent use.
+	// ByCost limits by the estimated cost of requests, which is replaced by the
+	// actual cost on settlement. It is not safe for concurrent use.
 	ByCost struct {
-		settings Settings
-		total    usage
-		users    map[string]*user
-		ruled    map[ruleKey]*usage
-		open     map[uint64]Reservation
-		next     uint64
-		admits   int
+		settings   Settings
+		total      usage
+		teams      map[string]*teamUsage
+		ruleUsage  map[ruleKey]*usage
+		open       map[uint64]Reservation // not settled, by ID
+		lastID     uint64
+		admitCalls int // calls to Admit
 	}
 
-	// ByRequests limits by the number of requests, each of one unit, whatever
-	// they cost. It is not safe for concurrent use.
+	// ByRequests limits by the number of requests, counting each as one unit
+	// regardless of its cost. It is not safe for concurrent use.
 	ByRequests struct{ shares ByCost }
 
-	// user is one team in use.
-	user struct {
+	// teamUsage is the usage of one active team.
+	teamUsage struct {
 		usage
 		weight float64
 	}
 
-	// ruleKey names what a rule counts: each team on its own.
+	// ruleKey identifies the usage that a rule counts, which is separate for each
+	// team.
 	ruleKey struct {
 		rule Rule
 		team string
@@ -49,33 +51,34 @@
 // NewByCost returns a policy that limits by cost.
 func NewByCost(s Settings) *ByCost {
 	return &ByCost{
-		settings: s,
-		users:    map[string]*user{},
-		ruled:    map[ruleKey]*usage{},
-		open:     map[uint64]Reservation{},
+		settings:  s,
+		teams:     map[string]*teamUsage{},
+		ruleUsage: map[ruleKey]*usage{},
+		open:      map[uint64]Reservation{},
 	}
 }
 
 // NewByRequests returns a policy that limits by the number of requests.
 func NewByRequests(s Settings) *ByRequests { return &ByRequests{shares: *NewByCost(s)} }
 
-// Admit implements Policy. A request that does not fit into its team's
-// whole share is taken on when the team has nothing else in use.
+// Admit implements Policy. A request that exceeds its team's whole share is
+// admitted while the team has no other usage and total usage is within the
+// capacity available to the request's urgency.
 func (c *ByCost) Admit(now time.Time, team config.Team, kind config.Kind, estimate float64) (Reservation, bool, time.Duration) {
 	c.sweep(now)
-	u := c.user(team)
-	if ok, wait := c.admitRules(now, team.Name, kind.Name, estimate); !ok {
+	u := c.teamUsage(team)
+	if ok, wait := c.withinRules(now, team.Name, kind.Name, estimate); !ok {
 		return Reservation{}, false, wait
 	}
-	if ok, wait := c.admitShare(now, u, kind.Urgency, estimate); !ok {
+	if ok, wait := c.withinShare(now, u, kind.Urgency, estimate); !ok {
 		return Reservation{}, false, wait
 	}
-	c.next++
-	r := Reservation{id: c.next, team: team.Name, kind: kind.Name, units: estimate}
+	c.lastID++
+	r := Reservation{id: c.lastID, team: team.Name, kind: kind.Name, units: estimate}
 	c.open[r.id] = r
 	c.total.reserved += estimate
 	u.reserved += estimate
-	c.eachRule(team.Name, kind.Name, func(_ Rule, use *usage) { use.reserved += estimate })
+	c.forEachRule(team.Name, kind.Name, func(_ Rule, use *usage) { use.reserved += estimate })
 	return r, true, 0
 }
 
@@ -87,17 +90,17 @@
 	delete(c.open, r.id)
 	w := c.settings.window()
 	c.total.settle(now, w, r.units, actual)
-	if u := c.users[r.team]; u != nil {
+	if u := c.teams[r.team]; u != nil {
 		u.settle(now, w, r.units, actual)
 	}
-	c.eachRule(r.team, r.kind, func(_ Rule, use *usage) { use.settle(now, w, r.units, actual) })
+	c.forEachRule(r.team, r.kind, func(_ Rule, use *usage) { use.settle(now, w, r.units, actual) })
 }
 
-// Reconfigure changes the settings. What is in use stays counted, but for rules
-// that are new or changed.
+// Reconfigure replaces the settings. Usage is kept, except that new and changed
+// rules start from zero.
 func (c *ByCost) Reconfigure(s Settings) { c.settings = s }
 
-// Open returns the number of reservations that are not settled.
+// Open returns the number of unsettled reservations.
 func (c *ByCost) Open() int { return len(c.open) }
 
 // Admit implements Policy.
@@ -108,119 +111,121 @@
 // Settle implements Policy.
 func (q *ByRequests) Settle(now time.Time, r Reservation, _ float64) { q.shares.Settle(now, r, 1) }
 
-// Reconfigure changes the settings. What is in use stays counted, but for rules
-// that are new or changed.
+// Reconfigure replaces the settings. Usage is kept, except that new and changed
+// rules start from zero.
 func (q *ByRequests) Reconfigure(s Settings) { q.shares.Reconfigure(s) }
 
-// Open returns the number of reservations that are not settled.
+// Open returns the number of unsettled reservations.
 func (q *ByRequests) Open() int { return q.shares.Open() }
 
-// admitShare tells whether u may take estimate more.
-func (c *ByCost) admitShare(now time.Time, u *user, urgency config.Urgency, estimate float64) (bool, time.Duration) {
+// withinShare reports whether estimate more units fit into the capacity or the
+// share of u, and if not, the delay before a retry.
+func (c *ByCost) withinShare(now time.Time, u *teamUsage, urgency config.Urgency, estimate float64) (bool, time.Duration) {
 	if c.settings.Capacity == 0 {
 		return true, 0
 	}
 	w := c.settings.window()
-	room := c.settings.Capacity * w * c.settings.part(urgency)
+	available := c.settings.Capacity * w * c.settings.usableFraction(urgency)
 	total, own := c.total.level(now, w), u.level(now, w)
-	if total+estimate <= room {
+	if total+estimate <= available {
 		return true, 0
 	}
-	if own <= idle && total <= room {
+	if own <= idleUnits && total <= available {
 		return true, 0
 	}
-	share := c.share(now, u, room)
+	share := c.share(now, u, available)
 	if own+estimate <= share {
 		return true, 0
 	}
-	return false, u.wait(now, w, max(share-estimate, idle))
+	return false, u.retryAfter(now, w, max(share-estimate, idleUnits))
 }
 
-// share returns the units that u may have in use when room is divided by
-// max-min fairness: those who use less than their part by weight leave the rest
-// to the others.
-func (c *ByCost) share(now time.Time, u *user, room float64) float64 {
-	type claimant struct{ level, weight float64 }
+// share returns the share of u when the available units are divided among the
+// active teams by weighted max-min fairness: what teams leave unused of their
+// weighted part is divided among the others.
+func (c *ByCost) share(now time.Time, u *teamUsage, available float64) float64 {
+	type competitor struct{ level, weight float64 }
 	w := c.settings.window()
-	var all []claimant
+	var all []competitor
 	weights := u.weight
-	for _, o := range c.users {
+	for _, o := range c.teams {
 		if o == u {
 			continue
 		}
-		if l := o.level(now, w); l > idle {
-			all = append(all, claimant{l, o.weight})
+		if l := o.level(now, w); l > idleUnits {
+			all = append(all, competitor{l, o.weight})
 			weights += o.weight
 		}
 	}
-	slices.SortFunc(all, func(a, b claimant) int { return cmp.Compare(a.level/a.weight, b.level/b.weight) })
+	slices.SortFunc(all, func(a, b competitor) int { return cmp.Compare(a.level/a.weight, b.level/b.weight) })
 	for _, o := range all {
-		if o.level/o.weight >= room/weights {
+		if o.level/o.weight >= available/weights {
 			break
 		}
-		room -= o.level
+		available -= o.level
 		weights -= o.weight
 	}
-	return room * u.weight / weights
+	return available * u.weight / weights
 }
 
-// admitRules tells whether every rule has room for estimate more.
-func (c *ByCost) admitRules(now time.Time, team, kind string, estimate float64) (bool, time.Duration) {
+// withinRules reports whether estimate more units fit into every matching rule,
+// and if not, the delay before a retry.
+func (c *ByCost) withinRules(now time.Time, team, kind string, estimate float64) (bool, time.Duration) {
 	w := c.settings.window()
-	ok, wait := true, time.Duration(0)
-	c.eachRule(team, kind, func(r Rule, use *usage) {
-		level, room := use.level(now, w), r.Rate*w
-		if level+estimate <= room || level <= idle {
+	ok, retryAfter := true, time.Duration(0)
+	c.forEachRule(team, kind, func(r Rule, use *usage) {
+		level, maxUnits := use.level(now, w), r.Rate*w
+		if level+estimate <= maxUnits || level <= idleUnits {
 			return
 		}
 		ok = false
-		wait = max(wait, use.wait(now, w, max(room-estimate, idle)))
+		retryAfter = max(retryAfter, use.retryAfter(now, w, max(maxUnits-estimate, idleUnits)))
 	})
-	return ok, wait
+	return ok, retryAfter
 }
 
-// eachRule calls f for each rule that counts the team and kind.
-func (c *ByCost) eachRule(team, kind string, f func(Rule, *usage)) {
+// forEachRule calls f for each rule that matches the team and kind.
+func (c *ByCost) forEachRule(team, kind string, f func(Rule, *usage)) {
 	for _, r := range c.settings.Rules {
 		if (r.Team != wildcard && r.Team != team) || (r.Kind != wildcard && r.Kind != kind) {
 			continue
 		}
 		key := ruleKey{rule: r, team: team}
-		use := c.ruled[key]
+		use := c.ruleUsage[key]
 		if use == nil {
 			use = &usage{}
-			c.ruled[key] = use
+			c.ruleUsage[key] = use
 		}
 		f(r, use)
 	}
 }
 
-// user returns the team's use, with its weight as it is now.
-func (c *ByCost) user(team config.Team) *user {
-	u := c.users[team.Name]
+// teamUsage returns the team's usage, with its weight updated from team.
+func (c *ByCost) teamUsage(team config.Team) *teamUsage {
+	u := c.teams[team.Name]
 	if u == nil {
-		u = &user{}
-		c.users[team.Name] = u
+		u = &teamUsage{}
+		c.teams[team.Name] = u
 	}
-	u.weight = or(team.Weight, 1)
+	u.weight = orDefault(team.Weight, 1)
 	return u
 }
 
-// sweep removes what is idle, now and then.
+// sweep removes inactive teams and rule usages on every sweepInterval-th call.
 func (c *ByCost) sweep(now time.Time) {
-	c.admits++
-	if c.admits%sweepEvery != 0 {
+	c.admitCalls++
+	if c.admitCalls%sweepInterval != 0 {
 		return
 	}
 	w := c.settings.window()
-	for name, u := range c.users {
-		if u.level(now, w) <= idle {
-			delete(c.users, name)
+	for name, u := range c.teams {
+		if u.level(now, w) <= idleUnits {
+			delete(c.teams, name)
 		}
 	}
-	for key, use := range c.ruled {
-		if use.level(now, w) <= idle {
-			delete(c.ruled, key)
+	for key, use := range c.ruleUsage {
+		if use.level(now, w) <= idleUnits {
+			delete(c.ruleUsage, key)
 		}
 	}
 }
--- a/core/limit/usage.go
+++ b/core/limit/usage.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// usage is units in use: settled ones fade, reserved ones stay.
+// usage counts units: settled units decay, reserved units don't.
 type usage struct {
-	settled  float64 // as of at
+	settled  float64 // decayed to the time at
 	reserved float64
 	at       time.Time
 }
 
-// level returns the units at now. A clock that goes back counts as standing.
+// level returns the units at the time now. A clock that moves backwards is
+// treated as stopped.
 func (u *usage) level(now time.Time, window float64) float64 {
 	if passed := now.Sub(u.at).Seconds(); passed > 0 {
 		u.settled *= math.Exp(-passed / window)
@@ -28,16 +29,17 @@
 	u.settled += actual
 }
 
-// wait returns how long it takes until at most want units are left, if what is
-// reserved now is settled at its estimate.
-func (u *usage) wait(now time.Time, window, want float64) time.Duration {
+// retryAfter returns the time, limited to between MinRetryAfter and MaxRetryAfter,
+// until the usage has decayed to target units, assuming that reserved units are
+// settled at their estimates now.
+func (u *usage) retryAfter(now time.Time, window, target float64) time.Duration {
 	level := u.level(now, window)
-	if want <= 0 {
+	if target <= 0 {
 		return MaxRetryAfter
 	}
-	if level <= want {
+	if level <= target {
 		return MinRetryAfter
 	}
-	s := window * math.Log(level/want)
+	s := window * math.Log(level/target)
 	return min(max(time.Duration(s*float64(time.Second)), MinRetryAfter), MaxRetryAfter)
 }
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -222,7 +222,7 @@
 
 // isProbe reports whether w is admitted regardless of its estimated service time,
 // because the server would run it at once and more than half of its slots are
-// free. Without such isProbe an estimate that is too high would never be
+// free. Without such probes an estimate that is too high would never be
 // corrected.
 func (q *Queue) isProbe(now time.Time, w *waiting, wait time.Duration) bool {
 	return wait == 0 && 2*len(q.running) < q.settings.Slots && !w.Deadline.IsZero() && now.Before(w.Deadline)
