--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -1,10 +1,11 @@
-// Package retry decides whether a request that failed is tried again, when, and
-// why not.
+// Package retry decides whether and when a failed request is retried, and gives
+// the reason if it is not.
 //
-// Three parts: Policy.Decide judges one failure, Budget bounds all retries of a
-// node to a share of its successes, and Policy.Backoff spreads them in time.
-// Without the budget an outage of half the servers would add one retry to every
-// second request, just when the rest have the least to spare.
+// It has three parts: Policy.Decide classifies one failure, Budget limits the
+// retries of a node to a fraction of its successes, and Policy.Backoff spreads
+// retries in time. Without the budget, an outage of half the servers would add
+// one retry to every second request, at a time when the remaining servers have
+// the least spare capacity.
 //
 // # Usage
 //
@@ -14,6 +15,6 @@
 //	}
 //	count(v.Reason)
 //
-// Every first attempt that succeeded is told to the budget by Success. The
-// server that failed goes into the list of servers to avoid.
+// Call Budget.Success for every first attempt that succeeds, and exclude the
+// server that failed from the next attempt.
 package retry
--- a/core/retry/fleet.go
+++ b/core/retry/fleet.go
@@ -3,51 +3,54 @@
 import "time"
 
 const (
-	// fleetShare is the part of a fleet's allowance for each request that its
-	// nodes use: a client that comes back elsewhere counts anew in another window.
-	fleetShare = 0.75
-	// fleetExtra is the part of the allowance without requests that is shared out,
-	// of which burstPart may be spent at once and the rest comes back over the
-	// window.
-	fleetExtra = 0.85
-	burstPart  = 2.0 / 3
-	// fleetRatio, fleetMore and fleetWindow are what services bear by the users'
-	// sheets for eight nodes.
-	fleetRatio  = 0.2
-	fleetMore   = 56
-	fleetWindow = 10 * time.Second
-	// UnknownNodes stands for the size of the fleet before it is known.
+	// usableRatio is the fraction of Ratio that the nodes use. The rest is a
+	// reserve, because the request of a client that retries at another node counts
+	// again in another window.
+	usableRatio = 0.75
+	// usableExtra is the fraction of Extra that is divided among the nodes.
+	// burstFraction of a node's part may be spent at once; the rest accrues over
+	// the window.
+	usableExtra   = 0.85
+	burstFraction = 2.0 / 3
+	// defaultRatio, defaultExtra and defaultWindow are the limits of a backend
+	// service in the users' specifications for eight nodes.
+	defaultRatio  = 0.2
+	defaultExtra  = 56
+	defaultWindow = 10 * time.Second
+	// UnknownNodes is the number of nodes assumed until the actual one is known.
 	UnknownNodes = 100
 )
 
-// Fleet is what a backend service bears of sends beyond the first of each
-// request, over all nodes together. Fields that are zero take the defaults.
+// Fleet limits the retries to one backend service over all nodes together. A
+// retry is any send of a request beyond the first. Zero fields select the
+// defaults.
 type Fleet struct {
-	Ratio  float64       // of the requests in a window, below zero for none
-	Extra  float64       // beyond that, in a window, below zero for none
-	Window time.Duration // over which both count
+	Ratio  float64       // retries per request in a window, negative for none
+	Extra  float64       // retries in a window in addition to Ratio, negative for none
+	Window time.Duration // period to which Ratio and Extra apply
 }
 
-// Part sets a budget to one node's part of the fleet's; what it has spent stays.
-// The number of nodes is zero if it isn't known yet. With a fixed part for each, an
-// eighth of 56, 65 nodes with 100 requests a second send 510 repeats in ten seconds
-// to a service that bears 370.
+// Part sets the rates of b to one node's part of the service's budget and keeps
+// what b has spent. nodes is the number of nodes, or zero if it isn't known yet.
+// The parts depend on the number of nodes: with a fixed part per node, an eighth
+// of 56, 65 nodes with 100 requests per second send 510 retries in ten seconds to
+// a service that allows 370.
 func (f Fleet) Part(b *Budget, nodes int) {
 	if nodes <= 0 {
 		nodes = UnknownNodes
 	}
 	window := f.Window
 	if window == 0 {
-		window = fleetWindow
+		window = defaultWindow
 	}
-	extra := or(f.Extra, fleetMore) * fleetExtra / float64(nodes)
-	b.Share = orNone(or(f.Ratio, fleetRatio) * fleetShare)
-	b.Burst = max(1, extra*burstPart)
-	b.Floor = orNone(extra * (1 - burstPart) / window.Seconds())
+	extra := orDefault(f.Extra, defaultExtra) * usableExtra / float64(nodes)
+	b.Share = noneIfZero(orDefault(f.Ratio, defaultRatio) * usableRatio)
+	b.Burst = max(1, extra*burstFraction)
+	b.Floor = noneIfZero(extra * (1 - burstFraction) / window.Seconds())
 }
 
-// orNone returns what stands for none in a Budget in place of zero.
-func orNone(v float64) float64 {
+// noneIfZero returns -1, which means none in a Budget, if v is zero, and v otherwise.
+func noneIfZero(v float64) float64 {
 	if v == 0 {
 		return -1
 	}
--- a/core/retry/fleet_test.go
+++ b/core/retry/fleet_test.go
@@ -9,9 +9,9 @@
 	"guavapaddle/core/retry"
 )
 
-// TestAFleetStaysWithinWhatAServiceBears lets each node repeat as often as its
-// budget allows, and counts the repeats in each window.
-func TestAFleetStaysWithinWhatAServiceBears(t *testing.T) {
+// TestNodesStayWithinServiceBudget lets each node retry as often as its budget
+// allows and counts the retries of all nodes in each window.
+func TestNodesStayWithinServiceBudget(t *testing.T) {
 	f := retry.Fleet{Ratio: 0.2, Extra: 170, Window: 10 * time.Second}
 	start := time.Unix(1000, 0)
 	for _, x := range []struct{ nodes, perSecond int }{{8, 0}, {65, 0}, {65, 100}, {65, 700}, {85, 50}, {130, 100}} {
@@ -19,30 +19,30 @@
 		for i := range budgets {
 			f.Part(&budgets[i], x.nodes)
 		}
-		repeats := make([]int, 60) // in each second
+		retries := make([]int, 60) // per second
 		requests := 0
-		for second := range repeats {
+		for second := range retries {
 			for range x.perSecond {
 				budgets[requests%x.nodes].Success()
 				requests++
 			}
 			for i := range budgets {
 				for budgets[i].Take(start.Add(time.Duration(second) * time.Second)) {
-					repeats[second]++
+					retries[second]++
 				}
 			}
 		}
-		for i := 10; i <= len(repeats); i++ {
+		for i := 10; i <= len(retries); i++ {
 			sum := 0
-			for _, n := range repeats[i-10 : i] {
+			for _, n := range retries[i-10 : i] {
 				sum += n
 			}
-			require.LessOrEqual(t, float64(sum), 0.2*float64(10*x.perSecond)+170, "%d nodes, %d requests a second", x.nodes, x.perSecond)
+			require.LessOrEqual(t, float64(sum), 0.2*float64(10*x.perSecond)+170, "%d nodes, %d requests per second", x.nodes, x.perSecond)
 		}
 	}
 }
 
-func TestANodeThatDoesNotKnowTheFleetTakesASmallPart(t *testing.T) {
+func TestUnknownNodeCountGivesSmallBudget(t *testing.T) {
 	f := retry.Fleet{Ratio: 0.2, Extra: 56, Window: 10 * time.Second}
 	var unknown, eight retry.Budget
 	f.Part(&unknown, 0)
--- a/core/retry/policy.go
+++ b/core/retry/policy.go
@@ -12,101 +12,103 @@
 // Action is what to do after a failure.
 type Action string
 
-// Reason tells why, for a counter.
+// Reason is the reason for a decision, used as a metric label.
 type Reason string
 
 const (
-	// Again means that the request is sent again, to another server first.
+	// Again means that the request is sent again, preferably to another server.
 	Again Action = "again"
-	// Resume means that the stream is resumed from the tokens already seen.
+	// Resume means that the stream is resumed after the tokens already received.
 	Resume Action = "resume"
-	// Stop means that the failure goes to the caller.
+	// Stop means that the failure is returned to the caller.
 	Stop Action = "stop"
 )
 
 const (
-	// NotRun means that the failed attempt provably did not run.
+	// NotRun means that the failed attempt is known not to have run.
 	NotRun Reason = "not-run"
 	// Repeatable means that the request may run more than once.
 	Repeatable Reason = "repeatable"
-	// TokensSeen means that the caller has part of the answer, which only the
-	// same generation can go on with.
+	// TokensSeen means that the caller has received part of the answer, which can
+	// only be continued by resuming the same generation.
 	TokensSeen Reason = "tokens-seen"
 	// NotRepeatable means that the attempt may have run and must not run twice.
 	NotRepeatable Reason = "not-repeatable"
-	// NoKey means that the request was sent, must not run twice and came
-	// without an idempotency key: it is sent once, whatever became of it.
+	// NoKey means that the request was sent, must not run twice and has no
+	// idempotency key, so it is sent only once whatever the outcome.
 	NoKey Reason = "no-key"
 	// Final means that another attempt would fail in the same way.
 	Final Reason = "final"
-	// Attempts means that the request had all its attempts.
+	// Attempts means that the maximum number of attempts was reached.
 	Attempts Reason = "attempts"
-	// NoTime means that too little is left before the deadline.
+	// NoTime means that too little time is left before the deadline.
 	NoTime Reason = "no-time"
-	// NoBudget means that the node's retry budget is spent.
+	// NoBudget means that the node's retry budget is exhausted.
 	NoBudget Reason = "no-budget"
 )
 
 const (
-	// DefaultAttempts is the most attempts of a request, the first included.
+	// DefaultAttempts is the maximum number of attempts of a request, including
+	// the first.
 	DefaultAttempts = 3
-	// DefaultMinRemaining is the least time before the deadline for which
+	// DefaultMinRemaining is the minimum time before the deadline for which
 	// another attempt is worth its load.
 	DefaultMinRemaining = 20 * time.Millisecond
-	// DefaultBase is the middle of the first wait.
+	// DefaultBase is the first backoff interval, before jitter.
 	DefaultBase = 10 * time.Millisecond
-	// DefaultMax bounds the middle of a wait.
+	// DefaultMax is the maximum backoff interval, before jitter.
 	DefaultMax = time.Second
 
 	multiplier = 2
-	jitter     = 0.5 // share of the interval by which a wait differs from it
+	jitter     = 0.5 // maximum deviation of a wait from its interval, as a fraction of it
 )
 
 type (
-	// Policy is how failures are judged. The zero value uses the defaults.
+	// Policy configures retries. The zero value uses the defaults.
 	Policy struct {
-		Attempts     int
-		MinRemaining time.Duration
-		Base         time.Duration
-		Max          time.Duration
+		Attempts     int           // DefaultAttempts if zero
+		MinRemaining time.Duration // DefaultMinRemaining if zero
+		Base         time.Duration // DefaultBase if zero
+		Max          time.Duration // DefaultMax if zero
 	}
 
-	// Failure is one attempt that did not end as done.
+	// Failure describes an attempt that did not complete.
 	Failure struct {
 		Attempt    int            // 1 for the first
 		Err        *outcome.Error // never nil
 		Started    bool           // the attempt is known to have started at a server
-		Tokens     int            // tokens that the caller has
-		Repeatable bool           // the kind's
-		Remaining  time.Duration  // before the deadline
+		Tokens     int            // number of tokens that the caller has received
+		Repeatable bool           // the request's kind may run more than once
+		Remaining  time.Duration  // time before the deadline
 	}
 
-	// Verdict is what to do.
+	// Verdict is the decision on a failure.
 	Verdict struct {
 		Action Action
 		Reason Reason
 	}
 )
 
-// Decide judges f. The budget is not asked: who gets Again or Resume takes a
-// token from it, and Spent is the verdict if there is none.
+// Decide returns the decision on f. It does not consult the budget: after Again or
+// Resume the caller takes a token from it, and if there is none the verdict is
+// Spent.
 func (p Policy) Decide(f Failure) Verdict {
-	attempts, least := p.Attempts, p.MinRemaining
+	attempts, minRemaining := p.Attempts, p.MinRemaining
 	if attempts == 0 {
 		attempts = DefaultAttempts
 	}
-	if least == 0 {
-		least = DefaultMinRemaining
+	if minRemaining == 0 {
+		minRemaining = DefaultMinRemaining
 	}
 	ran := f.Err.Outcome != outcome.RefusedNotRun || f.Started || f.Tokens > 0
 	switch {
-	case final(f.Err.Reason):
+	case isFinal(f.Err.Reason):
 		return Verdict{Action: Stop, Reason: Final}
 	case ran && !f.Repeatable:
 		return Verdict{Action: Stop, Reason: NotRepeatable}
 	case f.Attempt >= attempts:
 		return Verdict{Action: Stop, Reason: Attempts}
-	case f.Remaining < least:
+	case f.Remaining < minRemaining:
 		return Verdict{Action: Stop, Reason: NoTime}
 	case f.Tokens > 0:
 		return Verdict{Action: Resume, Reason: TokensSeen}
@@ -116,12 +118,13 @@
 	return Verdict{Action: Again, Reason: NotRun}
 }
 
-// Spent returns the verdict of a request that the budget has no token for.
+// Spent returns the verdict for a request that gets no token from the budget.
 func Spent() Verdict { return Verdict{Action: Stop, Reason: NoBudget} }
 
-// Backoff returns the wait before attempt, 2 for the first retry: an interval
-// that doubles from Base to Max, less or more by up to a half, drawn from r. A
-// request that provably did not run need not wait before it goes elsewhere.
+// Backoff returns the wait before an attempt, 2 being the first retry. The
+// interval doubles from Base to Max, with a random jitter of up to half of it
+// drawn from r. A request that is known not to have run may be sent to another
+// server without a wait.
 func (p Policy) Backoff(attempt int, r *rand.Rand) time.Duration {
 	b := backoff.ExponentialBackOff{InitialInterval: p.Base, Multiplier: multiplier, MaxInterval: p.Max}
 	if b.InitialInterval == 0 {
@@ -137,8 +140,8 @@
 	return time.Duration(float64(wait) * (1 - jitter + 2*jitter*r.Float64()))
 }
 
-// final tells whether another attempt would fail for the same reason.
-func final(r outcome.Reason) bool {
+// isFinal reports whether another attempt would fail for the same reason.
+func isFinal(r outcome.Reason) bool {
 	switch r {
 	case outcome.BackendRefused, outcome.BackendUnreachable, outcome.BackendLost,
 		outcome.BackendCut, outcome.BackendFailed, outcome.PeerLost, outcome.QueueFull:
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -12,12 +12,12 @@
 )
 
 var (
-	notSent  = outcome.Refuse(outcome.BackendUnreachable, "", 0)
-	affirmed = outcome.Refuse(outcome.BackendRefused, "", 0)
-	lost     = outcome.Unsure(outcome.BackendLost, "")
-	failed   = outcome.Fail(outcome.BackendFailed, "")
-	bad      = outcome.Refuse(outcome.BadRequest, "", 0)
-	suspect  = outcome.Refuse(outcome.CrashSuspect, "", 0)
+	notSent    = outcome.Refuse(outcome.BackendUnreachable, "", 0)
+	refused    = outcome.Refuse(outcome.BackendRefused, "", 0)
+	lost       = outcome.Unsure(outcome.BackendLost, "")
+	failed     = outcome.Fail(outcome.BackendFailed, "")
+	badRequest = outcome.Refuse(outcome.BadRequest, "", 0)
+	suspect    = outcome.Refuse(outcome.CrashSuspect, "", 0)
 )
 
 func TestDecide(t *testing.T) {
@@ -28,7 +28,7 @@
 		reason retry.Reason
 	}{
 		"not sent, not repeatable":         {retry.Failure{Attempt: 1, Err: notSent, Remaining: left}, retry.Again, retry.NotRun},
-		"affirmed, not repeatable":         {retry.Failure{Attempt: 1, Err: affirmed, Remaining: left}, retry.Again, retry.NotRun},
+		"refused, not repeatable":          {retry.Failure{Attempt: 1, Err: refused, Remaining: left}, retry.Again, retry.NotRun},
 		"lost, not repeatable":             {retry.Failure{Attempt: 1, Err: lost, Remaining: left}, retry.Stop, retry.NotRepeatable},
 		"failed, not repeatable":           {retry.Failure{Attempt: 1, Err: failed, Remaining: left}, retry.Stop, retry.NotRepeatable},
 		"refused but started":              {retry.Failure{Attempt: 1, Err: notSent, Started: true, Remaining: left}, retry.Stop, retry.NotRepeatable},
@@ -37,7 +37,7 @@
 		"lost after tokens, may not rerun": {retry.Failure{Attempt: 1, Err: lost, Started: true, Tokens: 3, Remaining: left}, retry.Stop, retry.NotRepeatable},
 		"last attempt":                     {retry.Failure{Attempt: 3, Err: notSent, Repeatable: true, Remaining: left}, retry.Stop, retry.Attempts},
 		"no time":                          {retry.Failure{Attempt: 1, Err: notSent, Repeatable: true, Remaining: time.Millisecond}, retry.Stop, retry.NoTime},
-		"bad request":                      {retry.Failure{Attempt: 1, Err: bad, Repeatable: true, Remaining: left}, retry.Stop, retry.Final},
+		"bad request":                      {retry.Failure{Attempt: 1, Err: badRequest, Repeatable: true, Remaining: left}, retry.Stop, retry.Final},
 		"crash suspect":                    {retry.Failure{Attempt: 1, Err: suspect, Repeatable: true, Remaining: left}, retry.Stop, retry.Final},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestBackoffDoublesWithinBoundsAndIsSeeded(t *testing.T) {
+func TestBackoffDoublesWithinBoundsAndIsDeterministic(t *testing.T) {
 	p := retry.Policy{Base: 10 * time.Millisecond, Max: 80 * time.Millisecond}
 	a, b := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(1, 2))
 	for attempt, middle := range map[int]time.Duration{2: 10, 3: 20, 4: 40, 5: 80, 9: 80} {
@@ -59,23 +59,23 @@
 			require.LessOrEqual(t, w, middle*3/2)
 			require.Equal(t, w, p.Backoff(attempt, b))
 		}
-		require.Less(t, least, middle*7/10, "waits differ, so that retries don't come together")
+		require.Less(t, least, middle*7/10, "waits must differ, so that retries are spread in time")
 		require.Greater(t, most, middle*13/10)
 	}
 }
 
-// TestInvariantRetryBudget: whatever part of the servers is lost and for however
-// long, retries stay under 0.2 of the first attempts, and when all is well
-// again retries are possible at once.
+// TestInvariantRetryBudget checks that retries stay below 0.2 of the first
+// attempts for any fraction of servers down and any duration, and that retries are
+// possible at once after recovery.
 func TestInvariantRetryBudget(t *testing.T) {
 	for _, down := range []float64{0.1, 0.5, 0.9, 1} {
 		r := rand.New(rand.NewPCG(4, 2))
 		now := time.UnixMilli(1_800_000_000_000)
 		var b retry.Budget
-		const first = 20000
+		const firstAttempts = 20000
 		retries := 0
-		for range first {
-			now = now.Add(5 * time.Millisecond) // 200 a second
+		for range firstAttempts {
+			now = now.Add(5 * time.Millisecond) // 200 per second
 			failed := r.Float64() < down
 			if !failed {
 				b.Success()
@@ -89,9 +89,9 @@
 				failed = r.Float64() < down
 			}
 		}
-		require.Less(t, float64(retries), 0.2*first, "%v of the servers down", down)
+		require.Less(t, float64(retries), 0.2*firstAttempts, "%v of the servers down", down)
 		if down == 0.1 {
-			require.Greater(t, float64(retries), 0.08*first, "a small outage is retried in nearly all cases")
+			require.Greater(t, float64(retries), 0.08*firstAttempts, "nearly all failures of a small outage must be retried")
 		}
 		for range 50 {
 			b.Success()
@@ -100,19 +100,19 @@
 	}
 }
 
-func TestBudgetFloorLetsAQuietNodeRetry(t *testing.T) {
+func TestBudgetFloorAllowsRetryWithoutTraffic(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	b := retry.Budget{Floor: 1, Burst: 2}
 	require.True(t, b.Take(now))
 	require.True(t, b.Take(now))
 	require.False(t, b.Take(now))
-	require.False(t, b.Take(now.Add(-time.Hour)), "a clock that goes back gives nothing")
+	require.False(t, b.Take(now.Add(-time.Hour)), "a clock that moves backwards must add no tokens")
 	require.True(t, b.Take(now.Add(time.Second)))
 	require.False(t, b.Take(now.Add(time.Second)))
 	require.Less(t, b.Left(), 1.0)
 }
 
-func TestBudgetWithoutShareIsSpentOnce(t *testing.T) {
+func TestBudgetWithoutRefillIsSpentOnce(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	b := retry.Budget{Share: -1, Floor: -1, Burst: 1}
 	require.True(t, b.Take(now))
