--- a/core/route/baseline.go
+++ b/core/route/baseline.go
@@ -8,27 +8,27 @@
 )
 
 type (
-	// RoundRobin takes the holders of an item in turn, whatever their load.
+	// RoundRobin picks the holders of an item in turn, regardless of their load.
 	RoundRobin struct {
 		next map[backend.Item]int
 	}
 
-	// Static takes a random holder, whatever its load.
+	// Static picks a random holder, regardless of its load.
 	Static struct{}
 )
 
-// stackCandidates is how many candidates are handled without allocation.
-const stackCandidates = 64
+// stackBufferSize is the number of candidates up to which Pick does not allocate.
+const stackBufferSize = 64
 
 // Name returns "round-robin".
 func (*RoundRobin) Name() string { return NameRoundRobin }
 
-// Pick returns the holder whose turn it is.
+// Pick returns the next holder in turn.
 func (p *RoundRobin) Pick(_ time.Time, r Request, cs []Candidate, _ *rand.Rand) (Choice, bool) {
-	var buf [stackCandidates]int
+	var buf [stackBufferSize]int
 	in := filter(r, cs, buf[:0])
 	if len(in) == 0 {
-		return none(r, cs)
+		return noSelection(r, cs)
 	}
 	if p.next == nil {
 		p.next = map[backend.Item]int{}
@@ -43,10 +43,10 @@
 
 // Pick returns a random holder.
 func (Static) Pick(_ time.Time, r Request, cs []Candidate, random *rand.Rand) (Choice, bool) {
-	var buf [stackCandidates]int
+	var buf [stackBufferSize]int
 	in := filter(r, cs, buf[:0])
 	if len(in) == 0 {
-		return none(r, cs)
+		return noSelection(r, cs)
 	}
 	return Choice{Index: in[random.IntN(len(in))], Reason: AtRandom}, true
 }
--- a/core/route/direct.go
+++ b/core/route/direct.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Direct takes the less busy of two random holders, by the engine's lagging
-// report and this node's own requests in flight. One of the two is the server
-// that the request's prefix hashes to, if it has a prefix.
+// Direct picks the less loaded of two random holders, by the engine's delayed
+// report and this node's own requests in flight. If the request has a prefix, one
+// of the two is the server that the prefix hashes to.
 type Direct struct{}
 
 // Name returns "direct".
 func (*Direct) Name() string { return NameDirect }
 
-// Pick returns the less busy of two holders.
+// Pick returns the less loaded of two holders.
 func (p *Direct) Pick(_ time.Time, r Request, cs []Candidate, random *rand.Rand) (Choice, bool) {
-	var buf [stackCandidates]int
+	var buf [stackBufferSize]int
 	in := filter(r, cs, buf[:0])
 	switch len(in) {
 	case 0:
-		return none(r, cs)
+		return noSelection(r, cs)
 	case 1:
 		return Choice{Index: in[0], Reason: OnlyHolder}, true
 	}
@@ -31,14 +31,15 @@
 	for second == first {
 		second = in[random.IntN(len(in))]
 	}
-	if busy(&cs[second]) < busy(&cs[first]) {
+	if relativeLoad(&cs[second]) < relativeLoad(&cs[first]) {
 		return Choice{Index: second, Reason: TwoChoices}, true
 	}
 	return Choice{Index: first, Reason: reason}, true
 }
 
-// busy returns the requests a slot that a lagging report and the node's own
-// requests tell of. The report counts own requests too, so the larger counts.
-func busy(c *Candidate) float64 {
+// relativeLoad returns the number of requests per slot at c. It takes the larger
+// of the delayed report and the node's own requests in flight, because the report
+// includes own requests too.
+func relativeLoad(c *Candidate) float64 {
 	return float64(max(c.Running+c.Queued, c.OwnInFlight)) / float64(max(1, c.Slots))
 }
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,21 +1,21 @@
-// Package route chooses the backend server that a request is sent to.
+// Package route selects the backend server that a request is sent to.
 //
-// An entry node knows of each server that holds the request's item what its
-// owner last said, and what the node itself has sent there since. A Policy
-// picks one of these candidates and says why. After a refusal the caller adds
-// the server to Request.Exclude and asks again.
+// For each server that holds the request's item, an entry node has the last view
+// published by the server's owner and the number of requests that the node itself
+// has sent since. A Policy picks one of these candidates and returns the reason.
+// After a refusal the caller adds the server to Request.Exclude and picks again.
 //
 // # Method
 //
-// Policy home estimates the wait at each candidate from the view of its owner
-// and the node's own requests that the view can't include yet, prefers a
-// candidate where the deadline can be met, and of these the least wait. A
-// request with a prefix goes to the server that wins the rendezvous hash of the
-// prefix, as long as that server has a free slot and is not much busier than
-// the mean of all candidates.
+// Policy home estimates the wait at each candidate from the owner's view and the
+// node's own requests that the view can't include yet, and picks the candidate
+// with the least wait, which is also the one most likely to meet the deadline. A
+// request with a prefix goes to the server with the highest rendezvous hash of
+// the prefix, as long as that server has a free slot and its load is not much
+// above the mean of all candidates.
 //
-// Policy direct takes the better of two random candidates by the engine's
-// lagging report and the node's own requests in flight (two random choices,
+// Policy direct picks the less loaded of two random candidates by the engine's
+// delayed report and the node's own requests in flight (power of two choices,
 // Mitzenmacher 2001). Policies round-robin and static are baselines.
 //
 // # Usage
--- a/core/route/policy.go
+++ b/core/route/policy.go
@@ -9,35 +9,38 @@
 	"guavapaddle/core/view"
 )
 
-// Reason tells why a candidate was chosen, or why none was.
+// Reason is the reason for a selection, or for selecting no candidate.
 type Reason string
 
 const (
-	// NameRoundRobin takes the holders in turn.
+	// NameRoundRobin is the name of the policy that picks the holders in turn.
 	NameRoundRobin = "round-robin"
-	// NameStatic takes a random holder, whatever its load.
+	// NameStatic is the name of the policy that picks a random holder, regardless
+	// of its load.
 	NameStatic = "static"
-	// NameDirect takes the better of two random holders.
+	// NameDirect is the name of the policy that picks the less loaded of two random
+	// holders.
 	NameDirect = "direct"
-	// NameHome takes the holder with the least estimated wait.
+	// NameHome is the name of the policy that picks the holder with the least
+	// estimated wait.
 	NameHome = "home"
 )
 
 const (
-	// InTurn means that it was the server's turn.
+	// InTurn means that the server was next in round-robin order.
 	InTurn Reason = "in-turn"
-	// AtRandom means that the server was drawn.
+	// AtRandom means that the server was selected at random.
 	AtRandom Reason = "at-random"
-	// OnlyHolder means that no other server could be taken.
+	// OnlyHolder means that no other server is usable.
 	OnlyHolder Reason = "only-holder"
-	// TwoChoices means that the server was the less busy of two drawn.
+	// TwoChoices means that the server is the less loaded of two random ones.
 	TwoChoices Reason = "two-choices"
 	// Affinity means that the server is likely to have the prefix in its cache.
 	Affinity Reason = "prefix-affinity"
 	// LeastWait means that the server has the least estimated wait.
 	LeastWait Reason = "least-wait"
-	// LateAnyway means that no server can meet the deadline by its estimate, and
-	// this one has the least wait.
+	// LateAnyway means that no server is estimated to meet the deadline, and this
+	// one has the least wait.
 	LateAnyway Reason = "late-anyway"
 	// NoHolder means that no server holds the item.
 	NoHolder Reason = "no-holder"
@@ -46,49 +49,49 @@
 )
 
 type (
-	// Request is what a policy has to know of a request.
+	// Request holds the properties of a request that a policy considers.
 	Request struct {
 		Item       backend.Item
 		Urgency    config.Urgency
 		Deadline   time.Time       // zero for none
 		Seconds    float64         // estimated service time in seconds, zero if unknown
 		PrefixHash uint64          // zero if the prompt has no known prefix
-		Exclude    map[string]bool // servers not to be taken, by name
+		Exclude    map[string]bool // servers that must not be picked, by name
 	}
 
 	// Candidate is a server that a request may be sent to.
 	Candidate struct {
 		view.Server
-		SameDataCentre bool // as the node that chooses
-		OwnInFlight    int  // requests of this node at the server
+		SameDataCentre bool // the server is in the data centre of the routing node
+		OwnInFlight    int  // this node's requests in flight at the server
 		OwnRecent      int  // own requests that the view can't include, see Tracker
 	}
 
-	// Choice is what a policy decided.
+	// Choice is the result of a pick.
 	Choice struct {
 		Index  int // of the candidate, -1 if none
 		Reason Reason
-		WaitMS int64 // estimated wait at the server, milliseconds
+		WaitMS int64 // estimated wait at the server, in milliseconds
 	}
 
-	// Policy picks the candidate to send a request to. It returns false, with a
-	// reason, if none can be taken.
+	// Policy picks the candidate to send a request to. Pick returns false, with a
+	// reason, if no candidate is usable.
 	Policy interface {
 		Name() string
 		Pick(now time.Time, r Request, cs []Candidate, random *rand.Rand) (Choice, bool)
 	}
 
-	// UnknownPolicyError tells that no policy has the name.
+	// UnknownPolicyError is returned by New for a name that no policy has.
 	UnknownPolicyError struct{ Name string }
 )
 
 // Error names the unknown policy.
 func (e *UnknownPolicyError) Error() string { return "route: no policy named " + e.Name }
 
-// Names returns the names that New knows.
+// Names returns the policy names that New accepts.
 func Names() []string { return []string{NameRoundRobin, NameStatic, NameDirect, NameHome} }
 
-// New returns the policy of a name with its default settings, or an
+// New returns the policy with the given name and its default settings, or an
 // *UnknownPolicyError.
 func New(name string) (Policy, error) {
 	switch name {
@@ -105,13 +108,12 @@
 	}
 }
 
-// usable tells whether c may be sent r.
+// usable reports whether r may be sent to c.
 func usable(r Request, c *Candidate) bool {
 	return c.Reachable && !c.Leaving && !r.Exclude[c.Server.Server] && c.Holds(r.Item)
 }
 
-// filter returns the indices of the usable candidates, in buf if it is large
-// enough.
+// filter appends the indices of the usable candidates to buf and returns it.
 func filter(r Request, cs []Candidate, buf []int) []int {
 	for i := range cs {
 		if usable(r, &cs[i]) {
@@ -121,8 +123,8 @@
 	return buf
 }
 
-// none returns the choice when no candidate is usable.
-func none(r Request, cs []Candidate) (Choice, bool) {
+// noSelection returns the selection for the case that no candidate is usable.
+func noSelection(r Request, cs []Candidate) (Choice, bool) {
 	for i := range cs {
 		if cs[i].Holds(r.Item) {
 			return Choice{Index: -1, Reason: NoneUsable}, false
--- a/core/route/policy_test.go
+++ b/core/route/policy_test.go
@@ -36,7 +36,7 @@
 
 func TestInvariantNoLeavingOrUnreachableServerIsPicked(t *testing.T) {
 	leaving := with(candidate("leaving", 0, 0, 0), func(c *route.Candidate) { c.Leaving = true })
-	lost := with(candidate("lost", 0, 0, 0), func(c *route.Candidate) { c.Reachable = false })
+	unreachable := with(candidate("lost", 0, 0, 0), func(c *route.Candidate) { c.Reachable = false })
 	other := with(candidate("other", 0, 0, 0), func(c *route.Candidate) { c.Resident = nil })
 	excluded := candidate("excluded", 0, 0, 0)
 	good := candidate("good", 8, 20, 5000)
@@ -48,11 +48,11 @@
 			r := route.Request{Item: item, Exclude: map[string]bool{"excluded": true}}
 			for i := range 200 {
 				r.PrefixHash = uint64(i)
-				c, ok := p.Pick(now, r, []route.Candidate{leaving, lost, other, excluded, good}, random)
+				c, ok := p.Pick(now, r, []route.Candidate{leaving, unreachable, other, excluded, good}, random)
 				require.True(t, ok)
 				require.Equal(t, 4, c.Index)
 			}
-			c, ok := p.Pick(now, r, []route.Candidate{leaving, lost, other, excluded}, random)
+			c, ok := p.Pick(now, r, []route.Candidate{leaving, unreachable, other, excluded}, random)
 			require.False(t, ok)
 			require.Equal(t, route.Choice{Index: -1, Reason: route.NoneUsable}, c)
 			c, ok = p.Pick(now, r, []route.Candidate{other}, random)
@@ -74,17 +74,17 @@
 		reason  route.Reason
 	}{
 		{"least wait", route.Request{}, []route.Candidate{candidate("a", 8, 4, 900), candidate("b", 8, 1, 300)}, 1, route.LeastWait},
-		{"least load without wait", route.Request{}, []route.Candidate{candidate("a", 5, 0, 0), candidate("b", 2, 0, 0)}, 1, route.LeastWait},
+		{"least load among equal waits", route.Request{}, []route.Candidate{candidate("a", 5, 0, 0), candidate("b", 2, 0, 0)}, 1, route.LeastWait},
 		{"own recent requests count", route.Request{}, []route.Candidate{
 			with(candidate("a", 2, 0, 0), func(c *route.Candidate) { c.OwnRecent = 7 }), candidate("b", 5, 0, 0),
 		}, 1, route.LeastWait},
-		{"same data centre before a little load", route.Request{}, []route.Candidate{
+		{"same data centre preferred to a slightly lower load", route.Request{}, []route.Candidate{
 			with(candidate("a", 0, 0, 0), func(c *route.Candidate) { c.SameDataCentre = false }), candidate("b", 3, 0, 0),
 		}, 1, route.LeastWait},
-		{"another data centre before a wait", route.Request{}, []route.Candidate{
+		{"other data centre preferred to a wait", route.Request{}, []route.Candidate{
 			with(candidate("a", 0, 0, 0), func(c *route.Candidate) { c.SameDataCentre = false }), candidate("b", 8, 3, 500),
 		}, 0, route.LeastWait},
-		{"late anyway", route.Request{Deadline: now.Add(time.Second), Seconds: 0.8}, []route.Candidate{
+		{"no candidate meets the deadline", route.Request{Deadline: now.Add(time.Second), Seconds: 0.8}, []route.Candidate{
 			candidate("a", 8, 3, 700), candidate("b", 8, 3, 900),
 		}, 0, route.LateAnyway},
 		{"only holder", route.Request{Exclude: map[string]bool{"a": true}}, []route.Candidate{
@@ -111,14 +111,14 @@
 	r := route.Request{Item: item, PrefixHash: 42}
 	first, _ := p.Pick(now, r, cs, random)
 	require.Equal(t, route.Affinity, first.Reason)
-	t.Run("stays when another server goes", func(t *testing.T) {
-		gone := (first.Index + 1) % len(cs)
+	t.Run("unchanged when another server is excluded", func(t *testing.T) {
+		excluded := (first.Index + 1) % len(cs)
 		r := r
-		r.Exclude = map[string]bool{cs[gone].Server.Server: true}
+		r.Exclude = map[string]bool{cs[excluded].Server.Server: true}
 		again, _ := p.Pick(now, r, cs, random)
 		require.Equal(t, first.Index, again.Index)
 	})
-	t.Run("gives way to load", func(t *testing.T) {
+	t.Run("overridden by load", func(t *testing.T) {
 		busy := append([]route.Candidate(nil), cs...)
 		busy[first.Index].Running = 7
 		c, _ := p.Pick(now, r, busy, random)
@@ -137,7 +137,7 @@
 	})
 }
 
-func TestDirectPrefersTheLessBusy(t *testing.T) {
+func TestDirectPrefersLessLoaded(t *testing.T) {
 	cs := []route.Candidate{candidate("a", 8, 8, 0), candidate("b", 1, 0, 0)}
 	for i := range 20 {
 		c, ok := (&route.Direct{}).Pick(now, route.Request{Item: item, PrefixHash: uint64(i)}, cs, rand.New(rand.NewPCG(1, uint64(i))))
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestRoundRobinTakesTurns(t *testing.T) {
+func TestRoundRobinOrder(t *testing.T) {
 	p := &route.RoundRobin{}
 	cs := []route.Candidate{candidate("a", 0, 0, 0), candidate("b", 0, 0, 0)}
 	for i := range 6 {
@@ -161,7 +161,7 @@
 	tr.Sent("a", now.Add(10*time.Millisecond))
 	require.Equal(t, 2, tr.Recent("a"))
 	tr.Seen("a", now.Add(11*time.Millisecond))
-	require.Equal(t, 1, tr.Recent("a"), "the second request was still on its way")
+	require.Equal(t, 1, tr.Recent("a"), "the view can't include the second request yet")
 	require.Equal(t, 2, tr.InFlight("a"))
 	tr.Ended("a")
 	tr.Ended("a")
@@ -172,7 +172,7 @@
 	require.Zero(t, tr.InFlight("a"))
 }
 
-// BenchmarkHome picks among n holders.
+// BenchmarkHome measures a pick among n holders.
 func BenchmarkHome(b *testing.B) {
 	for _, n := range []int{2, 8, 64, 600} {
 		b.Run(fmt.Sprint("holders=", n), func(b *testing.B) {
--- a/core/route/tracker.go
+++ b/core/route/tracker.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// defaultSettle is how long a request is on its way to the owner, at most.
+// defaultSettle is an upper bound of the time that a request takes to reach the
+// owner.
 const defaultSettle = 3 * time.Millisecond
 
 // Tracker counts the requests that a node has sent to each server and that the
 // last view of the server can't include yet.
 type Tracker struct {
-	// Settle is how long before a view's arrival a request may have been sent
-	// and not be part of the view: about a round trip to the owner, default
-	// 3 ms.
+	// Settle is the maximum time before a view's arrival at which a request may
+	// have been sent without being included in the view. It is about one round
+	// trip to the owner, default 3 ms.
 	Settle time.Duration
 
 	sent     map[string][]time.Time // by server, oldest first
@@ -44,9 +45,9 @@
 	if settle == 0 {
 		settle = defaultSettle
 	}
-	times, cut := t.sent[server], now.Add(-settle)
+	times, cutoff := t.sent[server], now.Add(-settle)
 	n := 0
-	for n < len(times) && times[n].Before(cut) {
+	for n < len(times) && times[n].Before(cutoff) {
 		n++
 	}
 	if n > 0 {
@@ -54,17 +55,17 @@
 	}
 }
 
-// Forget drops what is known of a server that is gone.
+// Forget removes the counts of a server that no longer exists.
 func (t *Tracker) Forget(server string) {
 	delete(t.sent, server)
 	delete(t.inFlight, server)
 }
 
-// Recent returns the requests that the last view can't include; at most those
-// that are in flight.
+// Recent returns the number of requests that the last view can't include, at most
+// the number in flight.
 func (t *Tracker) Recent(server string) int {
 	return len(t.sent[server])
 }
 
-// InFlight returns the node's own requests at the server.
+// InFlight returns the number of the node's own requests in flight at the server.
 func (t *Tracker) InFlight(server string) int { return t.inFlight[server] }
