--- a/core/roster/doc.go
+++ b/core/roster/doc.go
@@ -1,14 +1,13 @@
-// Package roster tells which rows of nodes are left behind by nodes that are
-// gone.
+// Package roster finds the stale rows of nodes that no longer exist.
 //
 // # Method
 //
-// Each node writes its row anew each Refresh, so that the row's version rises.
-// A Watch notes since when it has seen each version. A row that stood unchanged
-// for Life belongs to a node that is gone. Versions, not clocks of other nodes,
-// decide; a watch that has just begun knows of no row that is old. With 140
-// nodes replaced a day the rows would grow by 50,000 a year otherwise, and each
-// is read when a new node comes.
+// Each node rewrites its row once per Refresh, which increments the row's version.
+// A Watch records when it first saw the current version of each row. A row whose
+// version hasn't changed for Life belongs to a node that no longer exists. Rows
+// are compared by version and not by the clocks of other nodes, so a new Watch
+// considers no row expired. If stale rows were kept, replacing 140 nodes a day
+// would add 50,000 rows a year, and all of them are read when a new node joins.
 //
 // # Usage
 //
--- a/core/roster/watch.go
+++ b/core/roster/watch.go
@@ -6,42 +6,44 @@
 )
 
 const (
-	// Refresh is how often a node writes its row: 350 nodes make 0.6 writes a
-	// second of the several hundred that the store takes.
+	// Refresh is the interval at which a node rewrites its row. 350 nodes make
+	// 0.6 writes per second; the store handles several hundred.
 	Refresh = 10 * time.Minute
-	// Life is how long a row may stand unchanged: two refreshes may fail.
+	// Life is how long a row may stay unchanged before it expires. It allows two
+	// refreshes to fail.
 	Life = 35 * time.Minute
 )
 
 type (
-	// Watch remembers the versions of rows. The zero value has seen none.
+	// Watch tracks the versions of rows over time. The zero value is ready to
+	// use and has seen no row.
 	Watch struct {
-		seen map[string]mark
+		seen map[string]observed
 	}
 
-	mark struct {
+	// observed is a row version and the time when it was first seen.
+	observed struct {
 		version int64
 		since   time.Duration
 	}
 )
 
-// Gone takes in the versions of all rows by key, as read at a time of a clock
-// that never stands still, and returns the keys of those that are left behind,
-// in order.
+// Gone records the versions of all rows, by key, and returns the sorted keys of
+// the expired rows. now is the time of the read on a clock that never stops.
 func (w *Watch) Gone(now time.Duration, versions map[string]int64) []string {
-	seen := make(map[string]mark, len(versions))
-	var gone []string
+	seen := make(map[string]observed, len(versions))
+	var expired []string
 	for key, v := range versions {
 		m, ok := w.seen[key]
 		if !ok || m.version != v {
-			m = mark{version: v, since: now}
+			m = observed{version: v, since: now}
 		}
 		seen[key] = m
 		if now-m.since >= Life {
-			gone = append(gone, key)
+			expired = append(expired, key)
 		}
 	}
 	w.seen = seen
-	sort.Strings(gone)
-	return gone
+	sort.Strings(expired)
+	return expired
 }
