--- a/core/status/explanation.go
+++ b/core/status/explanation.go
@@ -6,13 +6,13 @@
 )
 
 type (
-	// Field is one named value of an event, as in the logs.
+	// Field is a key and value of an event, as in the logs.
 	Field struct {
 		Name  string `json:"name"`
 		Value string `json:"value"`
 	}
 
-	// Event is one decision about a request.
+	// Event records one decision about a request.
 	Event struct {
 		AtUnixMS int64   `json:"at-unix-ms"`
 		Sequence uint64  `json:"sequence"` // orders the events of one node
@@ -21,15 +21,16 @@
 		Fields   []Field `json:"fields"`
 	}
 
-	// Explanation is what is known of one request, oldest event first.
+	// Explanation lists the events of one request, oldest first.
 	Explanation struct {
 		RequestID string  `json:"request-id"`
 		Events    []Event `json:"events"`
 	}
 )
 
-// Merge joins explanations of the request id, each event once, by time. Events
-// of one node keep their order even if its clock was set back.
+// Merge combines the explanations of the request with the given ID into one,
+// without duplicate events and ordered by time. Events of one node keep their
+// order even if its clock was set back.
 func Merge(id string, parts ...Explanation) Explanation {
 	type key struct {
 		node     string
@@ -49,15 +50,16 @@
 	slices.SortFunc(e.Events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Sequence, b.Sequence))
 	})
-	raiseTimes(e.Events)
+	makeMonotonic(e.Events)
 	slices.SortStableFunc(e.Events, func(a, b Event) int {
 		return cmp.Compare(a.AtUnixMS, b.AtUnixMS)
 	})
 	return e
 }
 
-// raiseTimes makes the times of each node's events, given in order, never fall.
-func raiseTimes(events []Event) {
+// makeMonotonic raises the times of each node's events so that they never
+// decrease. The events must be sorted by node and sequence.
+func makeMonotonic(events []Event) {
 	for i := 1; i < len(events); i++ {
 		if events[i].Node == events[i-1].Node {
 			events[i].AtUnixMS = max(events[i].AtUnixMS, events[i-1].AtUnixMS)
--- a/core/status/report.go
+++ b/core/status/report.go
@@ -2,20 +2,21 @@
 
 import "guavapaddle/core/view"
 
-// NodeState tells what a node is seen to do.
+// NodeState is the state of a node as seen by the reporting node.
 type NodeState string
 
 const (
-	// Live means that the node answers and takes requests.
+	// Live means that the node replies and accepts requests.
 	Live NodeState = "live"
-	// Leaving means that the node finishes what it has and takes no more.
+	// Leaving means that the node completes its open requests and accepts no new
+	// ones.
 	Leaving NodeState = "leaving"
-	// Silent means that the node has not been heard of for a while.
+	// Silent means that nothing has been received from the node for some time.
 	Silent NodeState = "silent"
 )
 
 type (
-	// Node is one node as the reporting node knows it.
+	// Node describes a node as the reporting node knows it.
 	Node struct {
 		Name          string    `json:"name"`
 		Address       string    `json:"address"` // IP:port of its operator endpoint
@@ -24,19 +25,19 @@
 		ConfigVersion uint64    `json:"config-version"` // zero if it has none yet
 	}
 
-	// Lease is a lease on a backend server.
+	// Lease describes a lease on a backend server.
 	Lease struct {
 		Server    string `json:"server"`
 		Holder    string `json:"holder"` // node name
 		Epoch     uint64 `json:"epoch"`
-		ExpiresIn int64  `json:"expires-in-ms"` // by the holder's own clock
+		ExpiresIn int64  `json:"expires-in-ms"` // measured on the holder's clock
 	}
 
-	// Report is what one node knows, itself included in Nodes.
+	// Report is the state known to one node. Nodes includes the node itself.
 	Report struct {
 		Node          string        `json:"node"`
 		Ready         bool          `json:"ready"`
-		Fresh         bool          `json:"fresh"` // the configuration was checked since the last pause
+		Fresh         bool          `json:"fresh"` // the configuration was confirmed since the node started or last paused
 		ConfigVersion uint64        `json:"config-version"`
 		ConfigHash    string        `json:"config-hash"`
 		TableUp       bool          `json:"table-up"`
@@ -46,7 +47,7 @@
 	}
 )
 
-// NotAt returns the live nodes of r that report a version below version.
+// NotAt returns the live nodes of r whose configuration version is below version.
 func (r Report) NotAt(version uint64) []Node {
 	var behind []Node
 	for _, n := range r.Nodes {
--- a/core/status/status_test.go
+++ b/core/status/status_test.go
@@ -29,5 +29,5 @@
 	other := status.Explanation{RequestID: "s", Events: []status.Event{event("c", 1, 1)}}
 	m := status.Merge("r", a, b, a, other)
 	require.Equal(t, []status.Event{event("a", 1, 10), event("a", 2, 10), event("b", 9, 20), event("a", 3, 30)}, m.Events,
-		"each once, and events of one node keep their order when its clock was set back")
+		"no duplicates, and events of one node keep their order although its clock was set back")
 }
