--- a/core/balance/pick.go
+++ b/core/balance/pick.go
@@ -9,7 +9,7 @@
 
 const (
 	// Choices is the number of servers drawn at random for one pick.
-	Choices = 3
+	SampleSize = 3
 	// defaultPrefillRate is the number of prompt tokens that an engine is assumed to read in a
 	// millisecond until a model's rate has been measured. The users' data sheets give 19 to 22.
 	defaultPrefillRate = 20.0
@@ -32,24 +32,24 @@
 
 type (
 	// Part is a segment of a prompt that several requests may share.
-	Part struct {
+	Segment struct {
 		ID     string
 		Tokens int
 	}
 
 	// Request describes the request to pick a server for.
 	Request struct {
-		Service string
-		Model   string // empty for plain services
-		Adapter string
-		Tokens  int // number of prompt tokens
-		Parts   []Part
-		Zone    string          // data centre of this node
-		Exclude map[string]bool // IDs of servers that must not be picked
+		Service  string
+		Model    string // empty for plain services
+		Adapter  string
+		Tokens   int // number of prompt tokens
+		Segments []Segment
+		Zone     string          // data centre of this node
+		Exclude  map[string]bool // IDs of servers that must not be picked
 	}
 
 	// Choice is the result of a pick.
-	Choice struct {
+	Selection struct {
 		Server fleet.Server
 		// Wait is the estimated time until the server starts the request. If no server was picked
 		// it is the time until one may be available, or zero if that is unknown.
@@ -58,52 +58,52 @@
 	}
 
 	// Why is the reason why no server was picked.
-	Why string
+	Reason string
 )
 
 const (
 	// Picked means that a server was picked.
-	Picked Why = ""
+	Picked Reason = ""
 	// NoServer means that the service has no server other than the excluded ones.
-	NoServer Why = "no-server"
+	NoServer Reason = "no-server"
 	// NoModel means that no server holds the model.
-	NoModel Why = "no-model"
+	NoModel Reason = "no-model"
 	// Busy means that all servers that could run the request are at capacity.
-	Busy Why = "busy"
+	Busy Reason = "busy"
 	// Limited means that all servers that could run the request have reached the rate limit that
 	// they named.
-	Limited Why = "limited"
+	Limited Reason = "limited"
 	// Resting means that the servers that could run the request have asked this node to back off.
-	Resting Why = "resting"
+	Backoff Reason = "resting"
 	// Leaving means that the picked server is leaving.
-	Leaving Why = "leaving"
+	Leaving Reason = "leaving"
 	// NoAdapter means that some servers hold the model but none holds the adapter.
-	NoAdapter Why = "no-adapter"
+	NoAdapter Reason = "no-adapter"
 )
 
 // Pick picks a server for a request that is not decided by a scheduler. If the server names a rate
 // limit the request must be reserved with Reserve.
-func (p *Picture) Pick(now time.Time, r Request) (Choice, Why) {
+func (p *Picker) Pick(now time.Time, r Request) (Selection, Reason) {
 	share := throttle.Share{Nodes: max(1, p.nodes), Part: 1}
 	if r.Model != "" {
 		share.Part = unscheduledRateFraction
 	}
 	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.Opens(now, share) })
 	if len(eligible) == 0 {
-		return Choice{Wait: wait}, reason
+		return Selection{Wait: wait}, reason
 	}
 	s := p.cheapestOfSample(now, eligible, r)
-	return Choice{Server: s.Server, Wait: p.wait(now, s, r), Age: s.age(now)}, Picked
+	return Selection{Server: s.Server, Wait: p.wait(now, s, r), Age: s.age(now)}, Picked
 }
 
 // PickRoom picks the cheapest of all servers with room for the request. A server has room if at
 // most maxTokens prompt tokens would be pending there including this request, or if no request is
 // pending there, and if less than the fraction maxSlotFraction of its slots is taken. It requires
 // that the picker knows the exact counts of all nodes.
-func (p *Picture) PickRoom(now time.Time, r Request, maxTokens int, maxSlotFraction float64) (Choice, Why) {
+func (p *Picker) PickWithin(now time.Time, r Request, maxTokens int, maxSlotFraction float64) (Selection, Reason) {
 	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.Free(now) })
 	if len(eligible) == 0 {
-		return Choice{Wait: wait}, reason
+		return Selection{Wait: wait}, reason
 	}
 	var best *server
 	lowest := 0.0
@@ -118,14 +118,14 @@
 		}
 	}
 	if best == nil {
-		return Choice{}, Busy
+		return Selection{}, Busy
 	}
-	return Choice{Server: best.Server, Wait: p.wait(now, best, r), Age: best.age(now)}, Picked
+	return Selection{Server: best.Server, Wait: p.wait(now, best, r), Age: best.age(now)}, Picked
 }
 
 // Reserve counts a request against the rate limit of the server that was picked for it, so that no
 // other request takes its turn before it is sent.
-func (p *Picture) Reserve(now time.Time, id string) {
+func (p *Picker) Reserve(now time.Time, id string) {
 	if s := p.servers[id]; s != nil {
 		s.throttle.Take(now)
 	}
@@ -135,7 +135,7 @@
 // them if every one is avoided. The callback rateWait returns the time until a server's rate limit
 // admits a request. If no server is eligible, it returns the shortest time until a rate limit or a
 // backoff ends.
-func (p *Picture) eligible(now time.Time, r Request, rateWait func(*server) time.Duration) ([]*server, time.Duration, Why) {
+func (p *Picker) eligible(now time.Time, r Request, rateWait func(*server) time.Duration) ([]*server, time.Duration, Reason) {
 	h := p.findHolders(now, r.Service, resident{r.Model, r.Adapter})
 	eligible := p.eligibleBuf[:0]
 	var avoided []*server
@@ -148,7 +148,7 @@
 		switch {
 		case r.Exclude[s.ID]:
 		case backoff > 0:
-			unavailable, minWait = Resting, shorterNonZero(minWait, backoff)
+			unavailable, minWait = Backoff, shorterNonZero(minWait, backoff)
 		case wait > 0:
 			unavailable, minWait = Limited, shorterNonZero(minWait, wait)
 		case now.Before(s.avoidUntil):
@@ -176,7 +176,7 @@
 }
 
 // Limits returns the named rates of the servers that could run the request, by server ID.
-func (p *Picture) Limits(now time.Time, r Request) map[string]float64 {
+func (p *Picker) Limits(now time.Time, r Request) map[string]float64 {
 	limits := map[string]float64{}
 	for _, s := range p.findHolders(now, r.Service, resident{r.Model, r.Adapter}).list {
 		if s.throttle.Limit().Active && !r.Exclude[s.ID] {
@@ -188,7 +188,7 @@
 
 // findHolders returns the servers that hold an item. The result is cached until residency changes
 // or may have changed.
-func (p *Picture) findHolders(now time.Time, service string, item resident) *holders {
+func (p *Picker) findHolders(now time.Time, service string, item resident) *holders {
 	key := model{service, item.model}
 	if h := p.holders[key][item.adapter]; h != nil && now.Sub(h.at) < holdersTTL {
 		return h
@@ -213,7 +213,7 @@
 
 // moreSpecific returns the reason that says more: a server that lacks only the adapter is closer to
 // serving the request than one that lacks the model.
-func moreSpecific(a, b Why) Why {
+func moreSpecific(a, b Reason) Reason {
 	if a == NoAdapter {
 		return a
 	}
@@ -221,8 +221,8 @@
 }
 
 // cheapestOfSample draws Choices servers at random and returns the one with the lowest cost.
-func (p *Picture) cheapestOfSample(now time.Time, eligible []*server, r Request) *server {
-	n := min(Choices, len(eligible))
+func (p *Picker) cheapestOfSample(now time.Time, eligible []*server, r Request) *server {
+	n := min(SampleSize, len(eligible))
 	for i := range n {
 		j := i + p.rng.IntN(len(eligible)-i)
 		eligible[i], eligible[j] = eligible[j], eligible[i]
@@ -238,7 +238,7 @@
 }
 
 // cost returns the value by which servers are compared, in milliseconds.
-func (p *Picture) cost(now time.Time, s *server, r Request) float64 {
+func (p *Picker) cost(now time.Time, s *server, r Request) float64 {
 	c := float64(p.wait(now, s, r)) / float64(time.Millisecond)
 	if s.Zone != r.Zone {
 		c = c*remoteZoneFactor + 1
@@ -247,7 +247,7 @@
 }
 
 // wait estimates the time until the server starts the request.
-func (p *Picture) wait(now time.Time, s *server, r Request) time.Duration {
+func (p *Picker) wait(now time.Time, s *server, r Request) time.Duration {
 	n := s.count(now)
 	if r.Model == "" {
 		perSlot := float64(n.Pending+n.Running) / float64(max(1, s.Slots))
@@ -260,15 +260,15 @@
 
 // normalizedTokens returns the prompt tokens that the server has to read, scaled to a model with a
 // relative prefill time of one.
-func (p *Picture) normalizedTokens(now time.Time, s *server, r Request) int {
-	return int(float64(s.uncachedTokens(now, r)) * p.Pace(r.Model))
+func (p *Picker) normalizedTokens(now time.Time, s *server, r Request) int {
+	return int(float64(s.uncachedTokens(now, r)) * p.RelativePrefillTime(r.Model))
 }
 
 // uncachedTokens returns the prompt tokens that the server has to read: everything after the
 // leading segments that it is known to have cached.
 func (s *server) uncachedTokens(now time.Time, r Request) int {
 	n := r.Tokens
-	for _, p := range r.Parts {
+	for _, p := range r.Segments {
 		at, ok := s.segments[segmentKey(r, p)]
 		if !ok || now.Sub(at) > time.Minute {
 			break
@@ -279,4 +279,4 @@
 }
 
 // segmentKey distinguishes segments of different models and adapters, whose caches aren't shared.
-func segmentKey(r Request, p Part) string { return r.Model + "/" + r.Adapter + "/" + p.ID }
+func segmentKey(r Request, p Segment) string { return r.Model + "/" + r.Adapter + "/" + p.ID }
--- a/core/balance/picker.go
+++ b/core/balance/picker.go
@@ -33,7 +33,7 @@
 	}
 
 	// Picture tracks the load of all backend servers and picks a server for each request.
-	Picture struct {
+	Picker struct {
 		rng         *rand.Rand
 		prefillTime map[string]float64 // by model: time to read a prompt, relative to defaultPrefillRate
 		servers     map[string]*server
@@ -74,7 +74,7 @@
 	holders struct {
 		list   []*server
 		at     time.Time
-		reason Why // why the list is empty
+		reason Reason // why the list is empty
 	}
 
 	// model identifies a model of a service.
@@ -88,14 +88,14 @@
 )
 
 // New returns an empty picker that uses rng for its random choices.
-func New(rng *rand.Rand) *Picture {
-	return &Picture{rng: rng, prefillTime: map[string]float64{}, servers: map[string]*server{}, byService: map[string][]*server{},
+func New(rng *rand.Rand) *Picker {
+	return &Picker{rng: rng, prefillTime: map[string]float64{}, servers: map[string]*server{}, byService: map[string][]*server{},
 		holders: map[model]map[string]*holders{}, rateFraction: 1}
 }
 
 // Update replaces the list of servers. State is kept for servers that stay or reappear; a server
 // that has restarted under the same ID counts as new.
-func (p *Picture) Update(list []fleet.Server) {
+func (p *Picker) Update(list []fleet.Server) {
 	servers := make(map[string]*server, len(list))
 	byService := map[string][]*server{}
 	for _, f := range list {
@@ -130,7 +130,7 @@
 
 // takeRemoved takes the server with an ID from the removed servers and returns it, or nil if there
 // is none.
-func (p *Picture) takeRemoved(id string) *server {
+func (p *Picker) takeRemoved(id string) *server {
 	i := slices.IndexFunc(p.removed, func(s *server) bool { return s.ID == id })
 	if i < 0 {
 		return nil
@@ -141,7 +141,7 @@
 }
 
 // Server returns a server by its ID.
-func (p *Picture) Server(id string) (fleet.Server, bool) {
+func (p *Picker) Server(id string) (fleet.Server, bool) {
 	s := p.servers[id]
 	if s == nil {
 		return fleet.Server{}, false
@@ -151,7 +151,7 @@
 
 // Models yields the models that a server may hold according to its store entry or to later
 // residency updates. A model may be yielded twice.
-func (p *Picture) Models(id string) iter.Seq[string] {
+func (p *Picker) ResidentModels(id string) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		s := p.servers[id]
 		if s == nil {
@@ -172,7 +172,7 @@
 
 // Holds reports whether a server holds a model or adapter according to its store entry and later
 // residency updates.
-func (p *Picture) Holds(now time.Time, id, model, adapter string) bool {
+func (p *Picker) Holds(now time.Time, id, model, adapter string) bool {
 	s := p.servers[id]
 	return s != nil && s.holds(now, resident{model, ""}) && (adapter == "" || s.holds(now, resident{model, adapter}))
 }
@@ -213,7 +213,7 @@
 }
 
 // Note overrides a server's store entry: the server holds, or lacks, a model or adapter.
-func (p *Picture) Note(now time.Time, id, name, adapter string, has bool) {
+func (p *Picker) SetResidency(now time.Time, id, name, adapter string, has bool) {
 	if s := p.servers[id]; s != nil {
 		s.residency[resident{name, adapter}] = residencyUpdate{resident: has, until: now.Add(residencyTTL)}
 		delete(p.holders, model{s.Service, name})
@@ -221,7 +221,7 @@
 }
 
 // Report records a server's own count of its requests.
-func (p *Picture) Report(now time.Time, id string, running, waiting int) {
+func (p *Picker) ServerReport(now time.Time, id string, running, waiting int) {
 	if s := p.servers[id]; s != nil {
 		s.report = Count{Pending: waiting, Running: running}
 		s.reportAt = now
@@ -230,21 +230,21 @@
 
 // LearnLimit records what a server said about the request rate that it accepts. It reports whether
 // the limit changed.
-func (p *Picture) LearnLimit(id string, l throttle.Limit) bool {
+func (p *Picker) LearnLimit(id string, l throttle.Limit) bool {
 	l.Rate *= p.rateFraction
 	s := p.servers[id]
 	return s != nil && s.throttle.Learn(l)
 }
 
 // Rest records that a server asked this node to send no requests until a given time.
-func (p *Picture) Rest(id string, until time.Time) {
+func (p *Picker) BackOff(id string, until time.Time) {
 	if s := p.servers[id]; s != nil && until.After(s.backoff) {
 		s.backoff = until
 	}
 }
 
 // Resting returns the servers of a service that have asked this node to back off.
-func (p *Picture) Resting(now time.Time, service string) []string {
+func (p *Picker) InBackoff(now time.Time, service string) []string {
 	var out []string
 	for _, s := range p.byService[service] {
 		if now.Before(s.backoff) {
@@ -256,7 +256,7 @@
 
 // Withheld reports whether a server that was picked must not get the request any more, and why: it
 // has started to leave, or asked for backoff.
-func (p *Picture) Withheld(now time.Time, id string) (Why, bool) {
+func (p *Picker) Withheld(now time.Time, id string) (Reason, bool) {
 	s := p.servers[id]
 	switch {
 	case s == nil:
@@ -264,7 +264,7 @@
 	case s.Leaving:
 		return Leaving, true
 	case now.Before(s.backoff):
-		return Resting, true
+		return Backoff, true
 	default:
 		return Picked, false
 	}
@@ -272,7 +272,7 @@
 
 // KnownLimits returns the limits of servers that name a rate now, or that withdrew it after the
 // time since.
-func (p *Picture) KnownLimits(since time.Time) map[string]throttle.Limit {
+func (p *Picker) KnownLimits(since time.Time) map[string]throttle.Limit {
 	out := map[string]throttle.Limit{}
 	for id, s := range p.servers {
 		if l := s.throttle.Limit(); l.Active || l.At.After(since) {
@@ -284,14 +284,14 @@
 
 // SetRatePart sets the fraction, above zero, that is used of each rate named from now on. The
 // default is 1.
-func (p *Picture) SetRatePart(fraction float64) { p.rateFraction = fraction }
+func (p *Picker) SetRateFraction(fraction float64) { p.rateFraction = fraction }
 
 // SetNodes sets how many nodes pick servers on their own and share the rates named by servers.
-func (p *Picture) SetNodes(nodes int) { p.nodes = nodes }
+func (p *Picker) SetNodes(nodes int) { p.nodes = nodes }
 
 // Own returns the counts of this node for each server where it has requests, with the number of
 // those that the current granter counts itself.
-func (p *Picture) Own(granter int64) map[string]Count {
+func (p *Picker) LocalCounts(granter int64) map[string]Count {
 	out := map[string]Count{}
 	for id, s := range p.servers {
 		if s.local != (Count{}) {
@@ -304,7 +304,7 @@
 }
 
 // Others records the combined counts of the other nodes at each server.
-func (p *Picture) Others(now time.Time, counts map[string]Count) {
+func (p *Picker) SetRemoteCounts(now time.Time, counts map[string]Count) {
 	for id, s := range p.servers {
 		s.remote = counts[id]
 		s.remoteAt = now
--- a/core/balance/picker_test.go
+++ b/core/balance/picker_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Unix(1000, 0)
 
-func newPicker(servers ...fleet.Server) *balance.Picture {
+func newPicker(servers ...fleet.Server) *balance.Picker {
 	p := balance.New(rand.New(rand.NewPCG(1, 2)))
 	p.Update(servers)
 	return p
@@ -28,7 +28,7 @@
 	p := newPicker(engine("a", false, "a1"), engine("b", true, "a2"))
 	for _, x := range []struct {
 		r      balance.Request
-		reason balance.Why
+		reason balance.Reason
 		want   string
 	}{
 		{balance.Request{Service: "llm", Model: "m", Adapter: "a1"}, balance.Picked, "a"},
@@ -52,19 +52,19 @@
 func TestFailedServerIsAvoided(t *testing.T) {
 	p := newPicker(engine("a", false), engine("b", false))
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
-	p.Done(now, p.Sent(now, "a", r), balance.Broken)
+	p.RecordDone(now, p.RecordSent(now, "a", r), balance.ConnFailed)
 	for range 20 {
 		c, _ := p.Pick(now, r)
 		require.Equal(t, "b", c.Server.ID)
 	}
-	p.Done(now, p.Sent(now, "b", r), balance.Broken)
+	p.RecordDone(now, p.RecordSent(now, "b", r), balance.ConnFailed)
 	_, reason := p.Pick(now, r)
 	require.Equal(t, balance.Picked, reason, "if all are avoided, one of them is still used")
 }
 
 func TestRemoteCountsAffectPick(t *testing.T) {
 	p := newPicker(engine("a", false), engine("b", false))
-	p.Others(now, map[string]balance.Count{"a": {Pending: 3, Tokens: 6000}})
+	p.SetRemoteCounts(now, map[string]balance.Count{"a": {Pending: 3, Tokens: 6000}})
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
 	c, _ := p.Pick(now, r)
 	require.Equal(t, "b", c.Server.ID)
@@ -73,12 +73,12 @@
 
 func TestCachedSegmentsReduceWait(t *testing.T) {
 	p := newPicker(engine("a", false), engine("b", false))
-	r := balance.Request{Service: "llm", Model: "m", Tokens: 1000, Parts: []balance.Part{{ID: "x", Tokens: 800}, {ID: "y", Tokens: 200}}}
-	ticket := p.Sent(now, "a", r)
-	p.First(now, ticket)
-	p.Done(now, ticket, balance.Good)
+	r := balance.Request{Service: "llm", Model: "m", Tokens: 1000, Segments: []balance.Segment{{ID: "x", Tokens: 800}, {ID: "y", Tokens: 200}}}
+	ticket := p.RecordSent(now, "a", r)
+	p.FirstByte(now, ticket)
+	p.RecordDone(now, ticket, balance.Succeeded)
 	next := r
-	next.Parts = []balance.Part{{ID: "x", Tokens: 800}, {ID: "z", Tokens: 200}}
+	next.Segments = []balance.Segment{{ID: "x", Tokens: 800}, {ID: "z", Tokens: 200}}
 	c, _ := p.Pick(now, next)
 	require.Equal(t, "a", c.Server.ID)
 	require.InDelta(t, 10, c.Wait.Milliseconds(), 2, "200 tokens at 20 per millisecond, slightly less because the first answer was fast")
@@ -89,7 +89,7 @@
 	r := balance.Request{Service: "llm", Model: "m", Adapter: "a9"}
 	_, reason := p.Pick(now, r)
 	require.Equal(t, balance.NoAdapter, reason)
-	p.Note(now, "a", "m", "a9", true)
+	p.SetResidency(now, "a", "m", "a9", true)
 	_, reason = p.Pick(now, r)
 	require.Equal(t, balance.Picked, reason)
 	_, reason = p.Pick(now.Add(time.Minute), r)
@@ -104,7 +104,7 @@
 	p := newPicker(servers...)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 1000}
 	for b.Loop() {
-		p.PickRoom(now, r, 2000, 0.85)
+		p.PickWithin(now, r, 2000, 0.85)
 	}
 }
 
@@ -117,15 +117,15 @@
 	at := now
 	for range 60 {
 		for model, took := range map[string]time.Duration{"m": 62 * time.Millisecond, "fast": 28 * time.Millisecond} {
-			ticket := p.Sent(at, "a", balance.Request{Service: "llm", Model: model, Tokens: 1000})
+			ticket := p.RecordSent(at, "a", balance.Request{Service: "llm", Model: model, Tokens: 1000})
 			at = at.Add(took)
-			p.First(at, ticket)
-			p.Done(at, ticket, balance.Good)
+			p.FirstByte(at, ticket)
+			p.RecordDone(at, ticket, balance.Succeeded)
 		}
 	}
-	require.InDelta(t, 1, p.Pace("m"), 0.05)
-	require.InDelta(t, 0.32, p.Pace("fast"), 0.05)
-	require.EqualValues(t, 1, p.Pace("unknown"))
+	require.InDelta(t, 1, p.RelativePrefillTime("m"), 0.05)
+	require.InDelta(t, 0.32, p.RelativePrefillTime("fast"), 0.05)
+	require.EqualValues(t, 1, p.RelativePrefillTime("unknown"))
 }
 
 func TestCountsByGranter(t *testing.T) {
@@ -135,19 +135,19 @@
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
 	var tickets []*balance.Ticket
 	for _, granter := range []int64{0, 6, 7, 7} {
-		ticket := p.Sent(start, "a", r)
-		ticket.Granted(granter)
-		p.First(start, ticket)
+		ticket := p.RecordSent(start, "a", r)
+		ticket.SetGranter(granter)
+		p.FirstByte(start, ticket)
 		tickets = append(tickets, ticket)
 	}
-	require.Equal(t, balance.Count{Running: 4, Granted: 2}, p.Own(7)["a"])
-	require.Equal(t, balance.Count{Running: 4, Granted: 1}, p.Own(6)["a"], "count of the previous granter")
-	p.Done(start, tickets[2], balance.Good)
-	require.Equal(t, balance.Count{Running: 3, Granted: 1}, p.Own(7)["a"])
+	require.Equal(t, balance.Count{Running: 4, Granted: 2}, p.LocalCounts(7)["a"])
+	require.Equal(t, balance.Count{Running: 4, Granted: 1}, p.LocalCounts(6)["a"], "count of the previous granter")
+	p.RecordDone(start, tickets[2], balance.Succeeded)
+	require.Equal(t, balance.Count{Running: 3, Granted: 1}, p.LocalCounts(7)["a"])
 	for _, i := range []int{0, 1, 3} {
-		p.Done(start, tickets[i], balance.Good)
+		p.RecordDone(start, tickets[i], balance.Succeeded)
 	}
-	require.Empty(t, p.Own(7))
+	require.Empty(t, p.LocalCounts(7))
 }
 
 // TestRestartedServerIsNew checks that a server which restarts under its ID keeps no failures,
@@ -158,23 +158,23 @@
 	first.Born = 1000
 	p := newPicker(first)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
-	running, failed := p.Sent(now, "a", r), p.Sent(now, "a", r)
-	p.Done(now, failed, balance.Broken)
-	p.Note(now, "a", "m", "", false)
+	running, failed := p.RecordSent(now, "a", r), p.RecordSent(now, "a", r)
+	p.RecordDone(now, failed, balance.ConnFailed)
+	p.SetResidency(now, "a", "m", "", false)
 	again := engine("a", false)
 	again.Born = 2000
 	p.Update([]fleet.Server{again, engine("b", false)})
 	require.True(t, p.Holds(now, "a", "m", ""))
-	require.Empty(t, p.Own(0))
+	require.Empty(t, p.LocalCounts(0))
 	picked := map[string]bool{}
 	for range 20 {
 		c, _ := p.Pick(now, r)
 		picked[c.Server.ID] = true
 	}
 	require.True(t, picked["a"], "the restarted server isn't avoided")
-	p.Sent(now, "a", r)
-	p.Done(now, running, balance.Broken)
-	require.Equal(t, 1, p.Own(0)["a"].Pending)
+	p.RecordSent(now, "a", r)
+	p.RecordDone(now, running, balance.ConnFailed)
+	require.Equal(t, 1, p.LocalCounts(0)["a"].Pending)
 }
 
 // TestOwnDataCentreIsPreferred checks both ways to pick. Traffic between data centres is slower and
@@ -187,11 +187,11 @@
 	for range 20 {
 		c, _ := p.Pick(now, r)
 		require.Equal(t, "a", c.Server.ID)
-		c, _ = p.PickRoom(now, r, 2000, 1)
+		c, _ = p.PickWithin(now, r, 2000, 1)
 		require.Equal(t, "a", c.Server.ID)
 	}
 	for range 5 {
-		p.Sent(now, "a", r)
+		p.RecordSent(now, "a", r)
 	}
 	c, _ := p.Pick(now, r)
 	require.Equal(t, "b", c.Server.ID, "the wait outweighs the other data centre")
--- a/core/balance/ticket.go
+++ b/core/balance/ticket.go
@@ -46,20 +46,20 @@
 
 const (
 	// Good means that the server answered.
-	Good Result = iota
+	Succeeded Result = iota
 	// Full means that the server reported that it was full.
 	Full
 	// Broken means that the server could not be reached or that the connection failed.
-	Broken
+	ConnFailed
 	// Dropped means that the client or the node abandoned the request.
-	Dropped
+	Abandoned
 	// Failed means that the server itself answered with an error.
 	Failed
 )
 
 // Sent records that a request is sent to a server. It returns nil if the server is no longer known;
 // the other methods accept a nil ticket.
-func (p *Picture) Sent(now time.Time, id string, r Request) *Ticket {
+func (p *Picker) RecordSent(now time.Time, id string, r Request) *Ticket {
 	s := p.servers[id]
 	if s == nil {
 		return nil
@@ -72,14 +72,14 @@
 	if len(s.segments) > maxSegments {
 		clear(s.segments)
 	}
-	for _, part := range r.Parts {
+	for _, part := range r.Segments {
 		s.segments[segmentKey(r, part)] = now
 	}
 	return t
 }
 
 // First records that the first byte of an answer arrived.
-func (p *Picture) First(now time.Time, t *Ticket) {
+func (p *Picker) FirstByte(now time.Time, t *Ticket) {
 	if t == nil || t.firstByte || t.done {
 		return
 	}
@@ -96,13 +96,13 @@
 
 // learnLatency updates the relative prefill time of a model from a prompt that was read while
 // no other was pending.
-func (p *Picture) learnLatency(latency time.Duration, t *Ticket) {
+func (p *Picker) learnLatency(latency time.Duration, t *Ticket) {
 	if t.model == "" || !t.onlyPending || t.uncached < minPrefillSample {
 		return
 	}
 	atDefaultRate := float64(t.uncached) / defaultPrefillRate * float64(time.Millisecond)
 	sample := min(max(float64(latency-prefillOverhead)/atDefaultRate, minPrefillTime), maxPrefillTime)
-	p.prefillTime[t.model] = p.Pace(t.model) + prefillSmoothing*(sample-p.Pace(t.model))
+	p.prefillTime[t.model] = p.RelativePrefillTime(t.model) + prefillSmoothing*(sample-p.RelativePrefillTime(t.model))
 }
 
 // learnLatency updates the slowness, and the base latency of plain services, from the time to the
@@ -122,7 +122,7 @@
 
 // Pace returns how long an engine takes to read a model's prompts, relative to defaultPrefillRate.
 // It is 1 until it has been learned.
-func (p *Picture) Pace(model string) float64 {
+func (p *Picker) RelativePrefillTime(model string) float64 {
 	if v, ok := p.prefillTime[model]; ok {
 		return v
 	}
@@ -131,14 +131,14 @@
 
 // Granted records which granter granted the request and counts it until its end. It must be called
 // before First.
-func (t *Ticket) Granted(granter int64) {
+func (t *Ticket) SetGranter(granter int64) {
 	if t != nil {
 		t.granter = granter
 	}
 }
 
 // Done records the end of a request at a server.
-func (p *Picture) Done(now time.Time, t *Ticket, r Result) {
+func (p *Picker) RecordDone(now time.Time, t *Ticket, r Result) {
 	if t == nil || t.done {
 		return
 	}
@@ -152,12 +152,12 @@
 		s.local.Tokens -= t.tokens
 	}
 	switch r {
-	case Good:
+	case Succeeded:
 		s.failures = 0
 		s.avoidUntil = time.Time{}
-	case Broken, Failed:
+	case ConnFailed, Failed:
 		s.failures++
-		if r == Broken || s.failures > 1 {
+		if r == ConnFailed || s.failures > 1 {
 			s.avoidUntil = now.Add(min(minAvoid<<min(s.failures-1, 8), maxAvoid))
 		}
 	case Full:
--- a/core/grant/group.go
+++ b/core/grant/group.go
@@ -15,10 +15,10 @@
 // group holds the waiting requests for one item. Both lists are sorted by precedes.
 type group struct {
 	item      Item
-	onTime    []Request   // requests that can still start within their target
-	late      []Request   // requests that have missed their target
-	reason    balance.Why // why the last attempt to grant the head failed
-	limitRate float64     // grants per second that the servers' rate limits allow the group while reason is Limited
+	onTime    []Request      // requests that can still start within their target
+	late      []Request      // requests that have missed their target
+	reason    balance.Reason // why the last attempt to grant the head failed
+	limitRate float64        // grants per second that the servers' rate limits allow the group while reason is Limited
 }
 
 // groupQueue is a heap of groups with waiting requests, ordered by the urgency of their heads. A
--- a/core/grant/growth_test.go
+++ b/core/grant/growth_test.go
@@ -40,7 +40,7 @@
 			s.Begun(start, d.ID)
 		}
 		if len(granted) == 0 {
-			s.Release(start, id, balance.Dropped)
+			s.Release(start, id, balance.Abandoned)
 		}
 	}
 	for i := range 4 * waiting {
@@ -75,7 +75,7 @@
 			id := uint64(0)
 			for b.Loop() {
 				id++
-				s.Release(start, id, balance.Good)
+				s.Release(start, id, balance.Succeeded)
 				for _, d := range s.Next(start) {
 					s.Begun(start, d.ID)
 				}
--- a/core/grant/limited_test.go
+++ b/core/grant/limited_test.go
@@ -14,7 +14,7 @@
 type result struct {
 	granted    bool
 	server     string
-	reason     balance.Why
+	reason     balance.Reason
 	waited     time.Duration
 	retryAfter time.Duration
 }
@@ -52,7 +52,7 @@
 			s.Offer(r)
 		}
 		for len(running) > 0 && !running[0].end.After(now) {
-			s.Release(now, running[0].id, balance.Good)
+			s.Release(now, running[0].id, balance.Succeeded)
 			running = running[1:]
 		}
 		if now.Sub(start)%(50*time.Millisecond) == 0 {
--- a/core/grant/scheduler.go
+++ b/core/grant/scheduler.go
@@ -45,15 +45,15 @@
 	Decision struct {
 		ID      uint64
 		Granted bool
-		Choice  balance.Choice
-		Why     balance.Why   // reason of a refusal
-		After   time.Duration // delay after which a refused client may retry
+		Choice  balance.Selection
+		Why     balance.Reason // reason of a refusal
+		After   time.Duration  // delay after which a refused client may retry
 	}
 
 	// Scheduler grants the requests of all nodes.
 	Scheduler struct {
 		settings Settings
-		picker   *balance.Picture
+		picker   *balance.Picker
 		groups   map[Item]*group
 		models   map[Item][]*group // the groups of a model and its adapters, by model
 		marked   map[*group]bool   // groups whose head may be granted now
@@ -71,7 +71,7 @@
 )
 
 // New returns a scheduler that picks servers by p and updates p with its grants.
-func New(p *balance.Picture, s Settings) *Scheduler {
+func New(p *balance.Picker, s Settings) *Scheduler {
 	if s.Tokens == 0 {
 		s.Tokens = Tokens
 	}
@@ -120,7 +120,7 @@
 // tokens; the slot stays taken until Release.
 func (s *Scheduler) Begun(now time.Time, id uint64) {
 	if h, ok := s.granted[id]; ok {
-		s.picker.First(now, h.ticket)
+		s.picker.FirstByte(now, h.ticket)
 		s.markServer(now, h.server)
 	}
 }
@@ -130,10 +130,10 @@
 func (s *Scheduler) Release(now time.Time, id uint64, r balance.Result) {
 	if h, ok := s.granted[id]; ok {
 		delete(s.granted, id)
-		if r == balance.Good {
-			s.picker.First(now, h.ticket)
+		if r == balance.Succeeded {
+			s.picker.FirstByte(now, h.ticket)
 		}
-		s.picker.Done(now, h.ticket, r)
+		s.picker.RecordDone(now, h.ticket, r)
 		s.markServer(now, h.server)
 		return
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	f, _ := s.picker.Server(server)
-	for m := range s.picker.Models(server) {
+	for m := range s.picker.ResidentModels(server) {
 		for _, g := range s.models[Item{Service: f.Service, Model: m}] {
 			if s.picker.Holds(now, server, g.item.Model, g.item.Adapter) {
 				s.marked[g] = true
@@ -289,7 +289,7 @@
 	for queue.Len() > 0 {
 		g := queue.groups[0]
 		r := *g.head()
-		c, reason := s.picker.PickRoom(now, r.Pick, s.settings.Tokens, s.settings.Part)
+		c, reason := s.picker.PickWithin(now, r.Pick, s.settings.Tokens, s.settings.Part)
 		g.reason = reason
 		if reason == balance.NoServer && len(r.Pick.Exclude) > 0 {
 			// No server is left for this request. Refuse it so that the others of its group don't
@@ -303,7 +303,7 @@
 			heap.Pop(queue)
 			continue
 		}
-		s.granted[r.ID] = activeGrant{server: c.Server.ID, ticket: s.picker.Sent(now, c.Server.ID, r.Pick), at: now}
+		s.granted[r.ID] = activeGrant{server: c.Server.ID, ticket: s.picker.RecordSent(now, c.Server.ID, r.Pick), at: now}
 		out = append(out, Decision{ID: r.ID, Granted: true, Choice: c})
 		delete(s.items, r.ID)
 		v := s.rate(now, g.item)
--- a/core/grant/scheduler_test.go
+++ b/core/grant/scheduler_test.go
@@ -51,7 +51,7 @@
 	}
 	require.Equal(t, []uint64{1, 2}, granted(s.Next(start)), "1800 tokens of 2000")
 	require.Empty(t, s.Next(start))
-	s.Release(start, 1, balance.Good)
+	s.Release(start, 1, balance.Succeeded)
 	require.Equal(t, []uint64{3}, granted(s.Next(start)))
 }
 
@@ -66,10 +66,10 @@
 	s.Begun(start, 1)
 	s.Begun(start, 2)
 	require.Empty(t, s.Next(start), "the prompts have been read, but the requests still run")
-	s.Release(start, 2, balance.Good)
+	s.Release(start, 2, balance.Succeeded)
 	require.Equal(t, []uint64{4}, granted(s.Next(start)))
-	s.Release(start, 3, balance.Broken)
-	s.Release(start, 1, balance.Dropped)
+	s.Release(start, 3, balance.ConnFailed)
+	s.Release(start, 1, balance.Abandoned)
 	require.Equal(t, []uint64{5}, granted(s.Next(start)), "an engine whose connection failed is still used if there is no other")
 }
 
@@ -89,7 +89,7 @@
 	require.Empty(t, s.Next(start))
 	var order []uint64
 	for id := uint64(1); len(order) < 3; {
-		s.Release(start, id, balance.Good)
+		s.Release(start, id, balance.Succeeded)
 		d := granted(s.Next(start))
 		require.Len(t, d, 1)
 		id = d[0]
@@ -113,7 +113,7 @@
 	s.Offer(arrived(3, start.Add(20*time.Millisecond)))
 	now := start.Add(50 * time.Millisecond)
 	s.Offer(arrived(4, start)) // the first request, offered again
-	s.Release(now, 1, balance.Good)
+	s.Release(now, 1, balance.Succeeded)
 	require.Equal(t, []uint64{4}, granted(s.Next(now)))
 }
 
@@ -125,14 +125,14 @@
 	batch.Target, batch.Expire = start.Add(2400*time.Millisecond), start.Add(9*time.Second)
 	s.Offer(batch)
 	s.Offer(request(3, "live", 1500, 2))
-	s.Release(start, 1, balance.Good)
+	s.Release(start, 1, balance.Succeeded)
 	require.Equal(t, []uint64{3}, granted(s.Next(start)), "lower priority, but due")
 
 	now := start.Add(1500 * time.Millisecond)
 	live := request(4, "live", 1500, 2)
 	live.Target, live.Expire = now.Add(400*time.Millisecond), now.Add(2*time.Second)
 	s.Offer(live)
-	s.Release(now, 3, balance.Good)
+	s.Release(now, 3, balance.Succeeded)
 	require.Equal(t, []uint64{2}, granted(s.Next(now)), "due by now, and of higher priority")
 }
 
@@ -146,7 +146,7 @@
 	r := request(3, "m", 1500, 2)
 	r.Target = now.Add(time.Second)
 	s.Offer(r)
-	s.Release(now, 1, balance.Good)
+	s.Release(now, 1, balance.Succeeded)
 	require.Equal(t, []uint64{3}, granted(s.Next(now)))
 }
 
@@ -170,8 +170,8 @@
 	s.Offer(request(2, "m", 2000, 0))
 	s.Offer(request(3, "m", 2000, 0))
 	require.Equal(t, []uint64{1}, granted(s.Next(start)))
-	s.Release(start, 2, balance.Dropped)
-	s.Release(start, 1, balance.Dropped)
+	s.Release(start, 2, balance.Abandoned)
+	s.Release(start, 1, balance.Abandoned)
 	require.Equal(t, []uint64{3}, granted(s.Next(start)))
 }
 
@@ -197,7 +197,7 @@
 				i++
 				continue
 			}
-			s.Release(now, open[i].id, balance.Good)
+			s.Release(now, open[i].id, balance.Succeeded)
 			open = append(open[:i], open[i+1:]...)
 		}
 		if rng.Float64() < 0.6*4*rate/1200 {
@@ -242,7 +242,7 @@
 	running, refused := uint64(1), 0
 	for step := range 16 { // steps of 100 ms
 		at = at.Add(100 * time.Millisecond)
-		s.Release(at, running, balance.Good)
+		s.Release(at, running, balance.Succeeded)
 		d := granted(s.Next(at))
 		require.Len(t, d, 1)
 		running = d[0]
@@ -289,7 +289,7 @@
 			s.Offer(r)
 		}
 		if step%10 == 0 && running != 0 {
-			s.Release(now, running, balance.Good)
+			s.Release(now, running, balance.Succeeded)
 		}
 		handle(now)
 		if step%5 == 0 {
@@ -340,7 +340,7 @@
 			b.Fatal("nothing runs")
 		}
 		i := rng.IntN(len(running))
-		s.Release(start, running[i], balance.Good)
+		s.Release(start, running[i], balance.Succeeded)
 		running[i] = running[len(running)-1]
 		running = running[:len(running)-1]
 		enqueue()
@@ -372,7 +372,7 @@
 			now = now.Add(50 * time.Millisecond)
 			for _, g := range list {
 				began[small[g]]++
-				s.Release(now, g, balance.Good)
+				s.Release(now, g, balance.Succeeded)
 			}
 		}
 		if overShare {
--- a/core/grant/shed_test.go
+++ b/core/grant/shed_test.go
@@ -39,7 +39,7 @@
 		s.Offer(r)
 		for _, d := range s.Next(now) {
 			require.True(t, d.Granted)
-			result, duration := balance.Good, 45*time.Millisecond // time to read the prompt
+			result, duration := balance.Succeeded, 45*time.Millisecond // time to read the prompt
 			if d.Choice.Server.ID == "a" {
 				if atA++; atA%2 == 0 {
 					result, duration = balance.Full, 0
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,7 +68,7 @@
 		config      atomic.Pointer[fleet.Config]
 
 		mu      sync.Mutex // guards what follows, and Rand
-		picture *balance.Picture
+		picture *balance.Picker
 		budgets map[string]*retry.Budget // by service
 		purse   quota.Purse
 		led     bool // a granter has answered the last report
@@ -108,15 +108,15 @@
 		print    uint64
 		last     string // last whole event that was passed on
 		begun    bool
-		rule     string         // who chose the server: "granted" by the holder, "picked" by this node
-		choice   balance.Choice // the last one
-		gap      time.Duration  // longest pause between events
+		rule     string            // who chose the server: "granted" by the holder, "picked" by this node
+		choice   balance.Selection // the last one
+		gap      time.Duration     // longest pause between events
 		outcome  outcome
 	}
 )
 
 // Run prepares the gateway. It must be called before the first request.
-func (g *Gateway) Run(p *balance.Picture) {
+func (g *Gateway) Run(p *balance.Picker) {
 	g.picture = p
 	g.picture.SetNodes(retry.UnknownNodes)
 	g.budgets = map[string]*retry.Budget{}
@@ -297,7 +297,7 @@
 func (g *Gateway) Report(node string, granter int64) hub.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := hub.Report{Node: node, Counts: g.picture.Own(granter), Marks: g.news, Limits: g.limits()}
+	r := hub.Report{Node: node, Counts: g.picture.LocalCounts(granter), Marks: g.news, Limits: g.limits()}
 	g.news = nil
 	for k, d := range g.demand {
 		if d.Tokens > 0 || d.Waiting > 0 || d.Ran != (hub.Ran{}) {
@@ -327,7 +327,7 @@
 func (g *Gateway) Counts(granter int64) map[string]balance.Count {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.picture.Own(granter)
+	return g.picture.LocalCounts(granter)
 }
 
 // Keep puts marks back that could not be reported.
@@ -343,12 +343,12 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.share(p.Nodes)
-	g.picture.Others(now, p.Counts)
+	g.picture.SetRemoteCounts(now, p.Counts)
 	for _, l := range p.Limits {
 		g.picture.LearnLimit(l.Server, l.Said(now))
 	}
 	for _, n := range p.Notes {
-		g.picture.Note(now, n.Server, n.Model, n.Adapter, n.Held)
+		g.picture.SetResidency(now, n.Server, n.Model, n.Adapter, n.Held)
 	}
 	for _, m := range p.Marks {
 		g.setMark(m.Fingerprint, m.Server)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -18,7 +18,7 @@
 	if !t.begun {
 		if err := t.x.Begin(http.StatusOK, http1.EndToEnd(t.resp.Header)); err != nil {
 			t.conn.Close()
-			return balance.Dropped, gone, ClientLeft
+			return balance.Abandoned, gone, ClientLeft
 		}
 		t.begun = true
 	}
@@ -27,7 +27,7 @@
 	switch {
 	case errors.As(err, &w):
 		t.conn.Close()
-		return balance.Dropped, gone, ClientLeft
+		return balance.Abandoned, gone, ClientLeft
 	case err != nil:
 		t.conn.Close()
 		return t.broken(err)
@@ -37,7 +37,7 @@
 	if err := t.x.End(); err != nil {
 		t.outcome = outcome{reason: ClientLeft, err: err}
 	}
-	return balance.Good, answered, Served
+	return balance.Succeeded, answered, Served
 }
 
 // clientError means that the client's side of a stream failed.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -34,7 +34,7 @@
 // try is one send of a request.
 type try struct {
 	*request
-	choice balance.Choice
+	choice balance.Selection
 	conn   *http1.Conn
 	ticket *balance.Ticket
 	resp   *http.Response
@@ -45,16 +45,16 @@
 }
 
 // send sends the request to a server and passes its answer on if it is one.
-func (r *request) send(c balance.Choice) (fate, Reason) {
+func (r *request) send(c balance.Selection) (fate, Reason) {
 	t := &try{request: r, choice: c}
 	r.choice = c
 	began := time.Now()
 	result, f, reason := t.run()
 	t.freePlace(result)
 	r.g.mu.Lock()
-	r.g.picture.Done(time.Now(), t.ticket, result)
+	r.g.picture.RecordDone(time.Now(), t.ticket, result)
 	if t.answer.Load != nil {
-		r.g.picture.Report(time.Now(), c.Server.ID, t.answer.Load.Running, t.answer.Load.Waiting)
+		r.g.picture.ServerReport(time.Now(), c.Server.ID, t.answer.Load.Running, t.answer.Load.Waiting)
 	}
 	r.g.mu.Unlock()
 	if f != answered || r.outcome.reason != Served {
@@ -76,24 +76,24 @@
 // and why.
 func (t *try) run() (balance.Result, fate, Reason) {
 	if f, reason, ok := t.connect(); !ok {
-		return balance.Broken, f, reason
+		return balance.ConnFailed, f, reason
 	}
 	t.unbind = context.AfterFunc(t.x.Context(), t.conn.Close)
 	defer t.unbind()
 	if why, ok := t.withheld(); ok {
 		t.conn.Close()
-		return balance.Dropped, notSent, why
+		return balance.Abandoned, notSent, why
 	}
 	t.g.mu.Lock()
-	t.ticket = t.g.picture.Sent(time.Now(), t.choice.Server.ID, t.balanceRequest())
-	t.ticket.Granted(t.granter)
+	t.ticket = t.g.picture.RecordSent(time.Now(), t.choice.Server.ID, t.balanceRequest())
+	t.ticket.SetGranter(t.granter)
 	t.g.mu.Unlock()
 	sent := time.Now()
 	wrote, err := t.conn.Send(t.outgoing(t.choice.Server), t.deadline.Add(answerMargin))
 	if err != nil {
 		t.conn.Close()
 		if !wrote {
-			return balance.Broken, notSent, Reset
+			return balance.ConnFailed, notSent, Reset
 		}
 		t.sends++
 		t.ran = true
@@ -110,7 +110,7 @@
 	t.learnLimit(sent)
 	t.learnNeeds()
 	t.g.mu.Lock()
-	t.g.picture.First(time.Now(), t.ticket)
+	t.g.picture.FirstByte(time.Now(), t.ticket)
 	t.g.mu.Unlock()
 	if !t.answer.NotRun && t.place != nil {
 		t.place.Begun()
@@ -148,7 +148,7 @@
 	}
 	if t.answer.Rest > 0 {
 		t.g.mu.Lock()
-		t.g.picture.Rest(s.ID, time.Now().Add(t.answer.Rest))
+		t.g.picture.BackOff(s.ID, time.Now().Add(t.answer.Rest))
 		t.g.mu.Unlock()
 		t.g.Log.Info("server-rests", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.Duration("rest", t.answer.Rest),
 			zap.String("rule", t.rule))
@@ -240,14 +240,14 @@
 	var n net.Error
 	switch {
 	case t.x.Context().Err() != nil:
-		return balance.Dropped, gone, ClientLeft
+		return balance.Abandoned, gone, ClientLeft
 	case errors.As(err, &n) && n.Timeout() && !time.Now().Before(t.deadline):
 		t.runs++
-		return balance.Broken, late, Deadline
+		return balance.ConnFailed, late, Deadline
 	}
 	t.g.Pool.Drop(t.choice.Server.Address)
 	t.g.mark(t.print, t.choice.Server.ID)
-	return balance.Broken, unknown, Cut
+	return balance.ConnFailed, unknown, Cut
 }
 
 // judge decides what the head of an answer means.
@@ -255,12 +255,12 @@
 	status := t.resp.StatusCode
 	if t.foreign() {
 		t.conn.Close()
-		return balance.Broken, unknown, WrongAnswer
+		return balance.ConnFailed, unknown, WrongAnswer
 	}
 	if t.answer.NotRun {
 		t.recycle()
 		if status == http.StatusMisdirectedRequest {
-			return balance.Good, notRun, t.misdirected()
+			return balance.Succeeded, notRun, t.misdirected()
 		}
 		return balance.Full, notRun, Full
 	}
@@ -293,7 +293,7 @@
 	t.lacks = append(t.lacks, id)
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	t.g.picture.Note(time.Now(), id, t.meta.Model, t.meta.Adapter, false)
+	t.g.picture.SetResidency(time.Now(), id, t.meta.Model, t.meta.Adapter, false)
 	return Lacking
 }
 
@@ -337,5 +337,5 @@
 	if t.resp.StatusCode >= http.StatusInternalServerError {
 		return balance.Failed, answered, ServerError
 	}
-	return balance.Good, answered, Served
+	return balance.Succeeded, answered, Served
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -67,7 +67,7 @@
 	r.header = http1.EndToEnd(r.x.Request.Header)
 	r.last = r.meta.LastEvent
 	// A request that is given up with a place in hand must not keep it.
-	defer r.freePlace(balance.Dropped)
+	defer r.freePlace(balance.Abandoned)
 	dials := 0
 	var refusal Reason
 	for {
@@ -159,7 +159,7 @@
 	}
 	b.Model, b.Adapter, b.Tokens = r.meta.Model, r.meta.Adapter, r.meta.PromptTokens
 	for _, p := range r.meta.Parts {
-		b.Parts = append(b.Parts, balance.Part{ID: p.ID, Tokens: p.Tokens})
+		b.Segments = append(b.Segments, balance.Segment{ID: p.ID, Tokens: p.Tokens})
 	}
 	return b
 }
@@ -176,7 +176,7 @@
 }
 
 // pick picks a server; where none holds the model it waits for one.
-func (r *request) pick() (balance.Choice, Reason) {
+func (r *request) pick() (balance.Selection, Reason) {
 	g := r.g
 	b := r.balanceRequest()
 	w := r.item()
@@ -219,7 +219,7 @@
 		if time.Now().After(until) {
 			return c, Reason(why)
 		}
-		if c.Wait > time.Until(until) || why == balance.Resting {
+		if c.Wait > time.Until(until) || why == balance.Backoff {
 			r.after = min(max(c.Wait, comeBack), limitedBack)
 			return c, Reason(why)
 		}
@@ -244,8 +244,8 @@
 }
 
 // ask asks the holder of the lease for a place.
-func (r *request) ask(b balance.Request, w hub.Item) (c balance.Choice, why Reason, a asked) {
-	p := hub.Place{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Parts, Zone: b.Zone, Lacks: r.lacks, Priority: r.urgency(),
+func (r *request) ask(b balance.Request, w hub.Item) (c balance.Selection, why Reason, a asked) {
+	p := hub.Place{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacks, Priority: r.urgency(),
 		Waited: time.Since(r.x.Received),
 		Target: time.Until(r.x.Received.Add(r.route.Target * targetPart / 100)), Expire: r.waitMost(b.Model)}
 	p.Charge = r.due()
@@ -255,7 +255,7 @@
 	placed, grant, err := r.g.Place(ctx, p)
 	if ctx.Err() != nil {
 		if err == nil {
-			grant.Done(balance.Dropped)
+			grant.Done(balance.Abandoned)
 		}
 		if r.x.Context().Err() != nil {
 			return c, ClientLeft, decided
@@ -269,7 +269,7 @@
 		r.paid(p.Charge)
 	}
 	if !placed.Granted {
-		grant.Done(balance.Dropped)
+		grant.Done(balance.Abandoned)
 		r.after = placed.After
 		if placed.Why == string(balance.NoServer) && len(p.Exclude) > len(r.exclude) {
 			return c, Resting, decided
@@ -279,11 +279,11 @@
 	r.lacks = slices.DeleteFunc(r.lacks, func(id string) bool { return id == placed.Server })
 	r.g.mu.Lock()
 	s, known := r.g.picture.Server(placed.Server)
-	r.g.picture.Note(time.Now(), placed.Server, w.Model, w.Adapter, true)
+	r.g.picture.SetResidency(time.Now(), placed.Server, w.Model, w.Adapter, true)
 	_, withheld := r.g.picture.Withheld(time.Now(), placed.Server)
 	r.g.mu.Unlock()
 	if !known || withheld {
-		grant.Done(balance.Dropped) // this node knows more than the holder
+		grant.Done(balance.Abandoned) // this node knows more than the holder
 		r.exclude[placed.Server] = true
 		return c, "", declined
 	}
@@ -292,7 +292,7 @@
 	}
 	r.place, r.granter = grant, placed.Granter
 	r.rule = "granted"
-	return balance.Choice{Server: s, Wait: placed.Wait}, "", decided
+	return balance.Selection{Server: s, Wait: placed.Wait}, "", decided
 }
 
 // unusable returns the servers that the request can't go to: it was tried there, or they
@@ -301,7 +301,7 @@
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
 	out := slices.Collect(maps.Keys(r.exclude))
-	for _, id := range r.g.picture.Resting(time.Now(), r.service) {
+	for _, id := range r.g.picture.InBackoff(time.Now(), r.service) {
 		if !r.exclude[id] {
 			out = append(out, id)
 		}
@@ -337,7 +337,7 @@
 	r.lacks = slices.DeleteFunc(r.lacks, func(id string) bool { return id == o.Server })
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
-	r.g.picture.Note(time.Now(), o.Server, w.Model, w.Adapter, true)
+	r.g.picture.SetResidency(time.Now(), o.Server, w.Model, w.Adapter, true)
 }
 
 // lacking tells whether there is still no server to pick.
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -43,7 +43,7 @@
 )
 
 // OverQuota means that a request's team has spent its quota.
-const OverQuota balance.Why = "quota"
+const OverQuota balance.Reason = "quota"
 
 type (
 	// Granter decides about places. Its exported fields are set before the first
@@ -58,7 +58,7 @@
 		Tolerance quota.Tolerance
 
 		mu       sync.Mutex
-		picture  *balance.Picture
+		picture  *balance.Picker
 		schedule *grant.Scheduler
 		servers  []fleet.Server
 		teams    []fleet.Team
@@ -98,7 +98,7 @@
 	}
 	g.reset = make(chan struct{})
 	g.picture = balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	g.picture.SetRatePart(ratePart)
+	g.picture.SetRateFraction(ratePart)
 	g.picture.Update(g.servers)
 	g.learnLimits(limits)
 	g.schedule = grant.New(g.picture, g.Settings)
@@ -159,7 +159,7 @@
 	if g.picture == nil {
 		return
 	}
-	g.picture.Note(time.Now(), n.Server, n.Model, n.Adapter, n.Held)
+	g.picture.SetResidency(time.Now(), n.Server, n.Model, n.Adapter, n.Held)
 	g.schedule.Changed()
 	g.decide()
 }
@@ -200,7 +200,7 @@
 	for id, c := range counts {
 		running[id] = balance.Count{Running: c.Running - c.Granted}
 	}
-	g.picture.Others(time.Now(), running)
+	g.picture.SetRemoteCounts(time.Now(), running)
 	g.decide()
 }
 
@@ -217,7 +217,7 @@
 	id := g.next
 	now := time.Now()
 	for _, s := range p.Lacks {
-		g.picture.Note(now, s, p.Model, p.Adapter, false)
+		g.picture.SetResidency(now, s, p.Model, p.Adapter, false)
 	}
 	if ok, after := g.ledger.Charge(now, p.Charge.Team, p.Charge.Cost); !ok {
 		g.mu.Unlock()
@@ -247,7 +247,7 @@
 		return grant.Decision{}, nil, context.Canceled
 	case <-ctx.Done():
 		g.refund(p.Charge)
-		g.release(id, balance.Dropped)
+		g.release(id, balance.Abandoned)
 		return grant.Decision{}, nil, ctx.Err()
 	}
 }
@@ -350,7 +350,7 @@
 	defer g.mu.Unlock()
 	delete(g.fetching, w)
 	if o.Found {
-		g.picture.Note(time.Now(), o.Server, w.Model, w.Adapter, true)
+		g.picture.SetResidency(time.Now(), o.Server, w.Model, w.Adapter, true)
 		g.schedule.Changed()
 	}
 	g.decide()
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -51,12 +51,12 @@
 	go func() {
 		d, release, err := g.Place(context.Background(), place("m", "", 1500), func() {})
 		if err == nil {
-			release.Done(balance.Good)
+			release.Done(balance.Succeeded)
 		}
 		second <- err == nil && d.Granted
 	}()
 	require.Never(t, func() bool { return len(second) > 0 }, 150*time.Millisecond, 10*time.Millisecond)
-	release.Done(balance.Good)
+	release.Done(balance.Succeeded)
 	require.True(t, <-second)
 }
 
@@ -78,11 +78,11 @@
 	d, release, err := g.Place(context.Background(), place("m", "a1", 100), func() {})
 	require.NoError(t, err)
 	require.True(t, d.Granted)
-	release.Done(balance.Good)
+	release.Done(balance.Succeeded)
 	d, release, err = g.Place(context.Background(), place("m", "a1", 100), func() {})
 	require.NoError(t, err)
 	require.True(t, d.Granted)
-	release.Done(balance.Good)
+	release.Done(balance.Succeeded)
 	require.EqualValues(t, 1, fetched.Load())
 }
 
@@ -102,7 +102,7 @@
 	p.Exclude = []string{"i-1"}
 	d, release, err := g.Place(context.Background(), p, func() {})
 	require.NoError(t, err)
-	defer release.Done(balance.Good)
+	defer release.Done(balance.Succeeded)
 	require.True(t, d.Granted)
 	require.Equal(t, "i-2", d.Choice.Server.ID)
 	require.Equal(t, []string{"i-1"}, (<-wants).Exclude)
@@ -116,7 +116,7 @@
 	time.AfterFunc(100*time.Millisecond, func() { waiting <- g.Waiting() })
 	d, release, err := g.Place(context.Background(), p, func() {})
 	require.NoError(t, err)
-	defer release.Done(balance.Dropped)
+	defer release.Done(balance.Abandoned)
 	require.False(t, d.Granted)
 	require.Equal(t, balance.NoModel, d.Why)
 	require.Positive(t, d.After)
@@ -183,7 +183,7 @@
 						granted = append(granted, time.Now())
 						mu.Unlock()
 						<-time.After(50 * time.Millisecond)
-						grant.Done(balance.Good)
+						grant.Done(balance.Succeeded)
 					}
 				})
 			}
--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -43,7 +43,7 @@
 		Item
 		Request  string // id, for the log
 		Tokens   int    // of the prompt
-		Parts    []balance.Part
+		Parts    []balance.Segment
 		Zone     string
 		Exclude  []string // servers not to be picked
 		Lacks    []string // servers that said of late that they don't hold the item
@@ -114,7 +114,7 @@
 
 // Pick returns what a pick depends on.
 func (p Place) Pick() balance.Request {
-	r := balance.Request{Service: p.Service, Model: p.Model, Adapter: p.Adapter, Tokens: p.Tokens, Parts: p.Parts, Zone: p.Zone}
+	r := balance.Request{Service: p.Service, Model: p.Model, Adapter: p.Adapter, Tokens: p.Tokens, Segments: p.Parts, Zone: p.Zone}
 	if len(p.Exclude) > 0 {
 		r.Exclude = make(map[string]bool, len(p.Exclude))
 		for _, id := range p.Exclude {
@@ -292,7 +292,7 @@
 		s.Cancel()
 		return
 	}
-	result := balance.Dropped
+	result := balance.Abandoned
 	defer func() { grant.Done(result) }()
 	answer, err := peer.Encode(kindPlaced, placed)
 	if err != nil || s.Write(answer) != nil || !placed.Granted {
--- a/internal/hub/client_test.go
+++ b/internal/hub/client_test.go
@@ -77,7 +77,7 @@
 	p, release, err := c.Place(context.Background(), e.Address, hub.Place{})
 	require.NoError(t, err)
 	require.True(t, p.Granted)
-	release.Done(balance.Good)
+	release.Done(balance.Succeeded)
 	require.Len(t, told, 2, "queued, then granted")
 }
 
@@ -107,12 +107,12 @@
 	e := endpoint(b, "holder", granting{})
 	c := &hub.Client{Endpoint: endpoint(b, "node", nil)}
 	p := hub.Place{Item: hub.Item{Service: "drafter", Model: "mizi247a5b"}, Request: "9c41d07be2a35f68", Tokens: 1460, Zone: "seq-a", Priority: 2,
-		Parts:  []balance.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}, {ID: "e4402b7d", Tokens: 250}},
+		Parts:  []balance.Segment{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}, {ID: "e4402b7d", Tokens: 250}},
 		Target: 360 * time.Millisecond, Expire: 2 * time.Second}
 	for b.Loop() {
 		_, grant, err := c.Place(context.Background(), e.Address, p)
 		require.NoError(b, err)
 		grant.Begun()
-		grant.Done(balance.Good)
+		grant.Done(balance.Succeeded)
 	}
 }
