--- a/core/grant/group.go
+++ b/core/grant/group.go
@@ -67,10 +67,10 @@
 	switch {
 	case a.Priority != b.Priority:
 		return a.Priority < b.Priority
-	case a.Greedy != b.Greedy:
-		return b.Greedy
-	case !a.Since.Equal(b.Since):
-		return a.Since.Before(b.Since)
+	case a.OverShare != b.OverShare:
+		return b.OverShare
+	case !a.ArrivedAt.Equal(b.ArrivedAt):
+		return a.ArrivedAt.Before(b.ArrivedAt)
 	default:
 		return a.ID < b.ID
 	}
@@ -100,7 +100,7 @@
 	switch {
 	case len(g.onTime) == 0:
 		return 2
-	case g.onTime[0].Target.Sub(now) > dueWithin:
+	case g.onTime[0].TargetStart.Sub(now) > dueWithin:
 		return 1
 	default:
 		return 0
--- a/core/grant/growth_test.go
+++ b/core/grant/growth_test.go
@@ -30,14 +30,14 @@
 	enqueue := func(model int) {
 		id++
 		r := request(id, fmt.Sprintf("m%d", model%models), 100, model%3)
-		r.Target, r.Expire = start.Add(time.Hour), start.Add(2*time.Hour)
-		s.Offer(r)
+		r.TargetStart, r.Deadline = start.Add(time.Hour), start.Add(2*time.Hour)
+		s.Enqueue(r)
 	}
 	for i := range 24 * engines {
 		enqueue(i)
 		granted := s.Next(start)
 		for _, d := range granted {
-			s.Begun(start, d.ID)
+			s.PrefillDone(start, d.ID)
 		}
 		if len(granted) == 0 {
 			s.Release(start, id, balance.Abandoned)
@@ -58,7 +58,7 @@
 	fastest := func(waiting int) time.Duration {
 		s, _ := newBacklog(600, 1200, waiting)
 		return cputime.Least(20, func() {
-			s.Changed()
+			s.Invalidate()
 			s.Next(start)
 		})
 	}
@@ -77,12 +77,12 @@
 				id++
 				s.Release(start, id, balance.Succeeded)
 				for _, d := range s.Next(start) {
-					s.Begun(start, d.ID)
+					s.PrefillDone(start, d.ID)
 				}
 				last++
 				r := request(last, fmt.Sprintf("m%d", int(last)%size.models), 100, 1)
-				r.Target, r.Expire = start.Add(time.Hour), start.Add(2*time.Hour)
-				s.Offer(r)
+				r.TargetStart, r.Deadline = start.Add(time.Hour), start.Add(2*time.Hour)
+				s.Enqueue(r)
 				s.Next(start)
 			}
 		})
--- a/core/grant/limited_test.go
+++ b/core/grant/limited_test.go
@@ -32,13 +32,13 @@
 	var running []run
 	handle := func(now time.Time, list []grant.Decision) {
 		for _, d := range list {
-			out[d.ID] = result{d.Granted, d.Choice.Server.ID, d.Why, now.Sub(arrived[d.ID]), d.After}
+			out[d.ID] = result{d.Granted, d.Selection.Server.ID, d.Reason, now.Sub(arrived[d.ID]), d.RetryAfter}
 			if d.Granted {
 				running = append(running, run{d.ID, now.Add(300 * time.Millisecond)})
-				if r, ok := rates[d.Choice.Server.ID]; ok {
+				if r, ok := rates[d.Selection.Server.ID]; ok {
 					s.LearnLimit(now, d.ID, &r)
 				}
-				s.Begun(now, d.ID)
+				s.PrefillDone(now, d.ID)
 			}
 		}
 	}
@@ -47,9 +47,9 @@
 		if now.Sub(start) >= time.Duration(next)*interval {
 			next++
 			r := request(next, models[int(next)%len(models)], 100, 1)
-			r.Since, r.Target, r.Expire = now, now.Add(400*time.Millisecond), now.Add(2*time.Second)
+			r.ArrivedAt, r.TargetStart, r.Deadline = now, now.Add(400*time.Millisecond), now.Add(2*time.Second)
 			arrived[next] = now
-			s.Offer(r)
+			s.Enqueue(r)
 		}
 		for len(running) > 0 && !running[0].end.After(now) {
 			s.Release(now, running[0].id, balance.Succeeded)
@@ -107,7 +107,7 @@
 	s := newScheduler(server("a", "m"))
 	rate := 0.5
 	for id := uint64(1); id <= 9; id++ {
-		s.Offer(request(id, "m", 100, 1))
+		s.Enqueue(request(id, "m", 100, 1))
 		if id == 1 {
 			require.Equal(t, []uint64{1}, granted(s.Next(start)))
 			s.LearnLimit(start.Add(time.Millisecond), 1, &rate)
@@ -115,11 +115,11 @@
 	}
 	require.Empty(t, s.Next(start.Add(time.Second)))
 	now := start.Add(2100 * time.Millisecond)
-	s.Changed()
+	s.Invalidate()
 	first := granted(s.Next(now))
 	require.Len(t, first, 1)
 	s.LearnLimit(now, first[0], nil)
-	s.Changed()
+	s.Invalidate()
 	require.Len(t, granted(s.Next(now)), 7)
 	s.LearnLimit(now, 99, nil) // an unknown grant is ignored
 }
@@ -130,12 +130,12 @@
 	s := newScheduler(server("a", "m"), server("b", "n"))
 	r := request(1, "m", 100, 0)
 	r.Pick.Exclude = map[string]bool{"a": true}
-	s.Offer(r)
-	s.Offer(request(2, "m", 100, 1))
+	s.Enqueue(r)
+	s.Enqueue(request(2, "m", 100, 1))
 	list := s.Next(start)
 	require.Len(t, list, 2)
 	require.Equal(t, []uint64{2}, granted(list))
-	require.Equal(t, balance.NoServer, list[0].Why)
-	require.Positive(t, list[0].After)
+	require.Equal(t, balance.NoServer, list[0].Reason)
+	require.Positive(t, list[0].RetryAfter)
 	require.Zero(t, s.Waiting())
 }
--- a/core/grant/rates.go
+++ b/core/grant/rates.go
@@ -62,7 +62,7 @@
 // client may retry.
 func (v *rates) willMissTarget(now time.Time, g *group, r Request, onTime, late int) (time.Duration, bool) {
 	perSecond, known := v.known(now, g)
-	if !known || waitBehind(onTime, perSecond) <= r.Target.Sub(now) {
+	if !known || waitBehind(onTime, perSecond) <= r.TargetStart.Sub(now) {
 		return 0, false
 	}
 	retryAfter, expires := v.willExpire(now, g, r, onTime, late)
@@ -77,7 +77,7 @@
 // It also returns the delay after which the client may retry: the time until the queue ahead is
 // served, but no less than the time for which the overload has lasted so far.
 func (v *rates) willExpire(now time.Time, g *group, r Request, onTime, late int) (time.Duration, bool) {
-	if now.After(r.Expire) {
+	if now.After(r.Deadline) {
 		return defaultRetryAfter, true
 	}
 	perSecond, known := v.known(now, g)
@@ -90,7 +90,7 @@
 		lateRate, _ := v.late.recent(now)
 		wait = max(wait, waitBehind(late, lateRate+lateRateMargin))
 	}
-	return jitter(r, min(retryAfter, maxRetryAfter)), wait > r.Expire.Sub(now)
+	return jitter(r, min(retryAfter, maxRetryAfter)), wait > r.Deadline.Sub(now)
 }
 
 // known returns the rate per second at which requests of a group start, if it is known.
--- a/core/grant/scheduler.go
+++ b/core/grant/scheduler.go
@@ -13,18 +13,18 @@
 // Default settings.
 const (
 	// Tokens is the default limit of unread prompt tokens at an engine.
-	Tokens = 2000
+	DefaultTokens = 2000
 	// Part is the default fraction of an engine's slots that granted requests may take. It is 1
 	// because each request is counted from its grant to its end, and requests that nodes start
 	// without the scheduler are counted in load reports.
-	Part = 1.0
+	DefaultSlotFraction = 1.0
 )
 
 type (
 	// Settings configures a Scheduler. Zero fields take the defaults.
 	Settings struct {
-		Tokens int     // limit of unread prompt tokens at an engine
-		Part   float64 // fraction of an engine's slots that may be taken
+		Tokens       int     // limit of unread prompt tokens at an engine
+		SlotFraction float64 // fraction of an engine's slots that may be taken
 	}
 
 	// Item is a model of a service, or one of the model's adapters.
@@ -32,22 +32,22 @@
 
 	// Request is a request that waits for a grant.
 	Request struct {
-		ID       uint64
-		Since    time.Time // when it first arrived; a request that is offered again keeps its turn
-		Pick     balance.Request
-		Priority int       // 0 is the most urgent
-		Greedy   bool      // its team is over its fair share of its quota, so others of the same priority go first
-		Target   time.Time // when it should have started
-		Expire   time.Time // when it must have started, or is refused
+		ID          uint64
+		ArrivedAt   time.Time // when it first arrived; a request that is offered again keeps its turn
+		Pick        balance.Request
+		Priority    int       // 0 is the most urgent
+		OverShare   bool      // its team is over its fair share of its quota, so others of the same priority go first
+		TargetStart time.Time // when it should have started
+		Deadline    time.Time // when it must have started, or is refused
 	}
 
 	// Decision is a grant or a refusal, which ends the wait of a request.
 	Decision struct {
-		ID      uint64
-		Granted bool
-		Choice  balance.Selection
-		Why     balance.Reason // reason of a refusal
-		After   time.Duration  // delay after which a refused client may retry
+		ID         uint64
+		Granted    bool
+		Selection  balance.Selection
+		Reason     balance.Reason // reason of a refusal
+		RetryAfter time.Duration  // delay after which a refused client may retry
 	}
 
 	// Scheduler grants the requests of all nodes.
@@ -73,17 +73,17 @@
 // New returns a scheduler that picks servers by p and updates p with its grants.
 func New(p *balance.Picker, s Settings) *Scheduler {
 	if s.Tokens == 0 {
-		s.Tokens = Tokens
+		s.Tokens = DefaultTokens
 	}
-	if s.Part == 0 {
-		s.Part = Part
+	if s.SlotFraction == 0 {
+		s.SlotFraction = DefaultSlotFraction
 	}
 	return &Scheduler{settings: s, picker: p, groups: map[Item]*group{}, models: map[Item][]*group{}, marked: map[*group]bool{},
 		items: map[uint64]Item{}, granted: map[uint64]activeGrant{}, rates: map[Item]*rates{}}
 }
 
 // Offer adds a request. Next decides about it.
-func (s *Scheduler) Offer(r Request) {
+func (s *Scheduler) Enqueue(r Request) {
 	i := Item{r.Pick.Service, r.Pick.Model, r.Pick.Adapter}
 	g := s.groups[i]
 	if g == nil {
@@ -101,7 +101,7 @@
 
 // Lacking returns the number of waiting requests for each item that no server holds. If no server
 // holds the model, the adapter is left empty.
-func (s *Scheduler) Lacking() map[Item]int {
+func (s *Scheduler) WaitingByMissingItem() map[Item]int {
 	out := map[Item]int{}
 	for _, g := range s.groups {
 		n := g.waiting()
@@ -118,7 +118,7 @@
 
 // Begun records that the engine has read the prompt of a granted request. This frees its prompt
 // tokens; the slot stays taken until Release.
-func (s *Scheduler) Begun(now time.Time, id uint64) {
+func (s *Scheduler) PrefillDone(now time.Time, id uint64) {
 	if h, ok := s.granted[id]; ok {
 		s.picker.FirstByte(now, h.ticket)
 		s.markServer(now, h.server)
@@ -179,7 +179,7 @@
 }
 
 // Changed marks all groups for the next attempt, after servers or their residency changed.
-func (s *Scheduler) Changed() {
+func (s *Scheduler) Invalidate() {
 	for _, g := range s.groups {
 		s.marked[g] = true
 	}
@@ -231,7 +231,7 @@
 		v := s.rate(now, g.item)
 		onTime := g.onTime[:0]
 		for _, r := range g.onTime {
-			if now.After(r.Target) {
+			if now.After(r.TargetStart) {
 				g.late = insert(g.late, r)
 				continue
 			}
@@ -265,7 +265,7 @@
 // refuse ends the wait of a request with a refusal.
 func (s *Scheduler) refuse(out []Decision, g *group, r Request, retryAfter time.Duration) []Decision {
 	delete(s.items, r.ID)
-	return append(out, Decision{ID: r.ID, Why: g.reason, After: retryAfter})
+	return append(out, Decision{ID: r.ID, Reason: g.reason, RetryAfter: retryAfter})
 }
 
 // rate returns the rates of an item, which it creates if necessary.
@@ -289,7 +289,7 @@
 	for queue.Len() > 0 {
 		g := queue.groups[0]
 		r := *g.head()
-		c, reason := s.picker.PickWithin(now, r.Pick, s.settings.Tokens, s.settings.Part)
+		c, reason := s.picker.PickWithin(now, r.Pick, s.settings.Tokens, s.settings.SlotFraction)
 		g.reason = reason
 		if reason == balance.NoServer && len(r.Pick.Exclude) > 0 {
 			// No server is left for this request. Refuse it so that the others of its group don't
@@ -304,7 +304,7 @@
 			continue
 		}
 		s.granted[r.ID] = activeGrant{server: c.Server.ID, ticket: s.picker.RecordSent(now, c.Server.ID, r.Pick), at: now}
-		out = append(out, Decision{ID: r.ID, Granted: true, Choice: c})
+		out = append(out, Decision{ID: r.ID, Granted: true, Selection: c})
 		delete(s.items, r.ID)
 		v := s.rate(now, g.item)
 		v.all.count(now)
--- a/core/grant/scheduler_test.go
+++ b/core/grant/scheduler_test.go
@@ -31,7 +31,7 @@
 
 func request(id uint64, model string, tokens, priority int) grant.Request {
 	return grant.Request{ID: id, Pick: balance.Request{Service: "llm", Model: model, Tokens: tokens}, Priority: priority,
-		Target: start.Add(400 * time.Millisecond), Expire: start.Add(2 * time.Second)}
+		TargetStart: start.Add(400 * time.Millisecond), Deadline: start.Add(2 * time.Second)}
 }
 
 func granted(list []grant.Decision) []uint64 {
@@ -47,7 +47,7 @@
 func TestUnreadTokensAreBounded(t *testing.T) {
 	s := newScheduler(server("a", "m"))
 	for id := uint64(1); id <= 4; id++ {
-		s.Offer(request(id, "m", 900, 1))
+		s.Enqueue(request(id, "m", 900, 1))
 	}
 	require.Equal(t, []uint64{1, 2}, granted(s.Next(start)), "1800 tokens of 2000")
 	require.Empty(t, s.Next(start))
@@ -60,11 +60,11 @@
 	a.Slots = 3
 	s := newScheduler(a)
 	for id := uint64(1); id <= 5; id++ {
-		s.Offer(request(id, "m", 100, 1))
+		s.Enqueue(request(id, "m", 100, 1))
 	}
 	require.Equal(t, []uint64{1, 2, 3}, granted(s.Next(start)))
-	s.Begun(start, 1)
-	s.Begun(start, 2)
+	s.PrefillDone(start, 1)
+	s.PrefillDone(start, 2)
 	require.Empty(t, s.Next(start), "the prompts have been read, but the requests still run")
 	s.Release(start, 2, balance.Succeeded)
 	require.Equal(t, []uint64{4}, granted(s.Next(start)))
@@ -75,17 +75,17 @@
 
 func TestLongPromptGoesToIdleEngine(t *testing.T) {
 	s := newScheduler(server("a", "m"))
-	s.Offer(request(1, "m", 9000, 1))
+	s.Enqueue(request(1, "m", 9000, 1))
 	require.Equal(t, []uint64{1}, granted(s.Next(start)))
 }
 
 func TestHigherPriorityGoesFirst(t *testing.T) {
 	s := newScheduler(server("a", "m", "n"))
-	s.Offer(request(1, "m", 2000, 1))
+	s.Enqueue(request(1, "m", 2000, 1))
 	require.Len(t, s.Next(start), 1)
-	s.Offer(request(2, "m", 1500, 2))
-	s.Offer(request(3, "n", 1500, 0))
-	s.Offer(request(4, "m", 1500, 1))
+	s.Enqueue(request(2, "m", 1500, 2))
+	s.Enqueue(request(3, "n", 1500, 0))
+	s.Enqueue(request(4, "m", 1500, 1))
 	require.Empty(t, s.Next(start))
 	var order []uint64
 	for id := uint64(1); len(order) < 3; {
@@ -104,71 +104,71 @@
 	s := newScheduler(server("a", "m"))
 	arrived := func(id uint64, at time.Time) grant.Request {
 		r := request(id, "m", 2000, 1)
-		r.Since = at
+		r.ArrivedAt = at
 		return r
 	}
-	s.Offer(arrived(1, start))
+	s.Enqueue(arrived(1, start))
 	require.Equal(t, []uint64{1}, granted(s.Next(start)))
-	s.Offer(arrived(2, start.Add(10*time.Millisecond)))
-	s.Offer(arrived(3, start.Add(20*time.Millisecond)))
+	s.Enqueue(arrived(2, start.Add(10*time.Millisecond)))
+	s.Enqueue(arrived(3, start.Add(20*time.Millisecond)))
 	now := start.Add(50 * time.Millisecond)
-	s.Offer(arrived(4, start)) // the first request, offered again
+	s.Enqueue(arrived(4, start)) // the first request, offered again
 	s.Release(now, 1, balance.Succeeded)
 	require.Equal(t, []uint64{4}, granted(s.Next(now)))
 }
 
 func TestDueRequestsGoBeforeOnesThatCanWait(t *testing.T) {
 	s := newScheduler(server("a", "batch", "live"))
-	s.Offer(request(1, "live", 2000, 2))
+	s.Enqueue(request(1, "live", 2000, 2))
 	require.Len(t, s.Next(start), 1)
 	batch := request(2, "batch", 1500, 1)
-	batch.Target, batch.Expire = start.Add(2400*time.Millisecond), start.Add(9*time.Second)
-	s.Offer(batch)
-	s.Offer(request(3, "live", 1500, 2))
+	batch.TargetStart, batch.Deadline = start.Add(2400*time.Millisecond), start.Add(9*time.Second)
+	s.Enqueue(batch)
+	s.Enqueue(request(3, "live", 1500, 2))
 	s.Release(start, 1, balance.Succeeded)
 	require.Equal(t, []uint64{3}, granted(s.Next(start)), "lower priority, but due")
 
 	now := start.Add(1500 * time.Millisecond)
 	live := request(4, "live", 1500, 2)
-	live.Target, live.Expire = now.Add(400*time.Millisecond), now.Add(2*time.Second)
-	s.Offer(live)
+	live.TargetStart, live.Deadline = now.Add(400*time.Millisecond), now.Add(2*time.Second)
+	s.Enqueue(live)
 	s.Release(now, 3, balance.Succeeded)
 	require.Equal(t, []uint64{2}, granted(s.Next(now)), "due by now, and of higher priority")
 }
 
 func TestLateRequestsGoBehind(t *testing.T) {
 	s := newScheduler(server("a", "m"))
-	s.Offer(request(1, "m", 2000, 1))
+	s.Enqueue(request(1, "m", 2000, 1))
 	require.Len(t, s.Next(start), 1)
-	s.Offer(request(2, "m", 1500, 0))
+	s.Enqueue(request(2, "m", 1500, 0))
 	now := start.Add(500 * time.Millisecond)
 	require.Empty(t, s.Tick(now))
 	r := request(3, "m", 1500, 2)
-	r.Target = now.Add(time.Second)
-	s.Offer(r)
+	r.TargetStart = now.Add(time.Second)
+	s.Enqueue(r)
 	s.Release(now, 1, balance.Succeeded)
 	require.Equal(t, []uint64{3}, granted(s.Next(now)))
 }
 
 func TestExpiredRequestIsRefusedWithRetryDelay(t *testing.T) {
 	s := newScheduler(server("a", "other"))
-	s.Offer(request(1, "m", 100, 0))
+	s.Enqueue(request(1, "m", 100, 0))
 	require.Empty(t, s.Next(start))
-	require.Equal(t, map[grant.Item]int{{Service: "llm", Model: "m"}: 1}, s.Lacking())
+	require.Equal(t, map[grant.Item]int{{Service: "llm", Model: "m"}: 1}, s.WaitingByMissingItem())
 	s.Tick(start.Add(time.Second))
 	d := s.Tick(start.Add(3 * time.Second))
 	require.Len(t, d, 1)
 	require.False(t, d[0].Granted)
-	require.Equal(t, balance.NoModel, d[0].Why)
-	require.Positive(t, d[0].After)
+	require.Equal(t, balance.NoModel, d[0].Reason)
+	require.Positive(t, d[0].RetryAfter)
 	require.Zero(t, s.Waiting())
 }
 
 func TestReleaseWithdrawsRequest(t *testing.T) {
 	s := newScheduler(server("a", "m"))
-	s.Offer(request(1, "m", 2000, 0))
-	s.Offer(request(2, "m", 2000, 0))
-	s.Offer(request(3, "m", 2000, 0))
+	s.Enqueue(request(1, "m", 2000, 0))
+	s.Enqueue(request(2, "m", 2000, 0))
+	s.Enqueue(request(3, "m", 2000, 0))
 	require.Equal(t, []uint64{1}, granted(s.Next(start)))
 	s.Release(start, 2, balance.Abandoned)
 	s.Release(start, 1, balance.Abandoned)
@@ -203,8 +203,8 @@
 		if rng.Float64() < 0.6*4*rate/1200 {
 			id++
 			r := request(id, []string{"m", "n"}[rng.IntN(2)], 400+rng.IntN(1600), rng.IntN(3))
-			r.Target, r.Expire = now.Add(400*time.Millisecond), now.Add(2*time.Second)
-			s.Offer(r)
+			r.TargetStart, r.Deadline = now.Add(400*time.Millisecond), now.Add(2*time.Second)
+			s.Enqueue(r)
 			waits++
 		}
 		if step%50 == 0 {
@@ -212,13 +212,13 @@
 		}
 		for _, d := range s.Next(now) {
 			begin := now
-			if free[d.Choice.Server.ID].After(now) {
-				begin = free[d.Choice.Server.ID]
+			if free[d.Selection.Server.ID].After(now) {
+				begin = free[d.Selection.Server.ID]
 			}
 			worst = max(worst, begin.Sub(now))
 			tokens := 1200.0
 			ends := begin.Add(time.Duration(tokens / rate * float64(time.Millisecond)))
-			free[d.Choice.Server.ID] = ends
+			free[d.Selection.Server.ID] = ends
 			open = append(open, running{d.ID, ends})
 		}
 	}
@@ -232,12 +232,12 @@
 func TestRequestThatWillExpireIsRefusedEarly(t *testing.T) {
 	s := newScheduler(server("a", "m"))
 	at := start
-	s.Offer(request(1, "m", 2000, 1))
+	s.Enqueue(request(1, "m", 2000, 1))
 	require.Len(t, s.Next(at), 1)
 	for id := uint64(2); id <= 41; id++ {
 		r := request(id, "m", 2000, 1)
-		r.Target, r.Expire = at.Add(300*time.Millisecond), at.Add(2*time.Second)
-		s.Offer(r)
+		r.TargetStart, r.Deadline = at.Add(300*time.Millisecond), at.Add(2*time.Second)
+		s.Enqueue(r)
 	}
 	running, refused := uint64(1), 0
 	for step := range 16 { // steps of 100 ms
@@ -248,9 +248,9 @@
 		running = d[0]
 		for _, d := range s.Tick(at) {
 			refused++
-			require.Equal(t, balance.Busy, d.Why)
-			require.GreaterOrEqual(t, d.After, 400*time.Millisecond)
-			require.LessOrEqual(t, d.After, 4*time.Second)
+			require.Equal(t, balance.Busy, d.Reason)
+			require.GreaterOrEqual(t, d.RetryAfter, 400*time.Millisecond)
+			require.LessOrEqual(t, d.RetryAfter, 4*time.Second)
 			require.Less(t, step, 12, "refused well before the deadline")
 		}
 	}
@@ -284,9 +284,9 @@
 		if step%5 == 0 {
 			id++
 			r := request(id, "m", 2000, 1)
-			r.Target, r.Expire = now.Add(target), now.Add(2100*time.Millisecond)
+			r.TargetStart, r.Deadline = now.Add(target), now.Add(2100*time.Millisecond)
 			arrived[id] = now
-			s.Offer(r)
+			s.Enqueue(r)
 		}
 		if step%10 == 0 && running != 0 {
 			s.Release(now, running, balance.Succeeded)
@@ -296,10 +296,10 @@
 			for _, d := range s.Tick(now) {
 				refused++
 				totalWait += now.Sub(arrived[d.ID])
-				require.GreaterOrEqual(t, d.After, 300*time.Millisecond)
+				require.GreaterOrEqual(t, d.RetryAfter, 300*time.Millisecond)
 				if step > 600 {
-					require.GreaterOrEqual(t, d.After, 2500*time.Millisecond, "the overload has lasted for six seconds")
-					retryDelays[d.After] = true
+					require.GreaterOrEqual(t, d.RetryAfter, 2500*time.Millisecond, "the overload has lasted for six seconds")
+					retryDelays[d.RetryAfter] = true
 				}
 			}
 		}
@@ -326,7 +326,7 @@
 	next := uint64(0)
 	enqueue := func() {
 		next++
-		s.Offer(request(next, fmt.Sprint("m", min(rng.IntN(26), rng.IntN(26))), 1000, rng.IntN(3)))
+		s.Enqueue(request(next, fmt.Sprint("m", min(rng.IntN(26), rng.IntN(26))), 1000, rng.IntN(3)))
 		for _, d := range s.Next(start) {
 			running = append(running, d.ID)
 		}
@@ -359,8 +359,8 @@
 		enqueue := func(isSmall, overShare bool) {
 			id++
 			small[id] = isSmall
-			s.Offer(grant.Request{ID: id, Pick: balance.Request{Service: "llm", Model: "m", Tokens: 900}, Priority: 1, Greedy: overShare,
-				Since: now, Target: now.Add(400 * time.Millisecond), Expire: now.Add(2 * time.Second)})
+			s.Enqueue(grant.Request{ID: id, Pick: balance.Request{Service: "llm", Model: "m", Tokens: 900}, Priority: 1, OverShare: overShare,
+				ArrivedAt: now, TargetStart: now.Add(400 * time.Millisecond), Deadline: now.Add(2 * time.Second)})
 		}
 		for range 100 { // the engine reads two prompts per step
 			for range 9 {
--- a/core/grant/shed_test.go
+++ b/core/grant/shed_test.go
@@ -35,12 +35,12 @@
 		}
 		sent++
 		r := request(uint64(sent), "m", 900, 1)
-		r.Target, r.Expire = now.Add(400*time.Millisecond), now.Add(2*time.Second)
-		s.Offer(r)
+		r.TargetStart, r.Deadline = now.Add(400*time.Millisecond), now.Add(2*time.Second)
+		s.Enqueue(r)
 		for _, d := range s.Next(now) {
 			require.True(t, d.Granted)
 			result, duration := balance.Succeeded, 45*time.Millisecond // time to read the prompt
-			if d.Choice.Server.ID == "a" {
+			if d.Selection.Server.ID == "a" {
 				if atA++; atA%2 == 0 {
 					result, duration = balance.Full, 0
 					shed++
--- a/internal/front/places.go
+++ b/internal/front/places.go
@@ -31,7 +31,7 @@
 		by = actingEpoch(l)
 	}
 	d, grant, err := n.granter.Place(ctx, p, queued)
-	return hub.Placed{Granted: d.Granted, Granter: by, Server: d.Choice.Server.ID, Wait: d.Choice.Wait, Why: string(d.Why), After: d.After}, grant, err
+	return hub.Placed{Granted: d.Granted, Granter: by, Server: d.Selection.Server.ID, Wait: d.Selection.Wait, Why: string(d.Reason), After: d.RetryAfter}, grant, err
 }
 
 // place asks the holder of the lease for a place at an engine.
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -118,7 +118,7 @@
 		return
 	}
 	g.picture.Update(list)
-	g.schedule.Changed()
+	g.schedule.Invalidate()
 	g.decide()
 }
 
@@ -160,7 +160,7 @@
 		return
 	}
 	g.picture.SetResidency(time.Now(), n.Server, n.Model, n.Adapter, n.Held)
-	g.schedule.Changed()
+	g.schedule.Invalidate()
 	g.decide()
 }
 
@@ -172,7 +172,7 @@
 		return
 	}
 	if g.learnLimits(list) {
-		g.schedule.Changed()
+		g.schedule.Invalidate()
 	}
 	g.decide()
 }
@@ -221,14 +221,14 @@
 	}
 	if ok, after := g.ledger.Charge(now, p.Charge.Team, p.Charge.Cost); !ok {
 		g.mu.Unlock()
-		d := grant.Decision{Why: OverQuota, After: after}
+		d := grant.Decision{Reason: OverQuota, RetryAfter: after}
 		w.log(g.Log, d)
 		return d, &place{g, id}, nil
 	}
 	w.ahead = g.schedule.Waiting()
 	g.waiters[id] = w
-	g.schedule.Offer(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, Greedy: g.ledger.Greedy(now, p.Charge.Team), Since: now.Add(-p.Waited),
-		Target: now.Add(p.Target), Expire: now.Add(p.Expire)})
+	g.schedule.Enqueue(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, OverShare: g.ledger.Greedy(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
+		TargetStart: now.Add(p.Target), Deadline: now.Add(p.Expire)})
 	g.decide()
 	g.lacking()
 	reset := g.reset
@@ -254,11 +254,11 @@
 
 // log tells how a wait ended and by what.
 func (w waiter) log(log *zap.Logger, d grant.Decision) {
-	log.Info("place", zap.String("request-id", w.place.Request), zap.Bool("granted", d.Granted), zap.String("why", string(d.Why)),
-		zap.String("server", d.Choice.Server.ID), zap.String("model", w.place.Model), zap.String("adapter", w.place.Adapter),
+	log.Info("place", zap.String("request-id", w.place.Request), zap.Bool("granted", d.Granted), zap.String("why", string(d.Reason)),
+		zap.String("server", d.Selection.Server.ID), zap.String("model", w.place.Model), zap.String("adapter", w.place.Adapter),
 		zap.Int("priority", w.place.Priority), zap.Int("tokens", w.place.Tokens), zap.Int("ahead", w.ahead),
-		zap.Duration("estimate", d.Choice.Wait), zap.Duration("age", d.Choice.Age), zap.Duration("waited", time.Since(w.since)),
-		zap.Duration("come-back", d.After), zap.String("team", w.place.Charge.Team), zap.Float64("charge", w.place.Charge.Cost))
+		zap.Duration("estimate", d.Selection.Wait), zap.Duration("age", d.Selection.Age), zap.Duration("waited", time.Since(w.since)),
+		zap.Duration("come-back", d.RetryAfter), zap.String("team", w.place.Charge.Team), zap.Float64("charge", w.place.Charge.Cost))
 }
 
 // place is a grant.
@@ -279,7 +279,7 @@
 func (p *place) Begun() {
 	p.g.mu.Lock()
 	defer p.g.mu.Unlock()
-	p.g.schedule.Begun(time.Now(), p.id)
+	p.g.schedule.PrefillDone(time.Now(), p.id)
 	p.g.decide()
 }
 
@@ -303,7 +303,7 @@
 	for _, d := range list {
 		if w, ok := g.waiters[d.ID]; ok {
 			delete(g.waiters, d.ID)
-			if !d.Granted && d.Why == balance.Limited {
+			if !d.Granted && d.Reason == balance.Limited {
 				g.limited[w.place.Model] = time.Now()
 			}
 			w.decided <- d
@@ -330,7 +330,7 @@
 
 // lacking has the adapters loaded that requests wait for; g.mu is held.
 func (g *Granter) lacking() {
-	for i := range g.schedule.Lacking() {
+	for i := range g.schedule.WaitingByMissingItem() {
 		if i.Adapter != "" && !g.fetching[i] {
 			g.fetching[i] = true
 			go g.fetch(i)
@@ -351,7 +351,7 @@
 	delete(g.fetching, w)
 	if o.Found {
 		g.picture.SetResidency(time.Now(), o.Server, w.Model, w.Adapter, true)
-		g.schedule.Changed()
+		g.schedule.Invalidate()
 	}
 	g.decide()
 }
@@ -378,7 +378,7 @@
 	if g.schedule == nil {
 		return out
 	}
-	for i, n := range g.schedule.Lacking() {
+	for i, n := range g.schedule.WaitingByMissingItem() {
 		if i.Adapter == "" {
 			out[i.Model] += n
 		}
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -104,7 +104,7 @@
 	require.NoError(t, err)
 	defer release.Done(balance.Succeeded)
 	require.True(t, d.Granted)
-	require.Equal(t, "i-2", d.Choice.Server.ID)
+	require.Equal(t, "i-2", d.Selection.Server.ID)
 	require.Equal(t, []string{"i-1"}, (<-wants).Exclude)
 }
 
@@ -118,8 +118,8 @@
 	require.NoError(t, err)
 	defer release.Done(balance.Abandoned)
 	require.False(t, d.Granted)
-	require.Equal(t, balance.NoModel, d.Why)
-	require.Positive(t, d.After)
+	require.Equal(t, balance.NoModel, d.Reason)
+	require.Positive(t, d.RetryAfter)
 	require.Equal(t, map[string]int{"none": 1}, <-waiting)
 }
 
