--- a/core/leader/elector.go
+++ b/core/leader/elector.go
@@ -30,17 +30,17 @@
 		Key         string  `json:"key"`         // fingerprint of the leader's certificate
 		Epoch       int64   `json:"epoch"`
 		Cores       float64 `json:"cores"` // processor cores of the leader
-		Loads       int     `json:"loads"` // recent loads from the weight store as of the write
+		RecentLoads int     `json:"loads"` // recent loads from the weight store as of the write
 		// Late holds orders for loads from the weight store that an engine had not acknowledged
 		// when the row was written. The value is the number of orders that the engine must have
 		// accepted for such a load to still start.
-		Late map[string]int64 `json:"late,omitempty"`
+		UnackedOrders map[string]int64 `json:"late,omitempty"`
 		// Coming is the model that was being loaded on each engine when the row was written.
-		Coming map[string]string `json:"coming,omitempty"`
+		Loading map[string]string `json:"coming,omitempty"`
 	}
 
 	// Keeper tracks the lease for one node and decides when the node may take or renew it.
-	Keeper struct {
+	Elector struct {
 		Self Lease // lease that this node proposes; its Epoch is ignored
 		TTL  time.Duration
 
@@ -55,12 +55,12 @@
 
 // WithLoads returns the lease with the loads of another lease.
 func (l Lease) WithLoads(o Lease) Lease {
-	l.Loads, l.Late, l.Coming = o.Loads, o.Late, o.Coming
+	l.RecentLoads, l.UnackedOrders, l.Loading = o.RecentLoads, o.UnackedOrders, o.Loading
 	return l
 }
 
 // Observe records the row as read from the store. Version zero means that the row doesn't exist.
-func (e *Keeper) Observe(now time.Duration, l Lease, version int64) {
+func (e *Elector) Observe(now time.Duration, l Lease, version int64) {
 	if e.known && version <= e.version && version != 0 {
 		return
 	}
@@ -68,25 +68,25 @@
 		return
 	}
 	e.observed, e.version, e.observedAt, e.known = l, version, now, true
-	if !e.Mine() {
+	if !e.IsLeader() {
 		e.leaseEnd = 0
 	}
 }
 
 // Mine reports whether the last observed row names this process.
-func (e *Keeper) Mine() bool {
+func (e *Elector) IsLeader() bool {
 	return e.known && e.version != 0 && e.observed.Node == e.Self.Node && e.observed.Incarnation == e.Self.Incarnation
 }
 
 // Propose returns the lease to write and the version that the row must have. It also reports
 // whether it is time to write it, to renew this node's lease or to take one that has lapsed.
-func (e *Keeper) Propose(now time.Duration) (Lease, int64, bool) {
+func (e *Elector) Propose(now time.Duration) (Lease, int64, bool) {
 	if !e.known {
 		return Lease{}, 0, false
 	}
 	l := e.Self
 	l.Epoch = e.observed.Epoch
-	if e.Mine() {
+	if e.IsLeader() {
 		if e.observed.Epoch == e.fencedEpoch {
 			l.Epoch++
 			return l, e.version, true
@@ -101,7 +101,7 @@
 
 // takeoverWait returns how long the row must have been unchanged before this node may take the
 // lease.
-func (e *Keeper) takeoverWait() time.Duration {
+func (e *Elector) takeoverWait() time.Duration {
 	switch {
 	case e.version == 0:
 		return time.Duration(max(0, 1-e.Self.Cores) * float64(firstElectionWait))
@@ -118,35 +118,35 @@
 
 // Settled reports whether another node has taken or renewed the lease so recently that reading the
 // row again is pointless: at least half of the time to live remains.
-func (e *Keeper) Settled(now time.Duration) bool {
+func (e *Elector) RecentlyRenewed(now time.Duration) bool {
 	return e.known && e.version != 0 && e.observed.Node != "" && e.observed.Node != e.Self.Node && now-e.observedAt < e.TTL/2
 }
 
 // Won records that a proposal sent at a given time was written.
-func (e *Keeper) Won(sent time.Duration, l Lease, version int64) {
+func (e *Elector) Acquired(sent time.Duration, l Lease, version int64) {
 	e.observed, e.version, e.observedAt, e.known = l, version, sent, true
 	e.leaseEnd = sent + e.TTL
 }
 
 // Fenced records that an engine has seen a higher epoch than the given one.
-func (e *Keeper) Fenced(epoch int64) { e.fencedEpoch = max(e.fencedEpoch, epoch) }
+func (e *Elector) RecordFenced(epoch int64) { e.fencedEpoch = max(e.fencedEpoch, epoch) }
 
 // Epoch returns the epoch under which this node may send orders now, and whether it may send any.
-func (e *Keeper) Epoch(now time.Duration) (int64, bool) {
-	if !e.Mine() || e.observed.Epoch <= e.fencedEpoch {
+func (e *Elector) Epoch(now time.Duration) (int64, bool) {
+	if !e.IsLeader() || e.observed.Epoch <= e.fencedEpoch {
 		return 0, false
 	}
 	return e.observed.Epoch, now < e.leaseEnd-e.TTL/marginDivisor
 }
 
 // Leader returns the last observed lease, which may have lapsed.
-func (e *Keeper) Leader() (Lease, bool) { return e.observed, e.known && e.version != 0 }
+func (e *Elector) Leader() (Lease, bool) { return e.observed, e.known && e.version != 0 }
 
 // Version returns the last observed version of the row, zero if there is none.
-func (e *Keeper) Version() int64 { return e.version }
+func (e *Elector) Version() int64 { return e.version }
 
 // Release returns the version and the epoch of the row that a stopping leader writes so that other
 // nodes needn't wait. It returns false if this node isn't the leader.
-func (e *Keeper) Release() (version int64, epoch int64, ok bool) {
-	return e.version, e.observed.Epoch, e.Mine()
+func (e *Elector) Release() (version int64, epoch int64, ok bool) {
+	return e.version, e.observed.Epoch, e.IsLeader()
 }
--- a/core/leader/elector_test.go
+++ b/core/leader/elector_test.go
@@ -11,8 +11,8 @@
 
 const ttl = 3 * time.Second
 
-func newElector(node string) *leader.Keeper {
-	return &leader.Keeper{Self: leader.Lease{Node: node, Incarnation: "i", Cores: 1}, TTL: ttl}
+func newElector(node string) *leader.Elector {
+	return &leader.Elector{Self: leader.Lease{Node: node, Incarnation: "i", Cores: 1}, TTL: ttl}
 }
 
 func TestLeaseIsTakenOnlyAfterWait(t *testing.T) {
@@ -22,7 +22,7 @@
 	require.True(t, ok)
 	require.Zero(t, v)
 	require.EqualValues(t, 1, l.Epoch)
-	a.Won(0, l, 10)
+	a.Acquired(0, l, 10)
 
 	b.Observe(time.Second, l, 10)
 	_, _, ok = b.Propose(time.Second + ttl)
@@ -40,14 +40,14 @@
 	e := newElector("a")
 	e.Observe(0, leader.Lease{}, 0)
 	l, _, _ := e.Propose(0)
-	e.Won(0, l, 10)
+	e.Acquired(0, l, 10)
 	_, ok := e.Epoch(time.Second)
 	require.True(t, ok)
 	_, ok = e.Epoch(ttl)
 	require.False(t, ok, "the lease ends by a clock that ran on while the node was suspended")
 	_, _, due := e.Propose(ttl / 2)
 	require.True(t, due, "due after a third of the time to live")
-	e.Won(ttl/2, l, 11)
+	e.Acquired(ttl/2, l, 11)
 	_, ok = e.Epoch(ttl)
 	require.True(t, ok)
 }
@@ -56,11 +56,11 @@
 	e := newElector("a")
 	e.Observe(0, leader.Lease{}, 0)
 	l, _, _ := e.Propose(0)
-	e.Won(0, l, 10)
+	e.Acquired(0, l, 10)
 	e.Observe(time.Second, leader.Lease{Node: "b", Incarnation: "i", Epoch: 2}, 12)
 	_, ok := e.Epoch(time.Second)
 	require.False(t, ok)
-	require.False(t, e.Mine())
+	require.False(t, e.IsLeader())
 }
 
 func TestRenewalWithoutAnswerIsObserved(t *testing.T) {
@@ -68,7 +68,7 @@
 	e.Observe(0, leader.Lease{}, 0)
 	l, _, _ := e.Propose(0)
 	e.Observe(time.Second, l, 10) // read back: the write succeeded
-	require.True(t, e.Mine())
+	require.True(t, e.IsLeader())
 	_, ok := e.Epoch(time.Second)
 	require.False(t, ok, "the time of the write is unknown, so the lease has to be renewed first")
 	_, v, due := e.Propose(time.Second)
@@ -80,8 +80,8 @@
 	e := newElector("a")
 	e.Observe(0, leader.Lease{}, 0)
 	l, _, _ := e.Propose(0)
-	e.Won(0, l, 10)
-	e.Fenced(1)
+	e.Acquired(0, l, 10)
+	e.RecordFenced(1)
 	_, ok := e.Epoch(time.Second)
 	require.False(t, ok)
 	n, _, due := e.Propose(time.Second)
@@ -100,7 +100,7 @@
 func TestRestartedNodeTakesItsLeaseAtOnce(t *testing.T) {
 	e := newElector("a")
 	e.Observe(0, leader.Lease{Node: "a", Incarnation: "earlier", Epoch: 4}, 20)
-	require.False(t, e.Mine())
+	require.False(t, e.IsLeader())
 	l, v, ok := e.Propose(0)
 	require.True(t, ok)
 	require.EqualValues(t, 20, v)
@@ -110,7 +110,7 @@
 func TestLargerNodeTakesLeaseFirst(t *testing.T) {
 	small, large := newElector("small"), newElector("large")
 	small.Self.Cores = 0.19
-	for _, e := range []*leader.Keeper{small, large} {
+	for _, e := range []*leader.Elector{small, large} {
 		e.Observe(0, leader.Lease{}, 0)
 	}
 	_, _, ok := small.Propose(500 * time.Millisecond)
@@ -120,7 +120,7 @@
 	_, _, ok = small.Propose(800 * time.Millisecond)
 	require.True(t, ok, "it takes the lease if there is no larger node")
 
-	for _, e := range []*leader.Keeper{small, large} {
+	for _, e := range []*leader.Elector{small, large} {
 		e.Observe(time.Second, leader.Lease{Node: "b", Incarnation: "i", Epoch: 1, Cores: 0.8}, 10)
 	}
 	lapsed := time.Second + ttl + ttl/6
@@ -137,15 +137,15 @@
 // connection.
 func TestRecentlyRenewedLeaseNeedsNoRead(t *testing.T) {
 	other := leader.Lease{Node: "b", Incarnation: "2", Epoch: 1}
-	e := &leader.Keeper{Self: leader.Lease{Node: "a", Incarnation: "1"}, TTL: 3 * time.Second}
-	require.False(t, e.Settled(0), "no row has been observed")
+	e := &leader.Elector{Self: leader.Lease{Node: "a", Incarnation: "1"}, TTL: 3 * time.Second}
+	require.False(t, e.RecentlyRenewed(0), "no row has been observed")
 	e.Observe(time.Second, other, 5)
-	require.True(t, e.Settled(2*time.Second))
-	require.False(t, e.Settled(2500*time.Millisecond), "the lease may lapse soon")
+	require.True(t, e.RecentlyRenewed(2*time.Second))
+	require.False(t, e.RecentlyRenewed(2500*time.Millisecond), "the lease may lapse soon")
 	e.Observe(3*time.Second, other, 6)
-	require.True(t, e.Settled(4*time.Second))
+	require.True(t, e.RecentlyRenewed(4*time.Second))
 	e.Observe(4*time.Second, leader.Lease{Epoch: 1}, 7)
-	require.False(t, e.Settled(4*time.Second), "nobody holds the lease")
+	require.False(t, e.RecentlyRenewed(4*time.Second), "nobody holds the lease")
 	e.Observe(5*time.Second, leader.Lease{Node: "a", Incarnation: "0", Epoch: 1}, 8)
-	require.False(t, e.Settled(5*time.Second), "an earlier process of this node held the lease")
+	require.False(t, e.RecentlyRenewed(5*time.Second), "an earlier process of this node held the lease")
 }
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -166,7 +166,7 @@
 	engines := &clientCache{}
 	return &placer.Placer{
 		Store: n.store, Engines: &platform.Engines{Client: engines.get}, Hub: n.hub, Log: n.log, Clock: clock.Boot,
-		Keeper: &leader.Keeper{
+		Keeper: &leader.Elector{
 			Self: leader.Lease{Node: n.settings.Node, Incarnation: n.key.Fingerprint()[:16],
 				Address: n.settings.Peers, Key: n.key.Fingerprint(), Cores: n.settings.Cores},
 			TTL: time.Duration(n.settings.LeaseMS) * time.Millisecond,
--- a/internal/placer/lease.go
+++ b/internal/placer/lease.go
@@ -63,7 +63,7 @@
 	now := p.Clock()
 	before, _ := p.Keeper.Leader()
 	l, version, due := p.Keeper.Propose(now)
-	was := p.Keeper.Mine()
+	was := p.Keeper.IsLeader()
 	if was {
 		l = p.telling(l)
 	} else {
@@ -84,7 +84,7 @@
 		p.failedAt = p.Clock()
 		p.Log.Warn("lease-write-failed", zap.Int64("epoch", l.Epoch), zap.Int64("version", version), zap.Error(err))
 	case ok:
-		p.Keeper.Won(now, l, got)
+		p.Keeper.Acquired(now, l, got)
 		p.wonAt, p.failedAt = now, 0
 		if !was {
 			p.begin(l.Epoch, before)
@@ -163,7 +163,7 @@
 
 // observe takes in the row as the store has it; p.mu is held.
 func (p *Placer) observe(rows []platform.Row) {
-	was := p.Keeper.Mine()
+	was := p.Keeper.IsLeader()
 	if len(rows) == 0 {
 		p.Keeper.Observe(p.Clock(), leader.Lease{}, 0)
 	}
@@ -177,7 +177,7 @@
 		p.Keeper.Observe(p.Clock(), l, r.Version)
 	}
 	l, _ := p.Keeper.Leader()
-	switch mine := p.Keeper.Mine(); {
+	switch mine := p.Keeper.IsLeader(); {
 	case was && !mine:
 		p.Log.Warn("lease-lost", zap.String("holder", l.Node), zap.Int64("epoch", l.Epoch))
 	case mine && !was: // the answer to the write was lost
@@ -189,17 +189,17 @@
 // loads that the holder before told of: without them a new holder ordered second
 // copies of what was on its way for 8 s; p.mu is held.
 func (p *Placer) begin(epoch int64, before leader.Lease) {
-	p.Log.Info("lease-won", zap.Int64("epoch", epoch), zap.String("before", before.Node), zap.Int("loads", before.Loads),
-		zap.Int("late", len(before.Late)), zap.Int("coming", len(before.Coming)))
+	p.Log.Info("lease-won", zap.Int64("epoch", epoch), zap.String("before", before.Node), zap.Int("loads", before.RecentLoads),
+		zap.Int("late", len(before.UnackedOrders)), zap.Int("coming", len(before.Loading)))
 	p.engines = map[string]*engine{}
-	for id, model := range before.Coming {
+	for id, model := range before.Loading {
 		e := p.engine(id)
 		e.coming, e.since, e.inherited = model, time.Now(), true
 	}
 	p.prior = nil
 	p.tookOver = time.Now()
 	p.loads, p.loaded = p.noLoads(), false
-	p.loads.Inherit(p.tookOver, before.Loads, before.Late)
+	p.loads.Inherit(p.tookOver, before.RecentLoads, before.UnackedOrders)
 	p.silent = before.Node != ""
 	p.Began()
 }
@@ -207,8 +207,8 @@
 // telling returns a lease with the loads that the next holder has to know of; p.mu is
 // held.
 func (p *Placer) telling(l leader.Lease) leader.Lease {
-	l.Loads, l.Late = p.loads.Tell(time.Now())
-	l.Coming = p.coming()
+	l.RecentLoads, l.UnackedOrders = p.loads.Tell(time.Now())
+	l.Loading = p.coming()
 	return l
 }
 
@@ -257,7 +257,7 @@
 func (p *Placer) mine() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.Keeper.Mine()
+	return p.Keeper.IsLeader()
 }
 
 // Leader returns the holder's address and key as last known.
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -111,7 +111,7 @@
 	case v == platform.Already && o.Adapter != "" && !o.Load, v == platform.Conflict:
 		e.sequence = -1
 	case v == platform.Fenced:
-		p.Keeper.Fenced(epoch)
+		p.Keeper.RecordFenced(epoch)
 	}
 	return v, err
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -59,7 +59,7 @@
 		Store     Store
 		Engines   Engines
 		Hub       *hub.Hub
-		Keeper    *leader.Keeper
+		Keeper    *leader.Elector
 		Clock     func() time.Duration // never stands still
 		Log       *zap.Logger
 		Fencing   bool          // engines refuse orders with an old epoch
@@ -183,7 +183,7 @@
 func (p *Placer) reachable() bool {
 	p.mu.Lock()
 	l, known := p.Keeper.Leader()
-	settled := p.Keeper.Settled(p.Clock())
+	settled := p.Keeper.RecentlyRenewed(p.Clock())
 	p.mu.Unlock()
 	free := known && l.Node == ""
 	return !free && (settled || p.Reachable())
--- a/internal/placer/rig_test.go
+++ b/internal/placer/rig_test.go
@@ -40,7 +40,7 @@
 		Store:   &platform.Store{Client: &jsonhttp.Client{Address: s.Address()}},
 		Engines: &platform.Engines{Client: func(a string) *jsonhttp.Client { return &jsonhttp.Client{Address: a} }},
 		Hub:     &hub.Hub{}, Log: zap.NewNop(), Fencing: true, Window: 5 * time.Second, Reachable: reachable,
-		Keeper: &leader.Keeper{Self: leader.Lease{Node: node, Incarnation: node, Key: node, Cores: 1}, TTL: ttl},
+		Keeper: &leader.Elector{Self: leader.Lease{Node: node, Incarnation: node, Key: node, Cores: 1}, TTL: ttl},
 		Clock:  func() time.Duration { return time.Since(began) + time.Hour },
 		Ordered: func(v string) {
 			h.mu.Lock()
--- a/internal/placer/sim_world_test.go
+++ b/internal/placer/sim_world_test.go
@@ -171,7 +171,7 @@
 	n.Placer = &placer.Placer{
 		Store: n, Engines: engines, Hub: &hub.Hub{Self: n.name}, Log: zap.NewNop(), Fencing: true, Window: simWindow,
 		Reachable: n.reachable,
-		Keeper:    &leader.Keeper{Self: leader.Lease{Node: n.name, Incarnation: n.name, Key: n.name, Cores: 1}, TTL: simTTL},
+		Keeper:    &leader.Elector{Self: leader.Lease{Node: n.name, Incarnation: n.name, Key: n.name, Cores: 1}, TTL: simTTL},
 		Clock:     func() time.Duration { return time.Since(w.origin) + time.Hour },
 		Ordered:   func(string) {}, Began: func() { w.event("lease", n.name) }, Lacking: n.lacking, Noted: func(hub.Note) {},
 	}
