--- a/core/deputy/selector.go
+++ b/core/deputy/selector.go
@@ -9,7 +9,7 @@
 
 // Fresh is the maximum time since the store last answered a deputy. The deputy follows the store
 // with a wait of 0.6 s, and reports at least every 0.8 s.
-const Fresh = 2 * time.Second
+const MaxStoreAge = 2 * time.Second
 
 type (
 	// Candidate is a node that may become the deputy.
@@ -20,7 +20,7 @@
 	}
 
 	// Chooser selects the deputy. The zero value has selected none.
-	Chooser struct {
+	Selector struct {
 		node       string
 		selectedAt time.Time // when the deputy was selected
 		selections int
@@ -28,13 +28,13 @@
 )
 
 // Choose returns the deputy, or the empty string if there never was a candidate.
-func (c *Chooser) Choose(now time.Time, list []Candidate) string {
+func (c *Selector) Select(now time.Time, list []Candidate) string {
 	var recent, others []Candidate
 	for _, k := range capable(list) {
 		switch {
-		case k.Node == c.node && (k.Age <= Fresh || now.Sub(c.selectedAt) <= Fresh):
+		case k.Node == c.node && (k.Age <= MaxStoreAge || now.Sub(c.selectedAt) <= MaxStoreAge):
 			return c.node
-		case k.Age <= Fresh:
+		case k.Age <= MaxStoreAge:
 			recent = append(recent, k)
 		case k.Node != c.node:
 			others = append(others, k)
--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -144,7 +144,7 @@
 		Granted func(server string) bool
 
 		mu     sync.Mutex
-		deputy deputy.Chooser
+		deputy deputy.Selector
 		chosen string // the deputy
 		tidied time.Time
 		nodes  map[string]entry
@@ -282,7 +282,7 @@
 			list = append(list, deputy.Candidate{Node: name, Age: e.report.Contact + now.Sub(e.at), Cores: e.report.At.Cores})
 		}
 	}
-	h.chosen = h.deputy.Choose(now, list)
+	h.chosen = h.deputy.Select(now, list)
 }
 
 // Note adds a note that all nodes are told for a while.
