--- a/core/departure/set.go
+++ b/core/departure/set.go
@@ -24,7 +24,7 @@
 )
 
 // Of returns the incarnation of a server.
-func Of(s fleet.Server) Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
+func IncarnationOf(s fleet.Server) Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
 
 // Add adds incarnations that leave. It reports whether any of them is new.
 func (s *Set) Add(list ...Incarnation) bool {
@@ -48,10 +48,10 @@
 }
 
 // Apply returns the servers with Leaving set for those in the set. The list itself isn't modified.
-func (s *Set) Apply(list []fleet.Server) []fleet.Server {
+func (s *Set) MarkLeaving(list []fleet.Server) []fleet.Server {
 	out := list
 	for i, v := range list {
-		if v.Leaving || !s.leaving[Of(v)] {
+		if v.Leaving || !s.leaving[IncarnationOf(v)] {
 			continue
 		}
 		if &out[0] == &list[0] {
@@ -64,11 +64,11 @@
 
 // Among returns those of the servers that have announced that they leave although their store
 // entries don't show it.
-func (s *Set) Among(list []fleet.Server) []Incarnation {
+func (s *Set) Undeclared(list []fleet.Server) []Incarnation {
 	var out []Incarnation
 	for _, v := range list {
-		if !v.Leaving && s.leaving[Of(v)] {
-			out = append(out, Of(v))
+		if !v.Leaving && s.leaving[IncarnationOf(v)] {
+			out = append(out, IncarnationOf(v))
 		}
 	}
 	return out
--- a/core/departure/set_test.go
+++ b/core/departure/set_test.go
@@ -13,18 +13,18 @@
 func TestAnnouncementOverridesList(t *testing.T) {
 	var s departure.Set
 	list := []fleet.Server{{ID: "a", Born: 1}, {ID: "b", Born: 1}, {ID: "c", Leaving: true}}
-	require.Empty(t, s.Among(list))
-	require.Equal(t, list, s.Apply(list))
+	require.Empty(t, s.Undeclared(list))
+	require.Equal(t, list, s.MarkLeaving(list))
 	require.True(t, s.Add(departure.Incarnation{ID: "b", Born: 1}))
 	require.False(t, s.Add(departure.Incarnation{ID: "b", Born: 1}))
-	got := s.Apply(list)
+	got := s.MarkLeaving(list)
 	require.False(t, got[0].Leaving)
 	require.True(t, got[1].Leaving)
 	require.True(t, got[2].Leaving)
 	require.False(t, list[1].Leaving, "the list itself isn't modified")
-	require.Equal(t, []departure.Incarnation{{ID: "b", Born: 1}}, s.Among(list))
-	require.False(t, s.Apply([]fleet.Server{{ID: "b", Born: 2}})[0].Leaving, "the server has restarted")
-	require.Empty(t, s.Apply(nil))
+	require.Equal(t, []departure.Incarnation{{ID: "b", Born: 1}}, s.Undeclared(list))
+	require.False(t, s.MarkLeaving([]fleet.Server{{ID: "b", Born: 2}})[0].Leaving, "the server has restarted")
+	require.Empty(t, s.MarkLeaving(nil))
 }
 
 func TestOldestIncarnationsAreForgotten(t *testing.T) {
@@ -32,6 +32,6 @@
 	for i := range 5000 {
 		s.Add(departure.Incarnation{ID: fmt.Sprint(i)})
 	}
-	require.False(t, s.Apply([]fleet.Server{{ID: "0"}})[0].Leaving)
-	require.True(t, s.Apply([]fleet.Server{{ID: "4999"}})[0].Leaving)
+	require.False(t, s.MarkLeaving([]fleet.Server{{ID: "0"}})[0].Leaving)
+	require.True(t, s.MarkLeaving([]fleet.Server{{ID: "4999"}})[0].Leaving)
 }
--- a/internal/front/servers.go
+++ b/internal/front/servers.go
@@ -40,7 +40,7 @@
 func (n *Node) departing() []departure.Incarnation {
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
-	return n.servers.departed.Among(n.servers.list)
+	return n.servers.departed.Undeclared(n.servers.list)
 }
 
 // setServers gives the list to all that use it; n.servers.mu is held.
@@ -48,7 +48,7 @@
 	if !n.servers.read {
 		return
 	}
-	list := n.servers.departed.Apply(n.servers.list)
+	list := n.servers.departed.MarkLeaving(n.servers.list)
 	n.gateway.SetServers(list)
 	n.placer.Servers(list)
 	n.granter.Servers(list)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -143,7 +143,7 @@
 // learnNeeds takes in whether the answer says that its server leaves or wants rest.
 func (t *try) learnNeeds() {
 	s := t.choice.Server
-	if t.answer.Leaving && t.g.OnDeparture != nil && t.g.OnDeparture(departure.Of(s)) {
+	if t.answer.Leaving && t.g.OnDeparture != nil && t.g.OnDeparture(departure.IncarnationOf(s)) {
 		t.g.Log.Info("server-departs", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.String("rule", t.rule))
 	}
 	if t.answer.Rest > 0 {
