--- a/core/balance/backoff_test.go
+++ b/core/balance/backoff_test.go
@@ -36,7 +36,7 @@
 // loses its entry, and adds it again.
 func TestBackoffAndLimitSurviveLostEntry(t *testing.T) {
 	a := engine("a", false)
-	a.Born = 1
+	a.StartedAtMS = 1
 	p := newPicker(a)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 500}
 	p.BackOff("a", now.Add(time.Second))
@@ -51,7 +51,7 @@
 	require.Empty(t, p.LocalCounts(0))
 
 	p.Update(nil)
-	a.Born = 2
+	a.StartedAtMS = 2
 	p.Update([]fleet.Server{a})
 	require.Empty(t, p.InBackoff(now, "llm"), "the server has restarted")
 	require.Empty(t, p.KnownLimits(now))
--- a/core/balance/picker.go
+++ b/core/balance/picker.go
@@ -103,7 +103,7 @@
 		if s == nil {
 			s = p.takeRemoved(f.ID)
 		}
-		if s == nil || s.Born != f.Born {
+		if s == nil || s.StartedAtMS != f.StartedAtMS {
 			s = &server{slowness: 1, granted: map[int64]int{}, residency: map[resident]residencyUpdate{}, segments: map[string]time.Time{},
 				throttle: throttle.New(p.rng.Float64())}
 		}
@@ -157,7 +157,7 @@
 		if s == nil {
 			return
 		}
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			if !yield(h.Model) {
 				return
 			}
--- a/core/balance/picker_test.go
+++ b/core/balance/picker_test.go
@@ -21,7 +21,7 @@
 
 func engine(id string, leaving bool, adapters ...string) fleet.Server {
 	return fleet.Server{ID: id, Service: "llm", Zone: "z", Slots: 64, Leaving: leaving,
-		Held: []fleet.Held{{Model: "m", Adapters: adapters}}}
+		Resident: []fleet.ResidentModel{{Model: "m", Adapters: adapters}}}
 }
 
 func TestPickReportsReason(t *testing.T) {
@@ -112,7 +112,7 @@
 // times as fast.
 func TestRelativePrefillTimeIsLearned(t *testing.T) {
 	s := engine("a", false)
-	s.Held = append(s.Held, fleet.Held{Model: "fast"})
+	s.Resident = append(s.Resident, fleet.ResidentModel{Model: "fast"})
 	p := newPicker(s)
 	at := now
 	for range 60 {
@@ -131,7 +131,7 @@
 func TestCountsByGranter(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p := balance.New(rand.New(rand.NewPCG(1, 2)))
-	p.Update([]fleet.Server{{ID: "a", Service: "llm", Slots: 8, Held: []fleet.Held{{Model: "m"}}}})
+	p.Update([]fleet.Server{{ID: "a", Service: "llm", Slots: 8, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
 	var tickets []*balance.Ticket
 	for _, granter := range []int64{0, 6, 7, 7} {
@@ -155,14 +155,14 @@
 // new counts when they end.
 func TestRestartedServerIsNew(t *testing.T) {
 	first := engine("a", false)
-	first.Born = 1000
+	first.StartedAtMS = 1000
 	p := newPicker(first)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 100}
 	running, failed := p.RecordSent(now, "a", r), p.RecordSent(now, "a", r)
 	p.RecordDone(now, failed, balance.ConnFailed)
 	p.SetResidency(now, "a", "m", "", false)
 	again := engine("a", false)
-	again.Born = 2000
+	again.StartedAtMS = 2000
 	p.Update([]fleet.Server{again, engine("b", false)})
 	require.True(t, p.Holds(now, "a", "m", ""))
 	require.Empty(t, p.LocalCounts(0))
--- a/core/departure/set.go
+++ b/core/departure/set.go
@@ -24,7 +24,7 @@
 )
 
 // Of returns the incarnation of a server.
-func IncarnationOf(s fleet.Server) Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
+func IncarnationOf(s fleet.Server) Incarnation { return Incarnation{ID: s.ID, Born: s.StartedAtMS} }
 
 // Add adds incarnations that leave. It reports whether any of them is new.
 func (s *Set) Add(list ...Incarnation) bool {
--- a/core/departure/set_test.go
+++ b/core/departure/set_test.go
@@ -12,7 +12,7 @@
 
 func TestAnnouncementOverridesList(t *testing.T) {
 	var s departure.Set
-	list := []fleet.Server{{ID: "a", Born: 1}, {ID: "b", Born: 1}, {ID: "c", Leaving: true}}
+	list := []fleet.Server{{ID: "a", StartedAtMS: 1}, {ID: "b", StartedAtMS: 1}, {ID: "c", Leaving: true}}
 	require.Empty(t, s.Undeclared(list))
 	require.Equal(t, list, s.MarkLeaving(list))
 	require.True(t, s.Add(departure.Incarnation{ID: "b", Born: 1}))
@@ -23,7 +23,7 @@
 	require.True(t, got[2].Leaving)
 	require.False(t, list[1].Leaving, "the list itself isn't modified")
 	require.Equal(t, []departure.Incarnation{{ID: "b", Born: 1}}, s.Undeclared(list))
-	require.False(t, s.MarkLeaving([]fleet.Server{{ID: "b", Born: 2}})[0].Leaving, "the server has restarted")
+	require.False(t, s.MarkLeaving([]fleet.Server{{ID: "b", StartedAtMS: 2}})[0].Leaving, "the server has restarted")
 	require.Empty(t, s.MarkLeaving(nil))
 }
 
--- a/core/fleet/config.go
+++ b/core/fleet/config.go
@@ -30,18 +30,18 @@
 	// Route specifies where the requests for a host and path prefix are sent, and
 	// how they are handled.
 	Route struct {
-		Name        string
-		Host        string
-		Prefix      string // starts and ends with a slash
-		Kind        Kind
-		Resumable   bool          // a stream may continue on another server after its last event
-		Timeout     time.Duration // maximum time until the response is complete, zero for no limit
-		Target      time.Duration // target time to the response, or to the first event of a stream, for full credit
-		Gap         time.Duration // maximum interval between events of a stream that is on time
-		Priority    int           // 0 is the most urgent
-		MaxAttempts int           // maximum number of backend servers that may run one attempt of the client
-		Public      bool          // requests need no API key
-		Splits      []Split       // at least one
+		Name          string
+		Host          string
+		Prefix        string // starts and ends with a slash
+		Kind          Kind
+		Resumable     bool          // a stream may continue on another server after its last event
+		Timeout       time.Duration // maximum time until the response is complete, zero for no limit
+		TargetLatency time.Duration // target time to the response, or to the first event of a stream, for full credit
+		MaxEventGap   time.Duration // maximum interval between events of a stream that is on time
+		Priority      int           // 0 is the most urgent
+		MaxAttempts   int           // maximum number of backend servers that may run one attempt of the client
+		Public        bool          // requests need no API key
+		Splits        []Split       // at least one
 	}
 
 	// Model is a model as declared by the operator.
--- a/core/fleet/server.go
+++ b/core/fleet/server.go
@@ -4,7 +4,7 @@
 
 type (
 	// Held is a model in the memory of a model engine, with its loaded adapters.
-	Held struct {
+	ResidentModel struct {
 		Model    string
 		Version  int64
 		Adapters []string
@@ -14,24 +14,24 @@
 	// itself. A server may restart under the same id; Born distinguishes the
 	// incarnations.
 	Server struct {
-		ID       string
-		Born     int64 // start time in Unix milliseconds, 0 if the server doesn't report it
-		Service  string
-		Address  string // IP:port, which another server may use after this one has stopped
-		Zone     string // data centre
-		Slots    int
-		Leaving  bool
-		Held     []Held
-		OnDisk   []string // models that can be loaded from disk, without the weight store
-		InMemory []string // models that can be loaded from host memory, which is faster than from disk
-		Version  int64    // version of this entry; a higher one is newer
+		ID          string
+		StartedAtMS int64 // start time in Unix milliseconds, 0 if the server doesn't report it
+		Service     string
+		Address     string // IP:port, which another server may use after this one has stopped
+		Zone        string // data centre
+		Slots       int
+		Leaving     bool
+		Resident    []ResidentModel
+		OnDisk      []string // models that can be loaded from disk, without the weight store
+		InMemory    []string // models that can be loaded from host memory, which is faster than from disk
+		Version     int64    // version of this entry; a higher one is newer
 	}
 )
 
 // Holds reports whether the server has the model in memory and, unless adapter is
 // empty, also that adapter of the model.
 func (s Server) Holds(model, adapter string) bool {
-	for _, h := range s.Held {
+	for _, h := range s.Resident {
 		if h.Model == model {
 			return adapter == "" || slices.Contains(h.Adapters, adapter)
 		}
--- a/core/fleet/team.go
+++ b/core/fleet/team.go
@@ -10,7 +10,7 @@
 
 const (
 	// UrgencyLeast is the rank of the least urgent requests.
-	UrgencyLeast = 9
+	LowestUrgency = 9
 	// maxRevokedKeys bounds the revoked keys that a configuration retains.
 	maxRevokedKeys = 4096
 )
@@ -22,10 +22,10 @@
 		Rate  float64 // units per second
 		Burst float64 // size of the bucket, in units
 		// Tokens specifies that the unit is a token of a model instead of a request.
-		Tokens bool
+		CountTokens bool
 		// Plain is the number of tokens charged for a request that doesn't specify
 		// its token count.
-		Plain int
+		DefaultTokens int
 	}
 
 	// Team is a group of callers with their own API keys.
@@ -48,7 +48,7 @@
 	}
 
 	// Member is a team and the digests of its keys.
-	Member struct {
+	TeamKeys struct {
 		Team
 		Keys []apikey.Digest
 	}
@@ -58,10 +58,10 @@
 // specifies whether the token counts of the request are known.
 func (q Quota) Cost(prompt, output int, counted bool) float64 {
 	switch {
-	case !q.Tokens:
+	case !q.CountTokens:
 		return 1
 	case !counted:
-		return float64(q.Plain)
+		return float64(q.DefaultTokens)
 	default:
 		return float64(prompt) + float64(output)
 	}
@@ -69,7 +69,7 @@
 
 // WithTeams returns a configuration in which only the given teams may call routes
 // that aren't public.
-func (c *Config) WithTeams(members []Member) *Config {
+func (c *Config) WithTeams(members []TeamKeys) *Config {
 	d := *c
 	a := access{required: true, digests: map[apikey.Digest]bool{}}
 	for _, m := range members {
@@ -132,7 +132,7 @@
 		return r.Priority
 	}
 	rank, _ := slices.BinarySearch(c.access.priorities, priorityKey(r, t))
-	return min(rank, UrgencyLeast)
+	return min(rank, LowestUrgency)
 }
 
 // priorityKeys returns the distinct priority keys of all pairs of a team and a
--- a/core/fleet/team_test.go
+++ b/core/fleet/team_test.go
@@ -12,7 +12,7 @@
 func TestTeamPriorityPrecedesRoutePriority(t *testing.T) {
 	urgent, batch := fleet.Route{Name: "a", Host: "h", Prefix: "/a/"}, fleet.Route{Name: "b", Host: "h", Prefix: "/b/", Priority: 2}
 	first, second := fleet.Team{Name: "first", Priority: 0}, fleet.Team{Name: "second", Priority: 1}
-	c := fleet.NewConfig(1, []fleet.Route{urgent, batch}, nil, fleet.Limits{}).WithTeams([]fleet.Member{{Team: first}, {Team: second}})
+	c := fleet.NewConfig(1, []fleet.Route{urgent, batch}, nil, fleet.Limits{}).WithTeams([]fleet.TeamKeys{{Team: first}, {Team: second}})
 	require.Equal(t, 0, c.Urgency(urgent, first))
 	require.Equal(t, 1, c.Urgency(batch, first))
 	require.Equal(t, 2, c.Urgency(urgent, second))
@@ -22,11 +22,11 @@
 
 func TestRevokedKeysAreRetained(t *testing.T) {
 	configWithKeys := func(version int64, keys ...string) *fleet.Config {
-		m := fleet.Member{Team: fleet.Team{Name: "t"}}
+		m := fleet.TeamKeys{Team: fleet.Team{Name: "t"}}
 		for _, k := range keys {
 			m.Keys = append(m.Keys, apikey.Sum(k))
 		}
-		return fleet.NewConfig(version, nil, nil, fleet.Limits{}).WithTeams([]fleet.Member{m})
+		return fleet.NewConfig(version, nil, nil, fleet.Limits{}).WithTeams([]fleet.TeamKeys{m})
 	}
 	one := configWithKeys(1, "k1", "k2")
 	two := configWithKeys(2, "k2").WithRevokedSince(one)
@@ -43,7 +43,7 @@
 }
 
 func TestCostCountsTokensOrRequests(t *testing.T) {
-	q := fleet.Quota{Tokens: true, Plain: 200}
+	q := fleet.Quota{CountTokens: true, DefaultTokens: 200}
 	require.Equal(t, 1540.0, q.Cost(1460, 80, true))
 	require.Equal(t, 200.0, q.Cost(0, 0, false))
 	require.Equal(t, 1.0, fleet.Quota{}.Cost(1460, 80, true))
--- a/core/grant/growth_test.go
+++ b/core/grant/growth_test.go
@@ -21,7 +21,7 @@
 		s := server(fmt.Sprintf("s%03d", i))
 		s.Slots = 12
 		for j := range 3 {
-			s.Held = append(s.Held, fleet.Held{Model: fmt.Sprintf("m%d", (3*i+j)%models)})
+			s.Resident = append(s.Resident, fleet.ResidentModel{Model: fmt.Sprintf("m%d", (3*i+j)%models)})
 		}
 		list = append(list, s)
 	}
--- a/core/grant/scheduler_test.go
+++ b/core/grant/scheduler_test.go
@@ -18,7 +18,7 @@
 func server(id string, models ...string) fleet.Server {
 	s := fleet.Server{ID: id, Service: "llm", Slots: 64}
 	for _, m := range models {
-		s.Held = append(s.Held, fleet.Held{Model: m})
+		s.Resident = append(s.Resident, fleet.ResidentModel{Model: m})
 	}
 	return s
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -14,7 +14,7 @@
 var (
 	start     = time.Unix(1000, 0)
 	tolerance = quota.Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 11000}
-	desk      = fleet.Team{Name: "desk", Quota: fleet.Quota{Rate: 1000, Burst: 1000, Tokens: true, Plain: 200}}
+	desk      = fleet.Team{Name: "desk", Quota: fleet.Quota{Rate: 1000, Burst: 1000, CountTokens: true, DefaultTokens: 200}}
 )
 
 func newLedger() *quota.Ledger {
--- a/core/residency/eviction.go
+++ b/core/residency/eviction.go
@@ -31,7 +31,7 @@
 		if source == fromStore && p.reservedFromStore >= max(1, p.in.Stores) {
 			continue
 		}
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			v := p.evictionCandidate(s, h.Model, maxVictimLoad)
 			if !v.worthwhile && (v.last || !required) || v.last && !p.mayGiveUpLastCopy(s, model) {
 				continue
--- a/core/residency/load_test.go
+++ b/core/residency/load_test.go
@@ -69,7 +69,7 @@
 		i := slices.IndexFunc(w.servers, func(s residency.Server) bool { return s.ID == m.Server.ID })
 		s := &w.servers[i]
 		if m.Load {
-			s.Held = append(slices.Clone(s.Held), fleet.Held{Model: m.Model})
+			s.Resident = append(slices.Clone(s.Resident), fleet.ResidentModel{Model: m.Model})
 			if s.Kept == m.Model {
 				s.Kept = ""
 			}
@@ -78,7 +78,7 @@
 		if m.Why == residency.Spread {
 			s.Kept = m.For
 		}
-		s.Held = slices.DeleteFunc(slices.Clone(s.Held), func(h fleet.Held) bool { return h.Model == m.Model })
+		s.Resident = slices.DeleteFunc(slices.Clone(s.Resident), func(h fleet.ResidentModel) bool { return h.Model == m.Model })
 	}
 	w.moves += len(plan)
 	return len(plan)
@@ -149,7 +149,7 @@
 		w.setDemand(9, 40)
 		runUntilStable("other models", 99.5)
 		for i := range 20 {
-			w.servers[i].Held = nil
+			w.servers[i].Resident = nil
 		}
 		runUntilStable("a third lost", 99)
 	}
--- a/core/residency/overcommit_test.go
+++ b/core/residency/overcommit_test.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		if s.Coming != "" {
-			s.Held = append(s.Held, server("", s.Coming).Held...)
+			s.Resident = append(s.Resident, server("", s.Coming).Resident...)
 		}
 		s.Coming, s.Going = "", ""
 	}
@@ -96,13 +96,13 @@
 		}
 		w.doneAt[i] = w.now
 		s.Going, s.Kept, s.KeptWhy, s.Victim = m.Model, m.For, m.Why, m.Model
-		held := s.Held[:0:0]
-		for _, h := range s.Held {
+		held := s.Resident[:0:0]
+		for _, h := range s.Resident {
 			if h.Model != m.Model {
 				held = append(held, h)
 			}
 		}
-		s.Held = held
+		s.Resident = held
 	}
 }
 
--- a/core/residency/plan.go
+++ b/core/residency/plan.go
@@ -118,7 +118,7 @@
 		if s.Coming != "" || s.Going != "" {
 			p.moving++
 		}
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			if h.Model != s.Going && !s.Leaving {
 				p.copies[h.Model]++
 				p.serving[h.Model]++
@@ -177,7 +177,7 @@
 func (p *planner) dropUndeclared() {
 	for i := range p.in.Servers {
 		s := &p.in.Servers[i]
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			if _, ok := p.in.Engine.Models[h.Model]; !ok && p.idle(s) {
 				p.unload(s, h.Model, Undeclared, "")
 			}
@@ -296,7 +296,7 @@
 // serverLoad returns the load of a server: the sum over its models of load per copy.
 func (p *planner) serverLoad(s *Server) float64 {
 	l := 0.0
-	for _, h := range s.Held {
+	for _, h := range s.Resident {
 		l += p.in.Load[h.Model] / float64(max(1, p.copies[h.Model]))
 	}
 	return l
@@ -367,7 +367,7 @@
 // adapters can use.
 func (p *planner) freeMemory(s *Server) float64 {
 	freeMemory := p.in.Engine.WeightsMB
-	for _, h := range s.Held {
+	for _, h := range s.Resident {
 		freeMemory -= p.sizes.Of(h.Model)
 	}
 	if s.Coming != "" {
--- a/core/residency/plan_test.go
+++ b/core/residency/plan_test.go
@@ -22,7 +22,7 @@
 func server(id string, models ...string) residency.Server {
 	s := residency.Server{Server: fleet.Server{ID: id}}
 	for _, m := range models {
-		s.Held = append(s.Held, fleet.Held{Model: m})
+		s.Resident = append(s.Resident, fleet.ResidentModel{Model: m})
 	}
 	return s
 }
@@ -49,7 +49,7 @@
 			disk, idle = &b, &a
 		}
 		disk.OnDisk = []string{"m0"}
-		load := map[string]float64{disk.Held[0].Model: 20, idle.Held[0].Model: 1}
+		load := map[string]float64{disk.Resident[0].Model: 20, idle.Resident[0].Model: 1}
 		moves := residency.Plan(residency.Input{Engine: engine(3), Stores: 5, Load: load,
 			Servers: []residency.Server{a, b}, Waiting: map[string]int{"m0": 3}})
 		require.NotEmpty(t, moves)
@@ -126,17 +126,17 @@
 					continue
 				}
 				if m.Load {
-					require.Less(t, len(s.Held), 3)
-					s.Held = append(s.Held, fleet.Held{Model: m.Model})
+					require.Less(t, len(s.Resident), 3)
+					s.Resident = append(s.Resident, fleet.ResidentModel{Model: m.Model})
 					continue
 				}
-				var kept []fleet.Held
-				for _, h := range s.Held {
+				var kept []fleet.ResidentModel
+				for _, h := range s.Resident {
 					if h.Model != m.Model {
 						kept = append(kept, h)
 					}
 				}
-				s.Held = kept
+				s.Resident = kept
 			}
 		}
 		for i := range in.Servers {
@@ -145,7 +145,7 @@
 	}
 	copies := map[string]int{}
 	for _, s := range in.Servers {
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			copies[h.Model]++
 		}
 	}
--- a/core/residency/reservation_test.go
+++ b/core/residency/reservation_test.go
@@ -56,12 +56,12 @@
 // finish completes the order of a server.
 func (c *engineSimulation) finish(s *residency.Server) {
 	if s.Coming != "" {
-		s.Held = append(slices.Clone(s.Held), fleet.Held{Model: s.Coming})
+		s.Resident = append(slices.Clone(s.Resident), fleet.ResidentModel{Model: s.Coming})
 		s.Kept, s.KeptWhy = "", ""
 	}
 	if s.Going != "" {
 		s.InMemory = append(slices.Clone(s.InMemory), s.Going)
-		s.Held = slices.DeleteFunc(slices.Clone(s.Held), func(h fleet.Held) bool { return h.Model == s.Going })
+		s.Resident = slices.DeleteFunc(slices.Clone(s.Resident), func(h fleet.ResidentModel) bool { return h.Model == s.Going })
 	}
 	s.Coming, s.Going = "", ""
 }
--- a/core/residency/slots.go
+++ b/core/residency/slots.go
@@ -44,7 +44,7 @@
 func Prior(e fleet.Engine, servers []fleet.Server) map[string]float64 {
 	copies := map[string]int{}
 	for _, s := range servers {
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			copies[h.Model]++
 		}
 	}
--- a/core/residency/spread.go
+++ b/core/residency/spread.go
@@ -82,7 +82,7 @@
 func (p *planner) modelToMove(from, to *Server) (string, bool) {
 	var model string
 	maxLoad := minLoadPerCopy
-	for _, h := range from.Held {
+	for _, h := range from.Resident {
 		n := p.copies[h.Model]
 		if n < 2 || p.serving[h.Model] < 2 || to.Holds(h.Model, "") {
 			continue
@@ -99,7 +99,7 @@
 // second does not.
 func (p *planner) leastLoadedModel(of, without *Server) (string, bool) {
 	var model string
-	for _, h := range of.Held {
+	for _, h := range of.Resident {
 		if without.Holds(h.Model, "") {
 			continue
 		}
--- a/core/residency/stuck.go
+++ b/core/residency/stuck.go
@@ -33,7 +33,7 @@
 // onlyLastCopiesExcept reports whether all copies on a server, except that of the given
 // model, are last copies.
 func (p *planner) onlyLastCopiesExcept(s *Server, model string) bool {
-	for _, h := range s.Held {
+	for _, h := range s.Resident {
 		if h.Model != model && !p.isLastCopy(h.Model) {
 			return false
 		}
--- a/core/residency/stuck_test.go
+++ b/core/residency/stuck_test.go
@@ -13,14 +13,14 @@
 func (w *planSimulation) stuckEngines() int {
 	copies := map[string]int{}
 	for _, s := range w.servers {
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			copies[h.Model]++
 		}
 	}
 	n := 0
 	for _, s := range w.servers {
 		last := 0
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			if copies[h.Model] == 1 {
 				last++
 			}
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -30,12 +30,12 @@
 func keyed(version int64, q fleet.Quota, keys ...string) *fleet.Config {
 	all := append([]fleet.Route{{Name: "public", Host: "h.example", Prefix: "/public/", Kind: fleet.Safe, MaxAttempts: 1, Public: true,
 		Timeout: 2 * time.Second, Splits: []fleet.Split{{Service: "plain", Weight: 1}}}}, routes...)
-	m := fleet.Member{Team: fleet.Team{Name: "desk", Priority: 1, Quota: q}}
+	m := fleet.TeamKeys{Team: fleet.Team{Name: "desk", Priority: 1, Quota: q}}
 	for _, k := range keys {
 		m.Keys = append(m.Keys, apikey.Sum(k))
 	}
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}
-	return fleet.NewConfig(version, all, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}).WithTeams([]fleet.Member{m})
+	return fleet.NewConfig(version, all, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}).WithTeams([]fleet.TeamKeys{m})
 }
 
 func TestOnlyHoldersOfAKeyMayCall(t *testing.T) {
@@ -99,7 +99,7 @@
 func TestAKeyThatIsRevokedWhileItsRequestWaitsIsNotUsed(t *testing.T) {
 	w := worker(t, "i-1", standin.OK)
 	r := newRig(t, w)
-	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Held: []fleet.Held{{Model: "m"}}}})
+	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 	r.gateway.SetConfig(keyed(2, fleet.Quota{}, deskKey))
 	r.gateway.Place = func(context.Context, hub.Place) (hub.Placed, hub.Grant, error) {
 		r.gateway.SetConfig(keyed(3, fleet.Quota{}, "k-new"))
@@ -142,12 +142,12 @@
 	require.Equal(t, 1, asked, "a key that was taken away is refused at once")
 }
 
-var narrow = fleet.Quota{Rate: 100, Burst: 100, Tokens: true, Plain: 200}
+var narrow = fleet.Quota{Rate: 100, Burst: 100, CountTokens: true, DefaultTokens: 200}
 
 func TestATeamOverItsQuotaIsToldWhenToComeBack(t *testing.T) {
 	w := worker(t, "i-1", standin.OK)
 	r := newRig(t, w)
-	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Held: []fleet.Held{{Model: "m"}}}})
+	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 	r.gateway.SetConfig(keyed(2, narrow, deskKey))
 	var charges []hub.Charge
 	r.gateway.Place = func(_ context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
@@ -167,7 +167,7 @@
 func TestWhatHasNotRunIsGivenBack(t *testing.T) {
 	w := worker(t, "i-1", standin.OK, standin.Shed)
 	r := newRig(t, w)
-	r.gateway.SetConfig(keyed(2, fleet.Quota{Rate: 1e6, Burst: 1e6, Tokens: true, Plain: 200}, deskKey))
+	r.gateway.SetConfig(keyed(2, fleet.Quota{Rate: 1e6, Burst: 1e6, CountTokens: true, DefaultTokens: 200}, deskKey))
 	r.gateway.Told(0, nil, 1)
 	require.Equal(t, 200, r.do("GET", "/safe/x", "a", "", deskAuth).status)
 	require.Equal(t, 503, r.do("GET", "/safe/x", "b", "", deskAuth).status)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -68,7 +68,7 @@
 var routes = []fleet.Route{
 	{Name: "safe", Host: "h.example", Prefix: "/safe/", Kind: fleet.Safe, MaxAttempts: 2, Timeout: 2 * time.Second, Splits: []fleet.Split{{Service: "plain", Weight: 1}}},
 	{Name: "unsafe", Host: "h.example", Prefix: "/unsafe/", Kind: fleet.Unsafe, MaxAttempts: 1, Timeout: 2 * time.Second, Splits: []fleet.Split{{Service: "plain", Weight: 1}}},
-	{Name: "stream", Host: "h.example", Prefix: "/stream/", Kind: fleet.Stream, MaxAttempts: 1, Timeout: 5 * time.Second, Target: 600 * time.Millisecond, Splits: []fleet.Split{{Service: "plain", Weight: 1}}},
+	{Name: "stream", Host: "h.example", Prefix: "/stream/", Kind: fleet.Stream, MaxAttempts: 1, Timeout: 5 * time.Second, TargetLatency: 600 * time.Millisecond, Splits: []fleet.Split{{Service: "plain", Weight: 1}}},
 	{Name: "resumable", Host: "h.example", Prefix: "/resumable/", Kind: fleet.Stream, Resumable: true, MaxAttempts: 2, Timeout: 5 * time.Second, Splits: []fleet.Split{{Service: "plain", Weight: 1}}},
 }
 
@@ -426,8 +426,8 @@
 	leaving, staying := worker(t, "i-1"), worker(t, "i-2")
 	r := newRig(t, leaving, staying)
 	r.gateway.SetServers([]fleet.Server{
-		{ID: "i-1", Service: "plain", Address: leaving.Address(), Zone: "z", Slots: 4, Leaving: true, Held: []fleet.Held{{Model: "m"}}},
-		{ID: "i-2", Service: "plain", Address: staying.Address(), Zone: "z", Slots: 4, Held: []fleet.Held{{Model: "m"}}},
+		{ID: "i-1", Service: "plain", Address: leaving.Address(), Zone: "z", Slots: 4, Leaving: true, Resident: []fleet.ResidentModel{{Model: "m"}}},
+		{ID: "i-2", Service: "plain", Address: staying.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}},
 	})
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
@@ -457,7 +457,7 @@
 	for i := range 4 {
 		w := worker(t, fmt.Sprint("i-", i), standin.Shed)
 		workers = append(workers, w)
-		servers = append(servers, fleet.Server{ID: w.ID, Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Held: []fleet.Held{{Model: "m"}}})
+		servers = append(servers, fleet.Server{ID: w.ID, Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}})
 	}
 	r := newRig(t, workers...)
 	r.gateway.SetServers(servers)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -247,7 +247,7 @@
 func (r *request) ask(b balance.Request, w hub.Item) (c balance.Selection, why Reason, a asked) {
 	p := hub.Place{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacks, Priority: r.urgency(),
 		Waited: time.Since(r.x.Received),
-		Target: time.Until(r.x.Received.Add(r.route.Target * targetPart / 100)), Expire: r.waitMost(b.Model)}
+		Target: time.Until(r.x.Received.Add(r.route.TargetLatency * targetPart / 100)), Expire: r.waitMost(b.Model)}
 	p.Charge = r.due()
 	p.Exclude = r.unusable()
 	ctx, cancel := r.waiting()
@@ -384,7 +384,7 @@
 // seconds, four times the target or eight times the pause, whichever is
 // longest, less time for the prompt to be read.
 func (r *request) patienceFirst() time.Duration {
-	most := max(2*time.Second, 4*r.route.Target, 8*r.route.Gap)
+	most := max(2*time.Second, 4*r.route.TargetLatency, 8*r.route.MaxEventGap)
 	return time.Until(r.x.Received.Add(most)) - 300*time.Millisecond
 }
 
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -32,7 +32,7 @@
 		cancel()
 		await.Value(t, done, "the granter's end")
 	})
-	g.Servers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Held: []fleet.Held{{Model: "m"}}}})
+	g.Servers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 	g.Reset()
 	return g
 }
@@ -95,8 +95,8 @@
 		return hub.Offer{Found: true, Server: "i-2"}
 	})
 	g.Servers([]fleet.Server{
-		{ID: "i-1", Service: "llm", Slots: 64, Held: []fleet.Held{{Model: "m", Adapters: []string{"a1"}}}},
-		{ID: "i-2", Service: "llm", Slots: 64, Held: []fleet.Held{{Model: "m"}}},
+		{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m", Adapters: []string{"a1"}}}},
+		{ID: "i-2", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}},
 	})
 	p := place("m", "a1", 100)
 	p.Exclude = []string{"i-1"}
@@ -168,7 +168,7 @@
 			g := &granter.Granter{Log: zap.NewNop(), Limits: func() []hub.Limit {
 				return []hub.Limit{{Server: "i-1", Rate: rate, Active: true}}
 			}}
-			g.Servers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Held: []fleet.Held{{Model: "m"}}}})
+			g.Servers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 			begin(g)
 			all.Go(func() { g.Run(ctx) })
 			for range askingEach {
--- a/internal/placer/adapter_test.go
+++ b/internal/placer/adapter_test.go
@@ -108,12 +108,12 @@
 	a := start(t, s, "a", never)
 	a.Config(c)
 	entries := func() []fleet.Server {
-		rest := fleet.Server{ID: "i-1", Service: "llm", Address: w.Address(), Slots: 8, Held: []fleet.Held{{Model: "m1"}, {Model: "m2"}}}
+		rest := fleet.Server{ID: "i-1", Service: "llm", Address: w.Address(), Slots: 8, Resident: []fleet.ResidentModel{{Model: "m1"}, {Model: "m2"}}}
 		if len(w.Leaving()) == 0 {
 			rest = listed(w)
 		}
 		full := listed(other) // as if it had no room, and is the other copy of m0
-		full.Held = []fleet.Held{{Model: "m0"}, {Model: "mx"}, {Model: "my"}}
+		full.Resident = []fleet.ResidentModel{{Model: "m0"}, {Model: "mx"}, {Model: "my"}}
 		return []fleet.Server{rest, full}
 	}
 	a.Servers(entries())
--- a/internal/placer/late.go
+++ b/internal/placer/late.go
@@ -34,7 +34,7 @@
 // models returns the models that take memory at an engine with an entry.
 func (e *engine) models(s fleet.Server) []string {
 	var out []string
-	for _, h := range s.Held {
+	for _, h := range s.Resident {
 		out = append(out, h.Model)
 	}
 	for _, m := range []string{e.coming, e.going} {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -149,7 +149,7 @@
 	before := p.servers
 	p.servers = make(map[string]fleet.Server, len(list))
 	for _, s := range list {
-		if before[s.ID].Born != s.Born {
+		if before[s.ID].StartedAtMS != s.StartedAtMS {
 			delete(p.engines, s.ID)
 		}
 		p.servers[s.ID] = s
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -171,7 +171,7 @@
 func (p *Placer) starve(now time.Time, service string, in residency.Input) map[string]time.Duration {
 	held := map[string]bool{}
 	for _, s := range in.Servers {
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			held[h.Model] = true
 		}
 	}
@@ -201,7 +201,7 @@
 	defer p.mu.Unlock()
 	f, ok := p.servers[m.Server.ID]
 	e := p.engines[m.Server.ID]
-	if !ok || e == nil || f.Born != m.Server.Born || !p.tookOver.Equal(t.tookOver) {
+	if !ok || e == nil || f.StartedAtMS != m.Server.StartedAtMS || !p.tookOver.Equal(t.tookOver) {
 		return false
 	}
 	p.note(now, m)
--- a/internal/placer/rig_test.go
+++ b/internal/placer/rig_test.go
@@ -100,9 +100,9 @@
 }
 
 func listed(w *standin.Worker) fleet.Server {
-	s := fleet.Server{ID: w.ID, Born: w.Born(), Service: "llm", Address: w.Address(), Slots: 8}
+	s := fleet.Server{ID: w.ID, StartedAtMS: w.Born(), Service: "llm", Address: w.Address(), Slots: 8}
 	for m, a := range w.Models() {
-		s.Held = append(s.Held, fleet.Held{Model: m, Adapters: a})
+		s.Resident = append(s.Resident, fleet.ResidentModel{Model: m, Adapters: a})
 	}
 	return s
 }
--- a/internal/placer/sim_engine_test.go
+++ b/internal/placer/sim_engine_test.go
@@ -104,7 +104,7 @@
 		if e.leaving[m] {
 			continue
 		}
-		h := fleet.Held{Model: m}
+		h := fleet.ResidentModel{Model: m}
 		for key := range e.adapters {
 			if model, a := split(key); model == m && !e.transit[key] {
 				h.Adapters = append(h.Adapters, a)
@@ -114,14 +114,14 @@
 	}
 	for key := range e.adapters {
 		if m, a := split(key); e.transit[key] || e.leaving[m] {
-			r.Coming = append(r.Coming, fleet.Held{Model: m, Adapters: []string{a}})
+			r.Coming = append(r.Coming, fleet.ResidentModel{Model: m, Adapters: []string{a}})
 		}
 	}
 	e.past = append(e.past, simReport{time.Now(), r})
 	if len(e.past) > simStates {
 		e.past = e.past[1:]
 	}
-	e.entry = fleet.Server{ID: e.id, Born: e.born, Service: simService, Address: e.id, Slots: 64, Held: r.Held,
+	e.entry = fleet.Server{ID: e.id, StartedAtMS: e.born, Service: simService, Address: e.id, Slots: 64, Resident: r.Held,
 		OnDisk: slices.Sorted(maps.Keys(e.disk)), Version: e.world.nextVersion()}
 }
 
--- a/internal/placer/sim_world_test.go
+++ b/internal/placer/sim_world_test.go
@@ -201,7 +201,7 @@
 func (n *simNode) lacking() map[string]int {
 	held := map[string]bool{}
 	for _, s := range n.world.list() {
-		for _, h := range s.Held {
+		for _, h := range s.Resident {
 			held[h.Model] = true
 		}
 	}
--- a/internal/placer/survey.go
+++ b/internal/placer/survey.go
@@ -109,12 +109,12 @@
 }
 
 // sameModels tells whether two lists name the same models.
-func sameModels(a, b []fleet.Held) bool {
+func sameModels(a, b []fleet.ResidentModel) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for _, h := range a {
-		if !slices.ContainsFunc(b, func(o fleet.Held) bool { return o.Model == h.Model }) {
+		if !slices.ContainsFunc(b, func(o fleet.ResidentModel) bool { return o.Model == h.Model }) {
 			return false
 		}
 	}
@@ -131,7 +131,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if r.Busy || r.Born != p.servers[s.ID].Born || !sameModels(r.Held, p.servers[s.ID].Held) {
+	if r.Busy || r.Born != p.servers[s.ID].StartedAtMS || !sameModels(r.Held, p.servers[s.ID].Resident) {
 		e.blocked = now.Add(pause)
 		return &UnsettledError{Server: s.ID, Busy: r.Busy}
 	}
@@ -151,7 +151,7 @@
 // still come late.
 func (e *engine) replace(now time.Time, r platform.Report) {
 	there := map[string]time.Time{}
-	for _, list := range [][]fleet.Held{r.Held, r.Coming} {
+	for _, list := range [][]fleet.ResidentModel{r.Held, r.Coming} {
 		for _, h := range list {
 			for _, a := range h.Adapters {
 				key := h.Model + "/" + a
