--- a/core/loads/budget.go
+++ b/core/loads/budget.go
@@ -28,8 +28,8 @@
 	// Budget counts loads against a rate. Its exported fields must be set before the first
 	// call.
 	Budget struct {
-		Window time.Duration // period over which loads are limited
-		Late   time.Duration // how long after sending an engine may still start an order
+		Window        time.Duration // period over which loads are limited
+		OrderLifetime time.Duration // how long after sending an engine may still start an order
 
 		loads []load
 	}
@@ -47,24 +47,24 @@
 )
 
 // Most returns how many loads may start within a window at a rate in loads a second.
-func Most(rate float64, window time.Duration) int {
+func LoadsIn(rate float64, window time.Duration) int {
 	return max(1, int(rate*window.Seconds()))
 }
 
 // Borne returns how many loads within a window the weight store can serve.
-func Borne(rate float64, window time.Duration) int {
+func MaxLoads(rate float64, window time.Duration) int {
 	return int(math.Floor(rate*window.Seconds()*(1+rateTolerance) + extraLoads))
 }
 
 // Left returns how many more loads may be planned at a rate in loads a second.
-func (b *Budget) Left(now time.Time, rate float64) int {
+func (b *Budget) Remaining(now time.Time, rate float64) int {
 	definite := 0
 	for _, l := range b.activeLoads(now) {
 		if l.phase == planned || l.phase == started {
 			definite++
 		}
 	}
-	return max(0, min(Most(rate, b.Window)-definite, Borne(rate, b.Window)-len(b.loads)))
+	return max(0, min(LoadsIn(rate, b.Window)-definite, MaxLoads(rate, b.Window)-len(b.loads)))
 }
 
 // Plan counts a load that is about to be ordered.
@@ -96,7 +96,7 @@
 // Accept records that an engine has accepted the order with the given number, and whether it
 // is a load from the weight store. The engine starts no other order with that number.
 func (b *Budget) Accept(now time.Time, engine string, number int64, store bool) {
-	b.Seen(now, engine, number)
+	b.Acknowledged(now, engine, number)
 	b.loads = slices.DeleteFunc(b.loads, func(l load) bool {
 		return l.engine == engine && l.phase == sent && l.number == number
 	})
@@ -125,7 +125,7 @@
 
 // Seen records how many orders an engine has accepted. Unacknowledged orders with a lower
 // number have started by now or never will.
-func (b *Budget) Seen(now time.Time, engine string, accepted int64) {
+func (b *Budget) Acknowledged(now time.Time, engine string, accepted int64) {
 	for i := range b.loads {
 		if l := &b.loads[i]; l.engine == engine && l.phase == sent && l.number < accepted {
 			l.phase, l.at = started, now
@@ -145,7 +145,7 @@
 }
 
 // Suppose adds n loads that other nodes may have started until now.
-func (b *Budget) Suppose(now time.Time, n int) {
+func (b *Budget) Assume(now time.Time, n int) {
 	for range n {
 		b.loads = append(b.loads, load{phase: assumed, at: now})
 	}
@@ -153,7 +153,7 @@
 
 // Tell returns the counts to hand over to another node: the number of recent loads and the
 // unacknowledged order number of each engine.
-func (b *Budget) Tell(now time.Time) (recent int, unacked map[string]int64) {
+func (b *Budget) Handover(now time.Time) (recent int, unacked map[string]int64) {
 	unacked = map[string]int64{}
 	for _, l := range b.activeLoads(now) {
 		if number, ok := unacked[l.engine]; l.phase == sent && (!ok || l.number > number) {
@@ -174,7 +174,7 @@
 	b.loads = slices.DeleteFunc(b.loads, func(l load) bool {
 		age := now.Sub(l.at)
 		if l.phase == sent {
-			age -= b.Late
+			age -= b.OrderLifetime
 		}
 		return age > window
 	})
--- a/core/loads/budget_test.go
+++ b/core/loads/budget_test.go
@@ -18,7 +18,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func newBudget() *loads.Budget { return &loads.Budget{Window: window, Late: orderLifetime} }
+func newBudget() *loads.Budget { return &loads.Budget{Window: window, OrderLifetime: orderLifetime} }
 
 func TestLoadCountsForOneWindowAfterStart(t *testing.T) {
 	b := newBudget()
@@ -71,9 +71,9 @@
 		}, time.Second + orderLifetime + window},
 		{"another order with the same number accepted", func(b *loads.Budget) { b.Accept(at(time.Second), "a", 3, false) }, 0},
 		{"another order with a higher number accepted", func(b *loads.Budget) { b.Accept(at(time.Second), "a", 4, false) }, time.Second + window},
-		{"engine reports more accepted orders", func(b *loads.Budget) { b.Seen(at(time.Second), "a", 4) }, time.Second + window},
-		{"engine reports an unchanged count", func(b *loads.Budget) { b.Seen(at(time.Second), "a", 3) }, orderLifetime + window},
-		{"another engine reports more orders", func(b *loads.Budget) { b.Seen(at(time.Second), "b", 9) }, orderLifetime + window},
+		{"engine reports more accepted orders", func(b *loads.Budget) { b.Acknowledged(at(time.Second), "a", 4) }, time.Second + window},
+		{"engine reports an unchanged count", func(b *loads.Budget) { b.Acknowledged(at(time.Second), "a", 3) }, orderLifetime + window},
+		{"another engine reports more orders", func(b *loads.Budget) { b.Acknowledged(at(time.Second), "b", 9) }, orderLifetime + window},
 		{"cancelling has no effect on a sent load", func(b *loads.Budget) { b.Cancel("a") }, orderLifetime + window},
 	} {
 		b := sentBudget()
@@ -107,15 +107,15 @@
 	b.Plan(start, "c")
 	b.Send(start, "c", 1)
 	b.Accept(start, "c", 1, true)
-	recent, unacked := b.Tell(at(time.Second))
+	recent, unacked := b.Handover(at(time.Second))
 	require.Equal(t, 2, recent)
 	require.Equal(t, map[string]int64{"b": 7}, unacked)
 	successor := newBudget()
 	successor.Inherit(at(time.Second), recent, unacked)
 	require.Equal(t, 3, successor.Count(at(6*time.Second)))
 	require.Equal(t, 1, successor.Count(at(8*time.Second)), "the unacknowledged one")
-	successor.Seen(at(8*time.Second), "b", 8)
-	recentAfter, unackedAfter := successor.Tell(at(8 * time.Second))
+	successor.Acknowledged(at(8*time.Second), "b", 8)
+	recentAfter, unackedAfter := successor.Handover(at(8 * time.Second))
 	require.Equal(t, 1, recentAfter)
 	require.Empty(t, unackedAfter)
 }
@@ -125,30 +125,30 @@
 		rate        float64
 		most, borne int
 	}{{2.1, 10, 14}, {0.1, 1, 3}, {10, 50, 58}} {
-		require.Equal(t, c.most, loads.Most(c.rate, window))
-		require.Equal(t, c.borne, loads.Borne(c.rate, window))
+		require.Equal(t, c.most, loads.LoadsIn(c.rate, window))
+		require.Equal(t, c.borne, loads.MaxLoads(c.rate, window))
 	}
 }
 
 func TestUnackedLoadsUseOnlyExtraCapacity(t *testing.T) {
 	const rate = 2.1 // ten loads in a window, capacity 14
 	b := newBudget()
-	require.Equal(t, 10, b.Left(start, rate))
+	require.Equal(t, 10, b.Remaining(start, rate))
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.Plan(start, id)
 		b.Send(start, id, 1)
 	}
-	require.Equal(t, 10, b.Left(start, rate), "four unacknowledged orders fit into the extra capacity")
+	require.Equal(t, 10, b.Remaining(start, rate), "four unacknowledged orders fit into the extra capacity")
 	b.Plan(start, "e")
 	b.Send(start, "e", 1)
-	require.Equal(t, 9, b.Left(start, rate), "five")
+	require.Equal(t, 9, b.Remaining(start, rate), "five")
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		b.Accept(start, id, 1, true)
 	}
-	require.Equal(t, 5, b.Left(start, rate), "five definite loads")
-	b.Suppose(start, 7)
-	require.Equal(t, 2, b.Left(start, rate))
-	b.Suppose(start, 9)
-	require.Zero(t, b.Left(start, rate))
-	require.Equal(t, 10, b.Left(at(6*time.Second), rate))
+	require.Equal(t, 5, b.Remaining(start, rate), "five definite loads")
+	b.Assume(start, 7)
+	require.Equal(t, 2, b.Remaining(start, rate))
+	b.Assume(start, 9)
+	require.Zero(t, b.Remaining(start, rate))
+	require.Equal(t, 10, b.Remaining(at(6*time.Second), rate))
 }
--- a/internal/placer/lease.go
+++ b/internal/placer/lease.go
@@ -207,7 +207,7 @@
 // telling returns a lease with the loads that the next holder has to know of; p.mu is
 // held.
 func (p *Placer) telling(l leader.Lease) leader.Lease {
-	l.RecentLoads, l.UnackedOrders = p.loads.Tell(time.Now())
+	l.RecentLoads, l.UnackedOrders = p.loads.Handover(time.Now())
 	l.Loading = p.coming()
 	return l
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -132,7 +132,9 @@
 }
 
 // noLoads returns an empty count of loads.
-func (p *Placer) noLoads() *loads.Budget { return &loads.Budget{Window: p.Window, Late: unsettled} }
+func (p *Placer) noLoads() *loads.Budget {
+	return &loads.Budget{Window: p.Window, OrderLifetime: unsettled}
+}
 
 // Config takes in a configuration.
 func (p *Placer) Config(c *fleet.Config) {
--- a/internal/placer/survey.go
+++ b/internal/placer/survey.go
@@ -136,7 +136,7 @@
 		return &UnsettledError{Server: s.ID, Busy: r.Busy}
 	}
 	e.sequence = r.Sequence
-	p.loads.Seen(now, s.ID, r.Sequence)
+	p.loads.Acknowledged(now, s.ID, r.Sequence)
 	e.reads++
 	e.known, e.stale = true, false
 	if e.inherited {
