--- a/core/quota/purse.go
+++ b/core/quota/account.go
@@ -19,16 +19,16 @@
 	// Purse is a node's account: its shares of the teams' quotas and what it has spent of
 	// them. Its exported fields must be set before the first call. It is not safe for
 	// concurrent use.
-	Purse struct {
+	Account struct {
 		Tolerance Tolerance
 		Rand      *rand.Rand
 
 		states       map[string]State
 		shares       map[string]assignedShare
-		sums         map[string]Sum
-		acknowledged map[string]Sum // as of the last acknowledged report
-		reportNumber uint64         // of the last report
-		reported     map[string]Sum // as of the last report
+		sums         map[string]Usage
+		acknowledged map[string]Usage // as of the last acknowledged report
+		reportNumber uint64           // of the last report
+		reported     map[string]Usage // as of the last report
 		reserves     map[string]*reserve
 		nodes        int
 	}
@@ -54,7 +54,7 @@
 // Told applies the granter's reply, with the number of nodes that report to it. A share
 // that is missing from the reply, as from a granter that has just taken over, stays valid
 // for 6 s.
-func (p *Purse) Told(now time.Time, states map[string]State, nodes int) {
+func (p *Account) Update(now time.Time, states map[string]State, nodes int) {
 	if p.shares == nil {
 		p.shares = map[string]assignedShare{}
 	}
@@ -76,14 +76,14 @@
 }
 
 // Charged records what a granter has charged for a request of this node.
-func (p *Purse) Charged(team string, cost float64) { p.addUsage(team, cost, 0) }
+func (p *Account) RecordCharge(team string, cost float64) { p.addUsage(team, cost, 0) }
 
 // Spend charges a request to this node's account; the granter charges it with the
 // next report that it acknowledges. hasLeader is whether the node reaches a granter:
 // without one, and while the team's bucket is low, the node stays within its share of the
 // quota. Spend reports whether the quota admits the request and, if not, the time after
 // which to retry.
-func (p *Purse) Spend(now time.Time, team fleet.Team, cost float64, hasLeader bool) (ok bool, after time.Duration) {
+func (p *Account) Spend(now time.Time, team fleet.Team, cost float64, hasLeader bool) (ok bool, after time.Duration) {
 	q := team.Quota
 	if q.Rate <= 0 {
 		return true, 0
@@ -107,18 +107,18 @@
 }
 
 // Refund returns the charge of a request that hasn't run.
-func (p *Purse) Refund(team string, cost float64) { p.addUsage(team, -cost, -cost) }
+func (p *Account) Refund(team string, cost float64) { p.addUsage(team, -cost, -cost) }
 
-func (p *Purse) addUsage(team string, spent, owed float64) {
+func (p *Account) addUsage(team string, spent, owed float64) {
 	if p.sums == nil {
-		p.sums = map[string]Sum{}
+		p.sums = map[string]Usage{}
 	}
 	u := p.sums[team]
-	p.sums[team] = Sum{Spent: u.Spent + spent, Owed: u.Owed + owed}
+	p.sums[team] = Usage{Spent: u.Spent + spent, Owed: u.Owed + owed}
 }
 
 // share returns this node's share of a team's quota.
-func (p *Purse) share(team string) float64 {
+func (p *Account) share(team string) float64 {
 	if s, ok := p.shares[team]; ok {
 		return s.share
 	}
@@ -129,7 +129,7 @@
 }
 
 // reserve returns a team's reserve, which is full when it is created.
-func (p *Purse) reserve(team string, full float64) *reserve {
+func (p *Account) reserve(team string, full float64) *reserve {
 	if p.reserves == nil {
 		p.reserves = map[string]*reserve{}
 	}
@@ -157,20 +157,20 @@
 
 // Report returns what this node has spent on the teams whose sums have changed since the
 // last acknowledged report.
-func (p *Purse) Report() Uses {
+func (p *Account) Report() UsageReport {
 	p.reportNumber++
 	p.reported = maps.Clone(p.sums)
-	out := Uses{Number: p.reportNumber}
+	out := UsageReport{Number: p.reportNumber}
 	for team, now := range p.sums {
 		if acknowledged := p.acknowledged[team]; acknowledged != now {
-			out.Uses = append(out.Uses, Use{Team: team, Now: now, Known: acknowledged, Share: p.shares[team].share})
+			out.Uses = append(out.Uses, TeamUsage{Team: team, Now: now, Known: acknowledged, Share: p.shares[team].share})
 		}
 	}
 	return out
 }
 
 // Answered records that a granter has acknowledged the report of that number.
-func (p *Purse) Answered(reportNumber uint64) {
+func (p *Account) Acknowledge(reportNumber uint64) {
 	if reportNumber == p.reportNumber {
 		p.acknowledged = p.reported
 	}
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -32,24 +32,24 @@
 
 type (
 	// Sum is what a node has spent of a team's quota, in units since the node started.
-	Sum struct {
+	Usage struct {
 		Spent float64 // total, from which the node's share is computed
 		Owed  float64 // charged by the node and not by a granter, less refunds
 	}
 
 	// Use is a node's report of what it has spent of one team's quota.
-	Use struct {
+	TeamUsage struct {
 		Team  string
-		Now   Sum
-		Known Sum     // as of the last report that any granter acknowledged
+		Now   Usage
+		Known Usage   // as of the last report that any granter acknowledged
 		Share float64 // last share assigned to the node by any granter
 	}
 
 	// Uses is a node's usage report. The reports of a node are numbered, so that a
 	// delayed or duplicate report is counted once.
-	Uses struct {
+	UsageReport struct {
 		Number uint64
-		Uses   []Use
+		Uses   []TeamUsage
 	}
 
 	// State is the granter's reply to a node about one team's quota.
@@ -59,7 +59,7 @@
 	}
 
 	// Account is the state of a team's bucket, for operators.
-	Account struct {
+	Balance struct {
 		Team  string
 		Quota fleet.Quota
 		Left  float64 // units, negative for debt
@@ -91,8 +91,8 @@
 	// nodeUsage is the state of a node that reports.
 	nodeUsage struct {
 		incarnation string
-		number      uint64         // of the last report
-		sums        map[string]Sum // as last reported, by team
+		number      uint64           // of the last report
+		sums        map[string]Usage // as last reported, by team
 
 		lastReport  time.Time
 		silentSince time.Time // start of the time for which its shares are withheld, zero if they aren't
@@ -162,7 +162,7 @@
 // Greedy reports whether a team's recent usage is so close to its quota that requests of
 // other teams go first while capacity is short. Without this, a team that sends many times
 // its usual load would take the others' capacity even while it is below its quota.
-func (l *Ledger) Greedy(now time.Time, team string) bool {
+func (l *Ledger) OverShare(now time.Time, team string) bool {
 	a := l.teams[team]
 	return a != nil && a.used.sum(now) > overShareFraction*a.quota.Rate*usageDecay.Seconds()
 }
@@ -177,7 +177,7 @@
 
 // Report applies a node's usage report and returns the state of the quotas, by team. The
 // incarnation identifies the node's process.
-func (l *Ledger) Report(now time.Time, node, incarnation string, r Uses) map[string]State {
+func (l *Ledger) Report(now time.Time, node, incarnation string, r UsageReport) map[string]State {
 	if len(l.teams) == 0 {
 		return nil
 	}
@@ -190,7 +190,7 @@
 	l.resumeNode(now, m)
 	m.lastReport = now
 	if m.incarnation != incarnation {
-		m.incarnation, m.number, m.sums = incarnation, 0, map[string]Sum{}
+		m.incarnation, m.number, m.sums = incarnation, 0, map[string]Usage{}
 	}
 	if r.Number > m.number {
 		m.number = r.Number
@@ -202,7 +202,7 @@
 }
 
 // applyUse applies a node's usage of one team's quota.
-func (l *Ledger) applyUse(now time.Time, m *nodeUsage, u Use) {
+func (l *Ledger) applyUse(now time.Time, m *nodeUsage, u TeamUsage) {
 	before, ok := m.sums[u.Team]
 	if !ok {
 		before = u.Known
@@ -324,11 +324,11 @@
 }
 
 // Accounts returns the bucket state of all teams that have a quota.
-func (l *Ledger) Accounts(now time.Time) []Account {
-	out := make([]Account, 0, len(l.teams))
+func (l *Ledger) Balances(now time.Time) []Balance {
+	out := make([]Balance, 0, len(l.teams))
 	for name, a := range l.teams {
 		l.refill(now, a)
-		out = append(out, Account{Team: name, Quota: a.quota, Left: a.level, Used: a.used.sum(now) / usageDecay.Seconds()})
+		out = append(out, Balance{Team: name, Quota: a.quota, Left: a.level, Used: a.used.sum(now) / usageDecay.Seconds()})
 	}
 	return out
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -13,7 +13,7 @@
 
 var (
 	start     = time.Unix(1000, 0)
-	tolerance = quota.Tolerance{Window: 8 * time.Second, Over: 0.1, Slack: 11000}
+	tolerance = quota.Tolerance{Window: 8 * time.Second, Ratio: 0.1, Slack: 11000}
 	desk      = fleet.Team{Name: "desk", Quota: fleet.Quota{Rate: 1000, Burst: 1000, CountTokens: true, DefaultTokens: 200}}
 )
 
@@ -23,12 +23,12 @@
 	return l
 }
 
-func newPurse(seed uint64) *quota.Purse {
-	return &quota.Purse{Tolerance: tolerance, Rand: rand.New(rand.NewPCG(seed, 1))}
+func newPurse(seed uint64) *quota.Account {
+	return &quota.Account{Tolerance: tolerance, Rand: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // spend charges a request of team desk at a node that has a leader.
-func spend(t *testing.T, p *quota.Purse, cost float64) {
+func spend(t *testing.T, p *quota.Account, cost float64) {
 	t.Helper()
 	ok, _ := p.Spend(start, desk, cost, true)
 	require.True(t, ok)
@@ -85,7 +85,7 @@
 // that report again after a later one, and lets another granter take over.
 func TestUnacknowledgedAndDuplicateReportsCountOnce(t *testing.T) {
 	l := newLedger()
-	left := func(l *quota.Ledger) float64 { return l.Accounts(start)[0].Left }
+	left := func(l *quota.Ledger) float64 { return l.Balances(start)[0].Left }
 	p := newPurse(1)
 	spend(t, p, 200)
 	lost := p.Report()
@@ -94,7 +94,7 @@
 	spend(t, p, 100)
 	second := p.Report()
 	l.Report(start, "n1", "a", second)
-	p.Answered(second.Number)
+	p.Acknowledge(second.Number)
 	require.Equal(t, 700.0, left(l))
 	l.Report(start, "n1", "a", lost)
 	require.Equal(t, 700.0, left(l), "a delayed report must not be counted again")
@@ -114,11 +114,11 @@
 // spend its share without the granter, and then report again.
 func TestSilentNodeShareIsWithheld(t *testing.T) {
 	l := newLedger()
-	purses := map[string]*quota.Purse{"n1": newPurse(1), "n2": newPurse(2)}
+	purses := map[string]*quota.Account{"n1": newPurse(1), "n2": newPurse(2)}
 	report := func(now time.Time, name string) {
 		r := purses[name].Report()
-		purses[name].Told(now, l.Report(now, name, name, r), 2)
-		purses[name].Answered(r.Number)
+		purses[name].Update(now, l.Report(now, name, name, r), 2)
+		purses[name].Acknowledge(r.Number)
 	}
 	for _, name := range []string{"n1", "n2"} {
 		spend(t, purses[name], 400)
@@ -155,12 +155,12 @@
 // shares yet, and then lets no granter reply.
 func TestShareSurvivesGranterChange(t *testing.T) {
 	p := newPurse(1)
-	p.Told(start, map[string]quota.State{"desk": {Share: 1}}, 1)
-	p.Told(start, map[string]quota.State{"desk": {Scarce: true}}, 1)
-	p.Told(start, nil, 1)
+	p.Update(start, map[string]quota.State{"desk": {Share: 1}}, 1)
+	p.Update(start, map[string]quota.State{"desk": {Scarce: true}}, 1)
+	p.Update(start, nil, 1)
 	spend(t, p, 200)
 	require.Equal(t, 1.0, p.Report().Uses[0].Share)
-	p.Told(start.Add(time.Minute), nil, 1)
+	p.Update(start.Add(time.Minute), nil, 1)
 	require.Zero(t, p.Report().Uses[0].Share, "the share must expire")
 }
 
@@ -176,7 +176,7 @@
 		team.Quota.Burst = team.Quota.Rate
 		l := &quota.Ledger{Tolerance: tolerance}
 		l.Reset(start, []fleet.Team{team})
-		var purses []*quota.Purse
+		var purses []*quota.Account
 		disconnectedUntil := make([]time.Time, nodes) // end of the node's disconnection from the granter
 		for i := range nodes {
 			purses = append(purses, newPurse(seed*100+uint64(i)))
@@ -204,8 +204,8 @@
 					continue
 				}
 				r := p.Report()
-				p.Told(now, l.Report(now, string(rune('A'+i)), "x", r), nodes)
-				p.Answered(r.Number)
+				p.Update(now, l.Report(now, string(rune('A'+i)), "x", r), nodes)
+				p.Acknowledge(r.Number)
 			}
 			for spent := 0.0; spent < demand; {
 				i, cost, plain := rnd.IntN(nodes), 200+2800*rnd.Float64(), rnd.IntN(3) == 0
@@ -219,7 +219,7 @@
 					ok, _ = p.Spend(now, team, cost, !now.Before(disconnectedUntil[i]))
 				default:
 					if ok, _ = l.Charge(now, "desk", cost); ok {
-						p.Charged("desk", cost)
+						p.RecordCharge("desk", cost)
 					}
 				}
 				if ok {
@@ -228,7 +228,7 @@
 			}
 		}
 		q := team.Quota
-		bound := (q.Rate*tolerance.Window.Seconds()+q.Burst)*(1+tolerance.Over) + tolerance.Slack
+		bound := (q.Rate*tolerance.Window.Seconds()+q.Burst)*(1+tolerance.Ratio) + tolerance.Slack
 		peak, total, sum, first := 0.0, 0.0, 0.0, 0
 		for _, x := range admissions {
 			total += x.cost
--- a/core/quota/tolerance.go
+++ b/core/quota/tolerance.go
@@ -18,11 +18,11 @@
 // Tolerance is the maximum by which usage may exceed a quota in any window.
 type Tolerance struct {
 	Window time.Duration
-	Over   float64 // fraction of what the quota allows in a window
+	Ratio  float64 // fraction of what the quota allows in a window
 	Slack  float64 // units, in addition to Over
 }
 
 // Excess returns the units by which a team may exceed the quota q in a window.
 func (t Tolerance) Excess(q fleet.Quota) float64 {
-	return t.Over*(q.Rate*t.Window.Seconds()+q.Burst) + t.Slack
+	return t.Ratio*(q.Rate*t.Window.Seconds()+q.Burst) + t.Slack
 }
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -97,7 +97,7 @@
 // tolerance returns how far the use of a quota may go over.
 func (s Settings) tolerance() quota.Tolerance {
 	return quota.Tolerance{Window: time.Duration(cmp.Or(s.QuotaSpanS, defaultQuotaSpanS) * float64(time.Second)),
-		Over: s.QuotaOver, Slack: s.QuotaSlack}
+		Ratio: s.QuotaOver, Slack: s.QuotaSlack}
 }
 
 // check returns the first setting that can't be used.
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -172,7 +172,7 @@
 	require.Equal(t, 200, r.do("GET", "/safe/x", "a", "", deskAuth).status)
 	require.Equal(t, 503, r.do("GET", "/safe/x", "b", "", deskAuth).status)
 	require.Eventually(t, func() bool { return strings.Contains(r.log.String(), "event=request request-id=b") }, 2*time.Second, time.Millisecond)
-	require.Equal(t, []quota.Use{{Team: "desk", Now: quota.Sum{Spent: 200, Owed: 200}}}, r.gateway.Spent().Uses)
+	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: 200, Owed: 200}}}, r.gateway.Spent().Uses)
 }
 
 func TestANodeWithoutAGranterSpendsItsShare(t *testing.T) {
@@ -211,7 +211,7 @@
 	r.gateway.Told(0, map[string]quota.State{"desk": {Share: 1}}, 1)
 	require.Equal(t, map[int]int{200: 10}, statuses("enough"))
 	spent := float64(200 * (scarce[200] + 10))
-	require.Equal(t, []quota.Use{{Team: "desk", Now: quota.Sum{Spent: spent, Owed: spent}, Share: 1}}, r.gateway.Spent().Uses)
+	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: spent, Owed: spent}, Share: 1}}, r.gateway.Spent().Uses)
 }
 
 // TestAServerThatDepartsBetweenPickAndSendGetsNoRequest has the list change while the
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -70,7 +70,7 @@
 		mu      sync.Mutex // guards what follows, and Rand
 		picture *balance.Picker
 		budgets map[string]*retry.Budget // by service
-		purse   quota.Purse
+		purse   quota.Account
 		led     bool // a granter has answered the last report
 		nodes   int  // that share what a service bears, 0 if unknown
 		demand  map[hub.Item]*hub.Demand
@@ -120,7 +120,7 @@
 	g.picture = p
 	g.picture.SetNodes(retry.UnknownNodes)
 	g.budgets = map[string]*retry.Budget{}
-	g.purse = quota.Purse{Tolerance: g.Tolerance, Rand: g.Rand}
+	g.purse = quota.Account{Tolerance: g.Tolerance, Rand: g.Rand}
 	g.demand = map[hub.Item]*hub.Demand{}
 	g.marks = map[uint64]map[string]bool{}
 	g.changed = make(chan struct{})
--- a/internal/gateway/spend.go
+++ b/internal/gateway/spend.go
@@ -43,7 +43,7 @@
 	g := r.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.purse.Charged(c.Team, c.Cost)
+	g.purse.RecordCharge(c.Team, c.Cost)
 }
 
 // spend charges a request that got no place from a granter, or returns why it can't.
@@ -88,7 +88,7 @@
 }
 
 // Spent returns what this node has spent of the quotas, for a report.
-func (g *Gateway) Spent() quota.Uses {
+func (g *Gateway) Spent() quota.UsageReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.purse.Report()
@@ -98,8 +98,8 @@
 func (g *Gateway) Told(number uint64, states map[string]quota.State, nodes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.purse.Answered(number)
-	g.purse.Told(time.Now(), states, nodes)
+	g.purse.Acknowledge(number)
+	g.purse.Update(time.Now(), states, nodes)
 	g.led = true
 }
 
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -227,7 +227,7 @@
 	}
 	w.ahead = g.schedule.Waiting()
 	g.waiters[id] = w
-	g.schedule.Enqueue(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, OverShare: g.ledger.Greedy(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
+	g.schedule.Enqueue(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
 		TargetStart: now.Add(p.Target), Deadline: now.Add(p.Expire)})
 	g.decide()
 	g.lacking()
--- a/internal/granter/quotas.go
+++ b/internal/granter/quotas.go
@@ -36,10 +36,10 @@
 }
 
 // Accounts returns the use of all teams with a quota.
-func (g *Granter) Accounts() []quota.Account {
+func (g *Granter) Accounts() []quota.Balance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ledger.Accounts(time.Now())
+	return g.ledger.Balances(time.Now())
 }
 
 // Describe implements prometheus.Collector.
--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -87,7 +87,7 @@
 		Lease    int64         // version of the lease's row that this node has
 		Roster   uint64        // up to where this node was told who reports
 		Echo     Echo
-		Quotas   quota.Uses
+		Quotas   quota.UsageReport
 		Limits   []Limit                 // that servers named to this node, or withdrew of late
 		Departed []departure.Incarnation // servers that have said that they leave while their entries don't
 	}
