--- a/core/claim/batch.go
+++ b/core/claim/batch.go
@@ -61,7 +61,7 @@
 }
 
 // Listed returns the claim keys in a batch row.
-func Listed(r row.Row) ([]string, error) {
+func BatchKeys(r row.Row) ([]string, error) {
 	var b Batch
 	if err := json.Unmarshal(r.Value, &b); err != nil {
 		return nil, &RowError{Key: r.Key, Err: err}
--- a/core/claim/change.go
+++ b/core/claim/change.go
@@ -8,16 +8,16 @@
 )
 
 // Fate is the outcome of writing a change.
-type Fate string
+type WriteOutcome string
 
 const (
 	// Took means that the change was committed.
-	Took Fate = "took"
+	Committed WriteOutcome = "took"
 	// Open means that the change has not been committed, but a transaction that
 	// is still in transit may commit it. It is safe to send the change again.
-	Open Fate = "open"
+	Pending WriteOutcome = "open"
 	// Lost means that the change was not committed and never will be.
-	Lost Fate = "lost"
+	Lost WriteOutcome = "lost"
 )
 
 // Change is one conditional write of a claim row.
@@ -57,21 +57,21 @@
 // Fate returns the outcome of c, derived from the current row r: a conflict
 // reported by a transaction that was not committed, or a row that was read back
 // after the reply to a transaction was lost.
-func (c Change) Fate(r row.Row) (Fate, error) {
+func (c Change) Outcome(r row.Row) (WriteOutcome, error) {
 	current, found, err := Decode(r)
 	switch {
 	case err != nil:
 		return Lost, err
 	case r.Revision == c.Revision:
-		return Open, nil
+		return Pending, nil
 	case !found:
 		return Lost, nil // the row was removed after the retention time
 	case current.Attempt == c.Claim.Attempt && current.State == c.Claim.State:
-		return Took, nil
+		return Committed, nil
 	case current.Attempt != c.Claim.Attempt && c.Claim.State == Released && c.Revision != 0:
 		// Another attempt can replace a claim of this attempt only after a
 		// release, so the release was committed and the call was claimed again.
-		return Took, nil
+		return Committed, nil
 	}
 	return Lost, nil
 }
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -116,7 +116,7 @@
 
 // Lose returns the change that sets the state to Unknown because the answer was
 // lost for reason r.
-func (h Held) Lose(r outcome.Reason) Change {
+func (h Held) MarkUnknown(r outcome.Reason) Change {
 	c := h.Claim
 	c.State, c.Reason = Unknown, r
 	return Change{Key: h.Key, Revision: h.Revision, Claim: c}
--- a/core/claim/ask.go
+++ b/core/claim/evaluate.go
@@ -8,15 +8,15 @@
 )
 
 // Kind is the decision on a request to claim a call.
-type Kind string
+type Decision string
 
 const (
 	// Free means that the requester may insert its claim over the row.
-	Free Kind = "free"
+	Free Decision = "free"
 	// Stored means that the call was answered and that the verdict has the answer.
-	Stored Kind = "stored"
+	Stored Decision = "stored"
 	// Closed means that the requester must not send the call and gets an error.
-	Closed Kind = "closed"
+	Denied Decision = "closed"
 )
 
 const (
@@ -29,7 +29,7 @@
 type (
 	// Verdict is the result of evaluating a row for a requester.
 	Verdict struct {
-		Kind     Kind
+		Decision Decision
 		Revision uint64         // for Free: the revision that the insert requires
 		Answer   *Answer        // for Stored
 		Err      *outcome.Error // for Closed
@@ -38,27 +38,27 @@
 	// Dead reports whether an incarnation of a node is known to have ended. A
 	// false positive is safe: the requester gets unknown instead of in-progress,
 	// which is correct but less precise.
-	Dead func(node string, incarnation uint64) bool
+	IsDead func(node string, incarnation uint64) bool
 )
 
 // Ask evaluates the row r, as read at the key that own is to claim. While
 // another attempt holds the row, the requester gets in-progress until the
 // deadline of that claim plus ClockMargin has passed or its node is known to be
 // dead, and unknown after that.
-func Ask(r row.Row, own Claim, now time.Time, dead Dead) (Verdict, error) {
+func Evaluate(r row.Row, own Claim, now time.Time, dead IsDead) (Verdict, error) {
 	c, found, err := Decode(r)
 	if err != nil {
 		return Verdict{}, err
 	}
 	switch {
 	case !found:
-		return Verdict{Kind: Free}, nil
+		return Verdict{Decision: Free}, nil
 	case c.State == Released:
-		return Verdict{Kind: Free, Revision: r.Revision}, nil
+		return Verdict{Decision: Free, Revision: r.Revision}, nil
 	case c.Team != own.Team || c.BodyHash != own.BodyHash:
 		return denied(outcome.Refuse(outcome.KeyReused, "the key belongs to another call", 0)), nil
 	case c.State == Done:
-		return Verdict{Kind: Stored, Answer: c.Answer}, nil
+		return Verdict{Decision: Stored, Answer: c.Answer}, nil
 	case c.State == Unknown:
 		return denied(outcome.Unsure(c.Reason, "an earlier call with this key was sent and its answer was lost")), nil
 	}
@@ -75,4 +75,4 @@
 }
 
 // denied returns the verdict that denies the request with e.
-func denied(e *outcome.Error) Verdict { return Verdict{Kind: Closed, Err: e} }
+func denied(e *outcome.Error) Verdict { return Verdict{Decision: Denied, Err: e} }
--- a/core/claim/ask_test.go
+++ b/core/claim/evaluate_test.go
@@ -48,7 +48,7 @@
 	dead := func(node string, incarnation uint64) bool { return node == "n1" && incarnation == 3 }
 	for name, c := range map[string]struct {
 		current claim.Claim
-		dead    claim.Dead
+		dead    claim.IsDead
 		outcome outcome.Outcome
 		reason  outcome.Reason
 	}{
@@ -59,14 +59,14 @@
 		"lost answer tells its reason":     {lost, nil, outcome.Unknown, outcome.BackendLost},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v, err := claim.Ask(stored(c.current), own, now, c.dead)
+			v, err := claim.Evaluate(stored(c.current), own, now, c.dead)
 			require.NoError(t, err)
-			require.Equal(t, claim.Closed, v.Kind)
+			require.Equal(t, claim.Denied, v.Decision)
 			require.Equal(t, c.outcome, v.Err.Outcome)
 			require.Equal(t, c.reason, v.Err.Reason)
 		})
 	}
-	_, err := claim.Ask(row.Row{Key: "k", Value: []byte("{"), Revision: 1}, own, now, nil)
+	_, err := claim.Evaluate(row.Row{Key: "k", Value: []byte("{"), Revision: 1}, own, now, nil)
 	require.ErrorAs(t, err, new(*claim.RowError), "a row that can't be decoded permits no send")
 }
 
@@ -79,7 +79,7 @@
 	tx := claim.AddBatch(row.Tx{}, claim.Minute(now), "n1-x", []claim.Change{
 		{Key: a.Key, Claim: claim.Claim{State: claim.Claimed}}, {Key: "not", Claim: claim.Claim{State: claim.Done}}})
 	batch := row.Row{Key: tx.Writes[0].Key, Value: tx.Writes[0].Value, Revision: 3}
-	keys, err := claim.Listed(batch)
+	keys, err := claim.BatchKeys(batch)
 	require.NoError(t, err)
 	require.Equal(t, []string{a.Key}, keys)
 	require.Contains(t, batch.Key, claim.MinutePrefix(claim.Minute(now)))
--- a/core/claim/invariant_test.go
+++ b/core/claim/invariant_test.go
@@ -118,12 +118,12 @@
 
 // resolve updates t with the outcome of its change as derived from a row.
 func (w *simulation) resolve(rt *rapid.T, t *attempt, r row.Row) {
-	result, err := t.change.Fate(r)
+	result, err := t.change.Outcome(r)
 	require.NoError(rt, err)
 	switch {
-	case result == claim.Took:
+	case result == claim.Committed:
 		w.committed(t, r.Revision)
-	case result == claim.Open: // the change will be written again
+	case result == claim.Pending: // the change will be written again
 	case t.settle:
 		w.settle(rt, t)
 	case t.phase == finishing:
@@ -147,9 +147,9 @@
 // evaluate replaces the row r if that is allowed, or else ends t with the stored
 // answer or the error for its caller.
 func (w *simulation) evaluate(rt *rapid.T, t *attempt, r row.Row) {
-	v, err := claim.Ask(r, t.own, w.now, nil)
+	v, err := claim.Evaluate(r, t.own, w.now, nil)
 	require.NoError(rt, err)
-	switch v.Kind {
+	switch v.Decision {
 	case claim.Free:
 		t.own.Attempt += "+"
 		t.change = claim.Insert(t.change.Key, t.own, v.Revision)
@@ -189,7 +189,7 @@
 		t.change = h.Release()
 	default:
 		t.failure = outcome.Unsure(outcome.BackendLost, "")
-		t.change = h.Lose(outcome.BackendLost)
+		t.change = h.MarkUnknown(outcome.BackendLost)
 	}
 }
 
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -59,7 +59,7 @@
 	Claims interface {
 		Claim(ctx context.Context, c claims.Call) (claims.Grant, error)
 		Finish(h claim.Held, a claim.Answer)
-		Lose(h claim.Held, r outcome.Reason)
+		MarkUnknown(h claim.Held, r outcome.Reason)
 		Release(h claim.Held)
 	}
 
--- a/internal/call/caller.go
+++ b/internal/call/caller.go
@@ -119,7 +119,7 @@
 		c.Claims.Release(g.Held)
 	default:
 		end = claim.Unknown
-		c.Claims.Lose(g.Held, e.Reason)
+		c.Claims.MarkUnknown(g.Held, e.Reason)
 	}
 	c.Note(r.RequestID, "claim-ended", zap.String("row", row), zap.String("attempt", g.Held.Claim.Attempt),
 		zap.String("state", string(end)))
--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -36,7 +36,7 @@
 
 	// ended is how an op ended.
 	ended struct {
-		fate claim.Fate
+		fate claim.WriteOutcome
 		row  row.Row // with the revision if it took, the one in the way if it lost
 		err  error   // *outcome.Error, for an insert that could not be written
 	}
@@ -171,7 +171,7 @@
 	case err == nil && res.Committed:
 		s.Metrics.transaction(committed)
 		for _, o := range batch {
-			s.finish(ctx, o, ended{fate: claim.Took, row: row.Row{Key: o.change.Key, Revision: res.Revision}})
+			s.finish(ctx, o, ended{fate: claim.Committed, row: row.Row{Key: o.change.Key, Revision: res.Revision}})
 		}
 	case err == nil && s.sortConflicts(ctx, batch, res.Conflicts):
 		s.Metrics.transaction(conflict)
@@ -229,12 +229,12 @@
 // judge ends o by the row as it is now, or queues it again if its fate is open:
 // to write it once more is safe, since only one of the copies can take effect.
 func (s *Store) judge(ctx context.Context, o *op, r row.Row) {
-	fate, err := o.change.Fate(r)
+	fate, err := o.change.Outcome(r)
 	switch {
 	case err != nil:
 		s.Log.Error("claim row not understood", zap.Error(err))
 		s.finish(ctx, o, ended{err: outcome.Refuse(outcome.Internal, err.Error(), 0)})
-	case fate == claim.Open:
+	case fate == claim.Pending:
 		s.submit(o)
 	default:
 		s.finish(ctx, o, ended{fate: fate, row: r})
@@ -307,7 +307,7 @@
 		return
 	}
 	o.over = true
-	gone := !o.durable && ((o.abandoned && e.fate == claim.Took) || (e.err != nil && o.unsure))
+	gone := !o.durable && ((o.abandoned && e.fate == claim.Committed) || (e.err != nil && o.unsure))
 	if o.durable && !o.settle {
 		s.end()
 	}
--- a/internal/claims/settle.go
+++ b/internal/claims/settle.go
@@ -44,7 +44,7 @@
 
 // settled ends a settlement, or starts it over if another write came first.
 func (s *Store) settled(ctx context.Context, o *op, e ended) {
-	if e.err == nil && e.fate == claim.Took {
+	if e.err == nil && e.fate == claim.Committed {
 		s.settleDone()
 		return
 	}
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -85,9 +85,9 @@
 		Objects     Objects
 		Node        string
 		Incarnation uint64
-		Dead        claim.Dead  // may be nil
-		Log         *zap.Logger // may be nil
-		Metrics     *Metrics    // may be nil
+		Dead        claim.IsDead // may be nil
+		Log         *zap.Logger  // may be nil
+		Metrics     *Metrics     // may be nil
 
 		Spacing       time.Duration
 		Timeout       time.Duration
@@ -140,18 +140,18 @@
 		if e.err != nil {
 			return Grant{}, e.err
 		}
-		if e.fate == claim.Took {
+		if e.fate == claim.Committed {
 			s.Metrics.claim("claimed")
 			return Grant{Held: change.Held(e.row.Revision)}, nil
 		}
-		v, err := claim.Ask(e.row, mine, time.Now(), s.Dead)
+		v, err := claim.Evaluate(e.row, mine, time.Now(), s.Dead)
 		if err != nil {
 			return Grant{}, outcome.Refuse(outcome.Internal, err.Error(), 0)
 		}
-		switch v.Kind {
+		switch v.Decision {
 		case claim.Stored:
 			return s.stored(v.Answer)
-		case claim.Closed:
+		case claim.Denied:
 			s.Metrics.claim(string(v.Err.Reason))
 			return Grant{}, v.Err
 		}
@@ -184,10 +184,10 @@
 
 // Lose records that the call was sent and its answer lost for reason r. It
 // returns at once.
-func (s *Store) Lose(h claim.Held, r outcome.Reason) {
+func (s *Store) MarkUnknown(h claim.Held, r outcome.Reason) {
 	s.once.Do(s.init)
 	s.begin()
-	s.submit(&op{change: h.Lose(r), durable: true})
+	s.submit(&op{change: h.MarkUnknown(r), durable: true})
 }
 
 // Release lets the call be claimed again. It may only be called if the call
@@ -232,7 +232,7 @@
 		s.mu.Unlock()
 		<-first.done // ends by its own limit, which is the earlier one
 		e := first.end
-		if e.fate == claim.Took {
+		if e.fate == claim.Committed {
 			e = ended{fate: claim.Lost, row: row.Row{Key: c.Key, Value: first.change.Value(), Revision: e.row.Revision}}
 		}
 		return e
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -306,7 +306,7 @@
 		require.NoError(t, err)
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Hang: true} })
 		s.Finish(g.Held, claim.Answer{Status: 200, Body: []byte("yes")})
-		s.Lose(lost.Held, outcome.BackendLost)
+		s.MarkUnknown(lost.Held, outcome.BackendLost)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
 		require.Equal(t, 2, s.Flush(ctx))
--- a/internal/claims/sweep.go
+++ b/internal/claims/sweep.go
@@ -53,7 +53,7 @@
 		return false, err
 	}
 	for _, b := range batches {
-		keys, err := claim.Listed(b)
+		keys, err := claim.BatchKeys(b)
 		if err != nil {
 			return false, err
 		}
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -23,7 +23,7 @@
 	Claims interface {
 		Claim(ctx context.Context, c claims.Call) (claims.Grant, error)
 		Finish(h claim.Held, a claim.Answer)
-		Lose(h claim.Held, r outcome.Reason)
+		MarkUnknown(h claim.Held, r outcome.Reason)
 		Release(h claim.Held)
 	}
 
@@ -67,7 +67,7 @@
 	case f.Outcome == outcome.RefusedNotRun:
 		e.Claims.Release(grant.Held)
 	default:
-		e.Claims.Lose(grant.Held, f.Reason)
+		e.Claims.MarkUnknown(grant.Held, f.Reason)
 	}
 	return err
 }
@@ -93,7 +93,7 @@
 func (r *recording) store() {
 	body, err := json.Marshal(r.storedAnswer)
 	if err != nil {
-		r.claims.Lose(r.held, outcome.Internal)
+		r.claims.MarkUnknown(r.held, outcome.Internal)
 		return
 	}
 	r.claims.Finish(r.held, claim.Answer{Status: http.StatusOK, Body: body})
