--- a/core/config/head/follower.go
+++ b/core/config/head/follower.go
@@ -6,7 +6,7 @@
 	// Ticket records when a query was sent, as the number of pauses of the node
 	// until then. A reply to a query from before the last pause may be outdated,
 	// so it doesn't confirm the head.
-	Ticket uint64
+	QueryStamp uint64
 
 	// Follower is a node's knowledge of the head. It is immutable; the zero value
 	// is the state of a node that just started. The version in force never
@@ -16,7 +16,7 @@
 		target    Ref
 		confirmed bool // the target was confirmed since the start or the last pause
 		fresh     bool // a confirmed target has been in force since then
-		pauses    Ticket
+		pauses    QueryStamp
 	}
 
 	// ForkError means that two documents have the same version. The one known
@@ -41,7 +41,7 @@
 
 // Want returns the newest document seen and reports whether it is newer than the
 // one in force, so that it has to be fetched.
-func (f Follower) Want() (Ref, bool) { return f.target, f.target.Version > f.inForce.Version }
+func (f Follower) Missing() (Ref, bool) { return f.target, f.target.Version > f.inForce.Version }
 
 // Fresh reports whether the node may admit requests. This is the case if the head
 // was confirmed and put in force since the node's start or last pause. A node
@@ -50,13 +50,13 @@
 
 // Ticket returns a ticket for a query. It must be taken before the query is
 // sent.
-func (f Follower) Ticket() Ticket { return f.pauses }
+func (f Follower) Ticket() QueryStamp { return f.pauses }
 
 // WithRead returns f after ref was read from the head row; ref is the zero Ref if
 // the row is absent, and t was taken before the read. A version lower than the
 // newest one seen changes neither the target nor the version in force, which
 // never decreases. The error is a *ForkError.
-func (f Follower) WithRead(t Ticket, ref Ref) (Follower, error) {
+func (f Follower) WithRead(t QueryStamp, ref Ref) (Follower, error) {
 	f, err := f.WithHint(ref)
 	if err == nil && t == f.pauses {
 		f.confirmed = true
@@ -68,7 +68,7 @@
 // is in force there. The reply confirms the head only if the peer is fresh; its
 // version may then be lower than the newest one that f has seen. The error is a
 // *ForkError.
-func (f Follower) WithAnswer(t Ticket, ref Ref, fresh bool) (Follower, error) {
+func (f Follower) WithReply(t QueryStamp, ref Ref, fresh bool) (Follower, error) {
 	f, err := f.WithHint(ref)
 	if err == nil && fresh && t == f.pauses {
 		f.confirmed = true
@@ -116,7 +116,7 @@
 // fresh, or if neither the table nor a fresh peer has replied for a long time.
 // Without this, nodes that were all paused during an outage would wait for each
 // other forever.
-func (f Follower) WithTrust(t Ticket) Follower {
+func (f Follower) WithAssumed(t QueryStamp) Follower {
 	if t == f.pauses {
 		f.confirmed = true
 	}
--- a/core/config/head/head_test.go
+++ b/core/config/head/head_test.go
@@ -182,7 +182,7 @@
 func TestForkIsRejected(t *testing.T) {
 	f, err := head.Follower{}.WithRead(0, head.Ref{Version: 3, Hash: "a"})
 	require.NoError(t, err)
-	_, err = f.WithAnswer(0, head.Ref{Version: 3, Hash: "b"}, true)
+	_, err = f.WithReply(0, head.Ref{Version: 3, Hash: "b"}, true)
 	var fork *head.ForkError
 	require.ErrorAs(t, err, &fork)
 }
--- a/core/config/head/judge.go
+++ b/core/config/head/judge.go
@@ -24,7 +24,7 @@
 // Judgement is a verdict and the head that it is based on.
 type Judgement struct {
 	Verdict Verdict
-	Rival   Head // if Lost, the head accepted for the same version; otherwise the newest head
+	Winner  Head // if Lost, the head accepted for the same version; otherwise the newest head
 }
 
 // Judge determines the outcome of a proposal from the head row and the history
@@ -41,14 +41,14 @@
 	}
 	switch {
 	case newest.ApplyID == own.ApplyID:
-		return Judgement{Verdict: Won, Rival: newest}, nil
+		return Judgement{Verdict: Won, Winner: newest}, nil
 	case historyRow.Revision != 0 && accepted.ApplyID == own.ApplyID:
-		return Judgement{Verdict: Superseded, Rival: newest}, nil
+		return Judgement{Verdict: Superseded, Winner: newest}, nil
 	case historyRow.Revision != 0:
-		return Judgement{Verdict: Lost, Rival: accepted}, nil
+		return Judgement{Verdict: Lost, Winner: accepted}, nil
 	case newest.Version < own.Version:
-		return Judgement{Verdict: Pending, Rival: newest}, nil
+		return Judgement{Verdict: Pending, Winner: newest}, nil
 	default:
-		return Judgement{Verdict: Forgotten, Rival: newest}, nil
+		return Judgement{Verdict: Forgotten, Winner: newest}, nil
 	}
 }
--- a/core/config/head/simulation_test.go
+++ b/core/config/head/simulation_test.go
@@ -29,7 +29,7 @@
 
 	// message is a reply or a hint to a node.
 	message struct {
-		ticket head.Ticket
+		ticket head.QueryStamp
 		ref    head.Ref
 		from   int // index of a node, fromTable or fromHint
 		fresh  bool
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if ref, behind := n.Want(); behind {
+	if ref, behind := n.Missing(); behind {
 		n.Follower = n.WithAdopted(ref)
 	}
 }
@@ -249,7 +249,7 @@
 	case fromHint:
 		n.Follower, err = n.WithHint(m.ref)
 	default:
-		n.Follower, err = n.WithAnswer(m.ticket, m.ref, m.fresh)
+		n.Follower, err = n.WithReply(m.ticket, m.ref, m.fresh)
 		if m.ticket == n.Ticket() {
 			n.replied[m.from] = true
 		}
@@ -263,7 +263,7 @@
 // from a peer.
 func (s *simulation) nodeFetches(t *rapid.T) {
 	_, n := s.runningNode(t)
-	ref, behind := n.Want()
+	ref, behind := n.Missing()
 	available := !s.down
 	for _, p := range s.nodes {
 		available = available || !p.paused && p.InForce() == ref
@@ -320,6 +320,6 @@
 		}
 	}
 	if s.down {
-		n.Follower = n.WithTrust(n.Ticket())
+		n.Follower = n.WithAssumed(n.Ticket())
 	}
 }
--- a/internal/configsync/apply.go
+++ b/internal/configsync/apply.go
@@ -191,7 +191,7 @@
 	case head.Won:
 		return Applied{Head: mine}, j, true
 	case head.Superseded:
-		return Applied{Head: mine, Newest: j.Rival}, j, true
+		return Applied{Head: mine, Newest: j.Winner}, j, true
 	case head.Lost, head.Forgotten:
 		return Applied{}, j, true
 	default:
@@ -202,7 +202,7 @@
 func (a *attempt) verdictError(ctx context.Context, j head.Judgement, mine head.Head) error {
 	switch j.Verdict {
 	case head.Lost:
-		return a.conflict(ctx, j.Rival, mine)
+		return a.conflict(ctx, j.Winner, mine)
 	case head.Forgotten:
 		return &UnknownError{Mine: mine, Err: errForgotten}
 	default:
--- a/internal/configsync/ask.go
+++ b/internal/configsync/ask.go
@@ -51,7 +51,7 @@
 			}
 			answered[i] = true
 			f.tick(f.Now())
-			f.learn(func(s head.Follower) (head.Follower, error) { return s.WithAnswer(ticket, ref, fresh) })
+			f.learn(func(s head.Follower) (head.Follower, error) { return s.WithReply(ticket, ref, fresh) })
 		})
 	}
 	wg.Wait()
@@ -61,12 +61,12 @@
 }
 
 // trust takes the newest version seen as confirmed if the table can't be read.
-func (f *Follower) trust(ticket head.Ticket) {
+func (f *Follower) trust(ticket head.QueryStamp) {
 	f.tick(f.Now())
 	f.mu.Lock()
 	before := f.state
 	if f.table == tableDown && f.state.Target().Version > 0 {
-		f.state = f.state.WithTrust(ticket)
+		f.state = f.state.WithAssumed(ticket)
 	}
 	changed := f.state != before
 	version := f.state.Target().Version
--- a/internal/configsync/fetch.go
+++ b/internal/configsync/fetch.go
@@ -21,7 +21,7 @@
 	b := failBackoff()
 	for {
 		f.mu.Lock()
-		ref, behind := f.state.Want()
+		ref, behind := f.state.Missing()
 		f.mu.Unlock()
 		if !behind {
 			b.Reset()
--- a/internal/configsync/follower.go
+++ b/internal/configsync/follower.go
@@ -234,7 +234,7 @@
 	}
 	trust := f.mayTrust(now)
 	if trust {
-		f.state = f.state.WithTrust(f.state.Ticket())
+		f.state = f.state.WithAssumed(f.state.Ticket())
 	}
 	version := f.state.Target().Version
 	f.mu.Unlock()
@@ -263,7 +263,7 @@
 // mayTrust tells whether the newest version seen is to be taken as confirmed:
 // the table can't be read and no fresh peer answered for TrustAfter.
 func (f *Follower) mayTrust(now time.Time) bool {
-	_, behind := f.state.Want()
+	_, behind := f.state.Missing()
 	return !f.state.Fresh() && f.table == tableDown && !behind &&
 		f.state.InForce().Version > 0 && now.Sub(f.staleAt) >= f.TrustAfter
 }
@@ -304,7 +304,7 @@
 
 // ticket is to be taken before a question is sent. A pause that no timer has
 // noticed yet is noticed here.
-func (f *Follower) ticket() head.Ticket {
+func (f *Follower) ticket() head.QueryStamp {
 	f.tick(f.Now())
 	f.mu.Lock()
 	defer f.mu.Unlock()
