--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -33,7 +33,7 @@
 		MaxTokens   int            `cbor:"11,keyasint"`
 		Offset      int            `cbor:"12,keyasint"` // number of tokens that the caller has
 		Resume      bool           `cbor:"13,keyasint"` // resume a generation that the engine already runs
-		Alone       bool           `cbor:"14,keyasint"` // run isolated: the request is suspected of crashing servers
+		Isolated    bool           `cbor:"14,keyasint"` // run isolated: the request is suspected of crashing servers
 		Fingerprint string         `cbor:"15,keyasint"` // hash of team, model and body
 	}
 
@@ -65,7 +65,7 @@
 
 	// Emit receives a reply with a token of the answer, and the resume token for
 	// the position after it. An error means that the caller has disconnected.
-	Emit func(reply Reply, at Token) error
+	Emit func(reply Reply, at ResumeToken) error
 )
 
 // FailureOf returns the Failure that encodes err, or nil if err is nil.
--- a/core/forward/token.go
+++ b/core/forward/token.go
@@ -12,34 +12,36 @@
 
 // Token identifies the position at which a streamed answer can be resumed.
 // Callers receive it as the id of each event and return it in Last-Event-ID.
-type Token struct {
+type ResumeToken struct {
 	RequestID string
 	Offset    int // number of tokens that the caller has
 	Server    string
 }
 
 // BadToken is the error for a resume token that can't be parsed.
-type BadToken struct{ Token string }
+type ResumeTokenError struct{ Token string }
 
 // Error returns a message with the quoted token.
-func (e *BadToken) Error() string { return "resume token does not parse: " + strconv.Quote(e.Token) }
+func (e *ResumeTokenError) Error() string {
+	return "resume token does not parse: " + strconv.Quote(e.Token)
+}
 
 // String returns the text form of the token, which ParseToken parses.
-func (t Token) String() string {
+func (t ResumeToken) String() string {
 	return t.RequestID + "." + strconv.Itoa(t.Offset) + "." + t.Server
 }
 
 // ParseToken parses the text form of a token. The error is a *BadToken.
-func ParseToken(text string) (Token, error) {
+func ParseResumeToken(text string) (ResumeToken, error) {
 	parts := strings.SplitN(text, ".", tokenFields)
 	if len(parts) != tokenFields || parts[0] == "" || parts[2] == "" {
-		return Token{}, &BadToken{Token: text}
+		return ResumeToken{}, &ResumeTokenError{Token: text}
 	}
 	n, err := strconv.Atoi(parts[1])
 	if err != nil || n < 0 {
-		return Token{}, &BadToken{Token: text}
+		return ResumeToken{}, &ResumeTokenError{Token: text}
 	}
-	return Token{RequestID: parts[0], Offset: n, Server: parts[2]}, nil
+	return ResumeToken{RequestID: parts[0], Offset: n, Server: parts[2]}, nil
 }
 
 // EngineID returns the request id at the engine. It contains a hash of the
--- a/core/queue/entry.go
+++ b/core/queue/entry.go
@@ -19,7 +19,7 @@
 		Value    float64
 		Deadline time.Time // for the last token; zero if none
 		Tokens   int       // maximum number of output tokens; zero if unknown
-		Alone    bool      // runs only while no other request runs on the server
+		Isolated bool      // runs only while no other request runs on the server
 	}
 
 	// Result reports whether an entry was admitted to the queue.
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -98,7 +98,7 @@
 	}
 	w := q.nextAged()
 	if w != nil {
-		if d, ok := q.tryDispatch(now, w); ok || w.Alone {
+		if d, ok := q.tryDispatch(now, w); ok || w.Isolated {
 			return d, ok
 		}
 	}
@@ -120,7 +120,7 @@
 	if r.Urgency == config.Deferrable {
 		q.runningDeferrable--
 	}
-	if r.Alone {
+	if r.Isolated {
 		q.isolated = false
 	}
 	if r.cancelling {
@@ -293,7 +293,7 @@
 
 // tryDispatch dispatches w if a slot is free or can be preempted for it.
 func (q *Queue) tryDispatch(now time.Time, w *waiting) (Dispatch, bool) {
-	if w.Alone && len(q.running) > 0 {
+	if w.Isolated && len(q.running) > 0 {
 		return Dispatch{}, false
 	}
 	victim, ok := q.findSlot(w)
@@ -319,7 +319,7 @@
 	if len(q.running)-q.cancelling < limit {
 		return nil, true
 	}
-	if w.Urgency != config.Urgent || w.Alone || len(q.running)-q.runningDeferrable >= q.settings.Slots {
+	if w.Urgency != config.Urgent || w.Isolated || len(q.running)-q.runningDeferrable >= q.settings.Slots {
 		return nil, false
 	}
 	v := q.victim()
@@ -352,7 +352,7 @@
 	if w.Urgency == config.Deferrable {
 		q.runningDeferrable++
 	}
-	q.isolated = w.Alone
+	q.isolated = w.Isolated
 	return Dispatch{
 		Entry: w.Entry, Waited: now.Sub(w.arrived),
 		Priority: Priority(w.Urgency),
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -228,7 +228,7 @@
 	q.Offer(at(0), entry("a", config.Normal, 1, 0))
 	require.Equal(t, []string{"a"}, drain(q, at(0)))
 	suspect := entry("suspect", config.Normal, 5, 0)
-	suspect.Alone = true
+	suspect.Isolated = true
 	q.Offer(at(0), suspect)
 	q.Offer(at(0), entry("b", config.Normal, 1, 0))
 	require.Empty(t, drain(q, at(0)), "b must not start before the isolated entry ahead of it")
@@ -256,7 +256,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				e := entry(fmt.Sprint(next), rapid.SampledFrom(urgencies).Draw(t, "urgency"), float64(rapid.IntRange(0, 2).Draw(t, "value")), 0)
-				e.Alone = rapid.IntRange(0, 9).Draw(t, "alone") == 0
+				e.Isolated = rapid.IntRange(0, 9).Draw(t, "alone") == 0
 				if rapid.Bool().Draw(t, "has-deadline") {
 					e.Deadline = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "deadline")) * time.Second)
 				}
@@ -280,7 +280,7 @@
 				}
 				require.Contains(t, waiting, d.ID)
 				for _, r := range running {
-					require.False(t, r.Alone || d.Alone, "an entry runs concurrently with an isolated one")
+					require.False(t, r.Isolated || d.Isolated, "an entry runs concurrently with an isolated one")
 				}
 				delete(waiting, d.ID)
 				running[d.ID] = d.Entry
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -239,7 +239,7 @@
 		Value:    job.Value,
 		Deadline: now.Add(job.Remaining()),
 		Tokens:   job.MaxTokens,
-		Alone:    job.Alone,
+		Isolated: job.Isolated,
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -182,7 +182,7 @@
 		e.Metrics.First(r.kind.Name, first.Sub(r.started))
 	}
 	q.Fingerprint = suspect.Of(r.team.Name, g.Model, g.Body)
-	err := e.run(ctx, g, q, func(reply forward.Reply, at forward.Token) error {
+	err := e.run(ctx, g, q, func(reply forward.Reply, at forward.ResumeToken) error {
 		tokens++
 		return emit(reply, at)
 	})
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -74,7 +74,7 @@
 
 // take keeps a reply and passes it on. The answer is stored before its finish
 // is passed on, so that a repeat finds it.
-func (r *recording) take(reply forward.Reply, at forward.Token) error {
+func (r *recording) take(reply forward.Reply, at forward.ResumeToken) error {
 	if reply.Finish == "" {
 		r.Tokens = append(r.Tokens, reply.Token)
 	} else {
@@ -106,12 +106,12 @@
 		return outcome.Unsure(outcome.Internal, "the stored answer can't be read")
 	}
 	for i, t := range s.Tokens {
-		if err := emit(forward.Reply{Offset: i, Token: t}, forward.Token{RequestID: id, Offset: i + 1, Server: "stored"}); err != nil {
+		if err := emit(forward.Reply{Offset: i, Token: t}, forward.ResumeToken{RequestID: id, Offset: i + 1, Server: "stored"}); err != nil {
 			return outcome.Fail(outcome.CallerGone, "")
 		}
 	}
 	last := forward.Reply{Offset: len(s.Tokens), Finish: s.Finish}
-	if err := emit(last, forward.Token{RequestID: id, Offset: len(s.Tokens), Server: "stored"}); err != nil {
+	if err := emit(last, forward.ResumeToken{RequestID: id, Offset: len(s.Tokens), Server: "stored"}); err != nil {
 		return outcome.Fail(outcome.CallerGone, "")
 	}
 	return nil
--- a/internal/generate/guard.go
+++ b/internal/generate/guard.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		return err
 	}
-	a.q.Alone = run.OnTrial()
-	if a.q.Alone {
+	a.q.Isolated = run.OnTrial()
+	if a.q.Isolated {
 		a.note("trial", string(outcome.CrashSuspect))
 	}
 	v, _ := a.r.Views.Get(a.server)
--- a/internal/generate/lost_test.go
+++ b/internal/generate/lost_test.go
@@ -52,7 +52,7 @@
 				ID: "r", Team: "c", Item: item, MaxTokens: 1, Deadline: time.Now().Add(200 * time.Millisecond),
 				Kind: config.Kind{Name: "k", Urgency: config.Urgent, Repeatable: true},
 			}
-			err := r.Do(t.Context(), q, func(forward.Reply, forward.Token) error { return nil })
+			err := r.Do(t.Context(), q, func(forward.Reply, forward.ResumeToken) error { return nil })
 			require.NotNil(t, outcome.From(err))
 		}
 		require.Equal(t, 1, owner.jobs)
--- a/internal/generate/outcome_test.go
+++ b/internal/generate/outcome_test.go
@@ -77,7 +77,7 @@
 				err := r.Do(t.Context(), generate.Request{
 					ID: "r", Team: "c", Item: item, MaxTokens: 1, Deadline: time.Now().Add(10 * time.Second),
 					Kind: config.Kind{Name: "k", Urgency: config.Urgent, Repeatable: test.repeatable},
-				}, func(forward.Reply, forward.Token) error { return nil })
+				}, func(forward.Reply, forward.ResumeToken) error { return nil })
 				e := outcome.From(err)
 				require.NotNil(t, e)
 				require.Equal(t, test.want, e.Outcome, e.Error())
@@ -114,7 +114,7 @@
 				_ = r.Do(t.Context(), generate.Request{
 					ID: "r", Team: "c", Item: item, MaxTokens: 1, Deadline: time.Now().Add(10 * time.Second),
 					Kind: config.Kind{Name: "k", Urgency: config.Urgent, Repeatable: true},
-				}, func(forward.Reply, forward.Token) error { return nil })
+				}, func(forward.Reply, forward.ResumeToken) error { return nil })
 			}
 			retries := owner.jobs - 200
 			require.GreaterOrEqual(t, retries, test.least, "share %v", test.share)
--- a/internal/generate/router.go
+++ b/internal/generate/router.go
@@ -48,10 +48,10 @@
 		Deadline    time.Time
 		PrefixHash  uint64
 		Fingerprint suspect.Fingerprint
-		Alone       bool
-		Started     func()         // called at the first token, may be nil
-		Buffered    bool           // the caller sees nothing before the finish
-		Resume      *forward.Token // continue an earlier answer, nil for a new one
+		Isolated    bool
+		Started     func()               // called at the first token, may be nil
+		Buffered    bool                 // the caller sees nothing before the finish
+		Resume      *forward.ResumeToken // continue an earlier answer, nil for a new one
 	}
 
 	// Views is what the node knows of backend servers.
--- a/internal/generate/send.go
+++ b/internal/generate/send.go
@@ -50,7 +50,7 @@
 // pass gives a reply to the caller, or holds it until the finish if the caller
 // sees nothing before: a generation that fails halfway can then begin anew.
 func (a *attempt) pass(reply forward.Reply) error {
-	at := forward.Token{RequestID: a.engineRequest(), Offset: a.offset, Server: a.server}
+	at := forward.ResumeToken{RequestID: a.engineRequest(), Offset: a.offset, Server: a.server}
 	if !a.q.Buffered {
 		return a.emit(reply, at)
 	}
@@ -91,7 +91,7 @@
 		MaxTokens:   a.q.MaxTokens,
 		Offset:      a.offset,
 		Resume:      resume,
-		Alone:       a.q.Alone,
+		Isolated:    a.q.Isolated,
 		Fingerprint: string(a.q.Fingerprint),
 	}
 }
--- a/io/caller/answer.go
+++ b/io/caller/answer.go
@@ -117,7 +117,7 @@
 func (a *answer) begin(p *parsed) { a.parsed = p }
 
 // reply takes one step of a generation.
-func (a *answer) reply(r forward.Reply, at forward.Token) error {
+func (a *answer) reply(r forward.Reply, at forward.ResumeToken) error {
 	if a.parsed.stream {
 		return a.event(r, at)
 	}
@@ -145,7 +145,7 @@
 }
 
 // event writes one step of a stream.
-func (a *answer) event(r forward.Reply, at forward.Token) error {
+func (a *answer) event(r forward.Reply, at forward.ResumeToken) error {
 	if !a.started {
 		a.head(http.StatusOK, "text/event-stream", nil)
 	}
--- a/io/caller/body.go
+++ b/io/caller/body.go
@@ -164,7 +164,7 @@
 	if last == "" {
 		return g, nil
 	}
-	t, err := forward.ParseToken(last)
+	t, err := forward.ParseResumeToken(last)
 	if err != nil {
 		return g, outcome.Refuse(outcome.BadRequest, err.Error(), 0)
 	}
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -43,9 +43,9 @@
 		Prompt    string
 		MaxTokens int
 		Stream    bool
-		Key       string         // idempotency key, may be empty
-		Resume    *forward.Token // nil for a new answer
-		Body      []byte         // as it came, for the fingerprint
+		Key       string               // idempotency key, may be empty
+		Resume    *forward.ResumeToken // nil for a new answer
+		Body      []byte               // as it came, for the fingerprint
 	}
 
 	// ServiceCall is one call of a plain service.
@@ -332,7 +332,7 @@
 	if g.Resume != nil {
 		a.offset = g.Resume.Offset
 	}
-	return s.Handler.Generate(ctx, g, func(reply forward.Reply, at forward.Token) error {
+	return s.Handler.Generate(ctx, g, func(reply forward.Reply, at forward.ResumeToken) error {
 		return a.reply(reply, at)
 	})
 }
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -39,7 +39,7 @@
 	if h.generate != nil {
 		return h.generate(ctx, g, emit)
 	}
-	return emit(forward.Reply{Finish: "stop"}, forward.Token{RequestID: g.RequestID, Server: "s"})
+	return emit(forward.Reply{Finish: "stop"}, forward.ResumeToken{RequestID: g.RequestID, Server: "s"})
 }
 
 func (h *handler) Call(_ context.Context, c caller.ServiceCall) (caller.ServiceAnswer, error) {
@@ -160,7 +160,7 @@
 // and without the end marker.
 func TestFailureInStream(t *testing.T) {
 	h := &handler{generate: func(_ context.Context, _ caller.Generation, emit forward.Emit) error {
-		if err := emit(forward.Reply{Token: "a"}, forward.Token{RequestID: "r", Offset: 1, Server: "s"}); err != nil {
+		if err := emit(forward.Reply{Token: "a"}, forward.ResumeToken{RequestID: "r", Offset: 1, Server: "s"}); err != nil {
 			return err
 		}
 		return outcome.Fail(outcome.BackendLost, "")
@@ -213,12 +213,12 @@
 	const idle = 300 * time.Millisecond
 	h := &handler{generate: func(_ context.Context, _ caller.Generation, emit forward.Emit) error {
 		for i := range 6 {
-			if err := emit(forward.Reply{Offset: i, Token: "t"}, forward.Token{RequestID: "r", Offset: i + 1, Server: "s"}); err != nil {
+			if err := emit(forward.Reply{Offset: i, Token: "t"}, forward.ResumeToken{RequestID: "r", Offset: i + 1, Server: "s"}); err != nil {
 				return err
 			}
 			<-time.After(idle / 2)
 		}
-		return emit(forward.Reply{Offset: 6, Finish: "stop"}, forward.Token{RequestID: "r", Offset: 6, Server: "s"})
+		return emit(forward.Reply{Offset: 6, Finish: "stop"}, forward.ResumeToken{RequestID: "r", Offset: 6, Server: "s"})
 	}}
 	url := start(t, h, func(s *caller.Server) { s.Idle = idle })
 	_, body := post(t, url+"/v1/completions", `{"model":"m","prompt":"p","stream":true}`)
@@ -230,7 +230,7 @@
 	release := make(chan struct{})
 	h := &handler{generate: func(_ context.Context, g caller.Generation, emit forward.Emit) error {
 		<-release
-		return emit(forward.Reply{Finish: "stop"}, forward.Token{RequestID: g.RequestID, Server: "s"})
+		return emit(forward.Reply{Finish: "stop"}, forward.ResumeToken{RequestID: g.RequestID, Server: "s"})
 	}}
 	draining := false
 	url := start(t, h, func(s *caller.Server) {
