--- a/core/lease/bench_test.go
+++ b/core/lease/bench_test.go
@@ -14,14 +14,14 @@
 func BenchmarkRenew(b *testing.B) {
 	for _, n := range []int{1, 8, 64, 600} {
 		b.Run(fmt.Sprint("servers=", n), func(b *testing.B) {
-			book := lease.NewBook(lease.Settings{Node: "node-001", Incarnation: "1"})
+			book := lease.NewRegistry(lease.Settings{Node: "node-001", Incarnation: "1"})
 			revision := uint64(1)
 			now := time.Duration(0)
 			book.Committed(now, book.Renew(now), revision)
 			for i := range n {
 				name := fmt.Sprintf("engine-%03d", i)
 				book.Observe(now, absentRow(lease.ServerKey(name)))
-				tx, ok := book.Take(now, name, 0)
+				tx, ok := book.Acquire(now, name, 0)
 				if !ok {
 					b.Fatal("server was not acquired")
 				}
--- a/core/lease/book.go
+++ b/core/lease/registry.go
@@ -32,7 +32,7 @@
 	}
 
 	// Book holds what one node knows of sessions and of the leases of servers.
-	Book struct {
+	Registry struct {
 		settings     Settings
 		serial       uint64 // of the session within the incarnation
 		id           string // of the session
@@ -71,7 +71,7 @@
 )
 
 // NewBook returns a Book with a new session and no known rows.
-func NewBook(s Settings) *Book {
+func NewRegistry(s Settings) *Registry {
 	if s.TTL == 0 {
 		s.TTL = DefaultTTL
 	}
@@ -81,17 +81,17 @@
 	if s.MaxPause == 0 {
 		s.MaxPause = DefaultMaxPause
 	}
-	b := &Book{settings: s, others: map[string]observation{}, servers: map[string]server{}}
+	b := &Registry{settings: s, others: map[string]observation{}, servers: map[string]server{}}
 	b.Restart()
 	return b
 }
 
 // ID returns the id of the node's current session.
-func (b *Book) ID() string { return b.id }
+func (b *Registry) ID() string { return b.id }
 
 // Restart abandons the current session, and with it the leases of all servers,
 // and starts a new one.
-func (b *Book) Restart() {
+func (b *Registry) Restart() {
 	b.serial++
 	b.id = b.settings.Node + "/" + b.settings.Incarnation + "/" + strconv.FormatUint(b.serial, 10)
 	b.own = session{renewalStarts: map[uint64]time.Duration{}}
@@ -99,7 +99,7 @@
 
 // Tick records the current time and reports whether the process was paused for
 // longer than allowed since the previous tick. The wall time may be zero.
-func (b *Book) Tick(now time.Duration, wall time.Time) bool {
+func (b *Registry) Tick(now time.Duration, wall time.Time) bool {
 	paused := false
 	if b.ticked {
 		step := now - b.lastTick
@@ -120,14 +120,14 @@
 
 // RenewDue reports whether the session should be renewed now: every third of
 // its time to live, and immediately after a gap.
-func (b *Book) RenewDue(now time.Duration) bool {
+func (b *Registry) RenewDue(now time.Duration) bool {
 	afterGap := b.needsRenewal && b.own.lastAttempt < b.gapEnd
 	return !b.own.attempted || afterGap || now-b.own.lastAttempt >= b.settings.TTL/renewalsPerTTL
 }
 
 // Renew returns the transaction that creates or renews the session. The caller
 // must send it right away, because the lease counts from now.
-func (b *Book) Renew(now time.Duration) row.Tx {
+func (b *Registry) Renew(now time.Duration) row.Tx {
 	b.own.renewal++
 	b.own.attempted, b.own.lastAttempt = true, now
 	b.own.renewalStarts[b.own.renewal] = now
@@ -137,7 +137,7 @@
 }
 
 // Keys returns the keys to read back if the outcome of tx is unknown.
-func (b *Book) Keys(tx row.Tx) []string {
+func (b *Registry) WriteKeys(tx row.Tx) []string {
 	keys := make([]string, 0, len(tx.Writes))
 	for _, w := range tx.Writes {
 		keys = append(keys, w.Key)
@@ -146,7 +146,7 @@
 }
 
 // Committed records that tx was committed at the given revision.
-func (b *Book) Committed(now time.Duration, tx row.Tx, revision uint64) {
+func (b *Registry) Committed(now time.Duration, tx row.Tx, revision uint64) {
 	for _, w := range tx.Writes {
 		if w.Delete {
 			b.Observe(now, row.Row{Key: w.Key})
@@ -158,7 +158,7 @@
 
 // Observe records rows that were read, written or reported as conflicts. Rows
 // older than known ones, and rows that don't belong to leases, are ignored.
-func (b *Book) Observe(now time.Duration, rows ...row.Row) {
+func (b *Registry) Observe(now time.Duration, rows ...row.Row) {
 	for _, r := range rows {
 		if id, ok := sessionOf(r.Key); ok {
 			if id == b.ID() {
@@ -172,7 +172,7 @@
 	}
 }
 
-func (b *Book) observeOwn(r row.Row) {
+func (b *Registry) observeOwn(r row.Row) {
 	if r.Revision == 0 {
 		// Either another node ended the session, or its creation may still be
 		// in transit. In both cases this id must not be used again.
@@ -199,7 +199,7 @@
 	}
 }
 
-func (b *Book) observeSession(now time.Duration, id string, r row.Row) {
+func (b *Registry) observeSession(now time.Duration, id string, r row.Row) {
 	old, known := b.others[id]
 	switch {
 	case r.Revision == 0:
@@ -215,7 +215,7 @@
 	}
 }
 
-func (b *Book) observeServer(name string, r row.Row) {
+func (b *Registry) observeServer(name string, r row.Row) {
 	old, known := b.servers[name]
 	if known && r.Revision <= old.revision {
 		return
@@ -234,7 +234,7 @@
 }
 
 // pruneSession deletes the observation of a session that holds no known server.
-func (b *Book) pruneSession(id string) {
+func (b *Registry) pruneSession(id string) {
 	for _, s := range b.servers {
 		if s.value.Holder == id {
 			return
@@ -244,11 +244,11 @@
 }
 
 // Alive reports whether the session was created and is not known to have ended.
-func (b *Book) Alive() bool { return b.own.created }
+func (b *Registry) Alive() bool { return b.own.created }
 
 // Remaining returns for how long the node may still send orders. It is zero or
 // negative if the node may not send.
-func (b *Book) Remaining(now time.Duration) time.Duration {
+func (b *Registry) Remaining(now time.Duration) time.Duration {
 	if !b.own.created || b.needsRenewal {
 		return 0
 	}
@@ -258,7 +258,7 @@
 // Held returns the epoch of a server, and whether this node's session owns the
 // server according to the last observed rows. The lease may have expired
 // nevertheless: see MaySend.
-func (b *Book) Held(name string) (uint64, bool) {
+func (b *Registry) Held(name string) (uint64, bool) {
 	s, ok := b.servers[name]
 	if !ok || !b.own.created || s.forgotten || s.value.Holder != b.ID() {
 		return 0, false
@@ -268,7 +268,7 @@
 
 // MaySend returns the epoch under which an order may be sent to a server now,
 // and false if none may be sent.
-func (b *Book) MaySend(now time.Duration, name string) (uint64, bool) {
+func (b *Registry) MaySend(now time.Duration, name string) (uint64, bool) {
 	epoch, ok := b.Held(name)
 	if !ok || b.Remaining(now) <= 0 {
 		return 0, false
@@ -277,13 +277,13 @@
 }
 
 // Row returns a server's row as last observed, and false if it is not known.
-func (b *Book) Row(name string) (Server, bool) {
+func (b *Registry) Row(name string) (Server, bool) {
 	s, ok := b.servers[name]
 	return s.value, ok
 }
 
 // Watch returns the keys of the rows that determine when a server becomes free.
-func (b *Book) Watch(name string) []string {
+func (b *Registry) KeysToWatch(name string) []string {
 	keys := []string{ServerKey(name)}
 	s := b.servers[name].value
 	if s.Holder != "" && s.Holder != b.ID() && !b.others[s.Holder].ended {
@@ -294,7 +294,7 @@
 
 // Free returns how long the node has to wait before it may acquire a server,
 // and false if that can't be derived from the rows observed so far.
-func (b *Book) Free(now time.Duration, name string) (time.Duration, bool) {
+func (b *Registry) FreeIn(now time.Duration, name string) (time.Duration, bool) {
 	s, ok := b.servers[name]
 	if !ok {
 		return 0, false
@@ -317,8 +317,8 @@
 // the row are kept. A server that the session already holds also gets the next
 // epoch, which invalidates all orders under earlier epochs on a server that
 // checks fencing numbers. The new epoch is greater than above.
-func (b *Book) Take(now time.Duration, name string, above uint64) (row.Tx, bool) {
-	wait, known := b.Free(now, name)
+func (b *Registry) Acquire(now time.Duration, name string, above uint64) (row.Tx, bool) {
+	wait, known := b.FreeIn(now, name)
 	if !known || wait > 0 || !b.own.created {
 		return row.Tx{}, false
 	}
@@ -336,7 +336,7 @@
 // Record returns the transaction that stores orders in the row of a held server,
 // for the next owner to inherit. The transaction is not committed if another
 // node has acquired the server.
-func (b *Book) Record(name string, orders json.RawMessage) (row.Tx, bool) {
+func (b *Registry) RecordOrders(name string, orders json.RawMessage) (row.Tx, bool) {
 	if _, ok := b.Held(name); !ok {
 		return row.Tx{}, false
 	}
@@ -349,12 +349,12 @@
 // Release returns the transaction that frees a held server for other nodes
 // immediately. From now on the server counts as not held, whether or not the
 // transaction is committed.
-func (b *Book) Release(name string) (row.Tx, bool) {
+func (b *Registry) Release(name string) (row.Tx, bool) {
 	if _, ok := b.Held(name); !ok {
 		return row.Tx{}, false
 	}
 	s := b.servers[name]
-	b.Drop(name)
+	b.Forget(name)
 	v := s.value
 	v.Holder, v.Node = "", ""
 	return row.Tx{}.When(ServerKey(name), s.revision).Put(ServerKey(name), encode(v)), true
@@ -362,7 +362,7 @@
 
 // Drop marks a server as not held until it is acquired again, for example
 // because a higher epoch was reported for it.
-func (b *Book) Drop(name string) {
+func (b *Registry) Forget(name string) {
 	if s, ok := b.servers[name]; ok {
 		s.forgotten = true
 		b.servers[name] = s
@@ -372,7 +372,7 @@
 // End starts a new session and returns the transaction that ends the previous
 // one, which frees all servers that it still owns. It returns false if the
 // session was not created.
-func (b *Book) End() (row.Tx, bool) {
+func (b *Registry) EndSession() (row.Tx, bool) {
 	if !b.own.created {
 		return row.Tx{}, false
 	}
--- a/core/lease/book_test.go
+++ b/core/lease/registry_test.go
@@ -24,7 +24,7 @@
 	// contender is a node that competes for the server. Its transactions may be
 	// committed at any time after they were created, and replies may be lost.
 	contender struct {
-		book        *lease.Book
+		book        *lease.Registry
 		tx          *row.Tx // in transit
 		arrivesAt   time.Duration
 		pausedUntil time.Duration // the node is paused until then
@@ -62,12 +62,12 @@
 	return out
 }
 
-func newBook(name string) *lease.Book {
-	return lease.NewBook(lease.Settings{Node: name, Incarnation: "1"})
+func newBook(name string) *lease.Registry {
+	return lease.NewRegistry(lease.Settings{Node: name, Incarnation: "1"})
 }
 
 // transact commits a transaction and updates the book with the result.
-func (t *table) transact(now time.Duration, b *lease.Book, tx row.Tx) {
+func (t *table) transact(now time.Duration, b *lease.Registry, tx row.Tx) {
 	if r := t.commit(tx); r.Committed {
 		b.Committed(now, tx, r.Revision)
 	} else {
@@ -127,13 +127,13 @@
 	case r.IntN(60) == 0:
 		tx, ok = v.book.Release(server)
 	case r.IntN(120) == 0:
-		tx, ok = v.book.End()
+		tx, ok = v.book.EndSession()
 	case r.IntN(60) == 0:
 		v.pausedUntil = now + time.Duration(r.Int64N(int64(15*time.Second)))
 	default:
-		v.book.Observe(now, t.read(v.book.Watch(server)...)...)
+		v.book.Observe(now, t.read(v.book.KeysToWatch(server)...)...)
 		if _, held := v.book.Held(server); !held || r.IntN(20) == 0 {
-			tx, ok = v.book.Take(now, server, 0)
+			tx, ok = v.book.Acquire(now, server, 0)
 		}
 	}
 	if !ok {
@@ -152,10 +152,10 @@
 	v.tx = nil
 	switch r.IntN(8) {
 	case 0: // the transaction is lost
-		v.book.Observe(now, t.read(v.book.Keys(tx)...)...)
+		v.book.Observe(now, t.read(v.book.WriteKeys(tx)...)...)
 	case 1: // the transaction is committed, its reply is lost
 		t.commit(tx)
-		v.book.Observe(now, t.read(v.book.Keys(tx)...)...)
+		v.book.Observe(now, t.read(v.book.WriteKeys(tx)...)...)
 	case 2: // as before, and the table can't be read back
 		t.commit(tx)
 	default:
@@ -165,12 +165,12 @@
 
 // heldServer returns the book of a node that has held the server since second 1,
 // and the table.
-func heldServer(t *testing.T) (*lease.Book, *table) {
+func heldServer(t *testing.T) (*lease.Registry, *table) {
 	tab := &table{rows: map[string]row.Row{}}
 	b := newBook("n1")
 	tab.transact(time.Second, b, b.Renew(time.Second))
-	b.Observe(time.Second, tab.read(b.Watch(server)...)...)
-	tx, ok := b.Take(time.Second, server, 0)
+	b.Observe(time.Second, tab.read(b.KeysToWatch(server)...)...)
+	tx, ok := b.Acquire(time.Second, server, 0)
 	require.True(t, ok)
 	tab.transact(time.Second, b, tx)
 	return b, tab
@@ -221,15 +221,15 @@
 	c := newBook("n2")
 	tab.transact(0, c, c.Renew(0))
 	for range 2 {
-		c.Observe(time.Second, tab.read(c.Watch(server)...)...)
+		c.Observe(time.Second, tab.read(c.KeysToWatch(server)...)...)
 	}
-	wait, known := c.Free(time.Second, server)
+	wait, known := c.FreeIn(time.Second, server)
 	require.True(t, known)
 	require.Equal(t, lease.DefaultTTL+lease.DefaultMargin, wait)
-	_, ok := c.Take(8*time.Second-1, server, 0)
+	_, ok := c.Acquire(8*time.Second-1, server, 0)
 	require.False(t, ok)
 	tab.transact(8*time.Second, b, b.Renew(8*time.Second))
-	tx, ok := c.Take(8*time.Second, server, 0)
+	tx, ok := c.Acquire(8*time.Second, server, 0)
 	require.True(t, ok)
 	tab.transact(8*time.Second, c, tx)
 	_, taken := c.Held(server)
--- a/core/ledger/simulation_test.go
+++ b/core/ledger/simulation_test.go
@@ -88,7 +88,7 @@
 		name      string
 		starts    int
 		busyUntil time.Duration // the node is paused or in a call until then
-		book      *lease.Book
+		book      *lease.Registry
 		ledger    *ledger.Ledger
 	}
 
@@ -252,7 +252,7 @@
 // start resets the node to its initial state, as after a crash.
 func (n *node) start() {
 	n.starts++
-	n.book = lease.NewBook(lease.Settings{Node: n.name, Incarnation: fmt.Sprint(n.starts)})
+	n.book = lease.NewRegistry(lease.Settings{Node: n.name, Incarnation: fmt.Sprint(n.starts)})
 	n.reset()
 	n.busyUntil = 0
 }
@@ -274,7 +274,7 @@
 		n.pause(callTimeout)
 		n.w.schedule(callTimeout, n.whileRunning(func() {
 			if !t.down {
-				n.book.Observe(n.w.now, t.read(n.book.Keys(tx)...)...)
+				n.book.Observe(n.w.now, t.read(n.book.WriteKeys(tx)...)...)
 			}
 		}))
 		return
@@ -282,7 +282,7 @@
 	r := t.commit(tx)
 	switch {
 	case f.answerLost:
-		n.book.Observe(n.w.now, t.read(n.book.Keys(tx)...)...)
+		n.book.Observe(n.w.now, t.read(n.book.WriteKeys(tx)...)...)
 	case r.Committed:
 		n.book.Committed(n.w.now, tx, r.Revision)
 	default:
@@ -308,9 +308,9 @@
 	if n.w.table.down {
 		return
 	}
-	n.book.Observe(n.w.now, n.w.table.read(n.book.Watch(server)...)...)
+	n.book.Observe(n.w.now, n.w.table.read(n.book.KeysToWatch(server)...)...)
 	_, held := n.book.Held(server)
-	if tx, ok := n.book.Take(n.w.now, server, 0); ok && (!held || f.answerLost) { // sometimes moves to the next epoch
+	if tx, ok := n.book.Acquire(n.w.now, server, 0); ok && (!held || f.answerLost) { // sometimes moves to the next epoch
 		n.transact(tx, f)
 	}
 }
@@ -383,7 +383,7 @@
 	if records := n.ledger.Records(); len(records) > 0 {
 		orders, _ = json.Marshal(records)
 	}
-	tx, ok := n.book.Record(server, orders)
+	tx, ok := n.book.RecordOrders(server, orders)
 	if !ok || n.w.table.down {
 		return false
 	}
--- a/internal/owner/keeper.go
+++ b/internal/owner/keeper.go
@@ -82,7 +82,7 @@
 		o.book.Observe(o.now(), result.Conflicts...)
 	case table.KindOf(err) == table.Uncertain:
 		o.Metrics.lease("uncertain")
-		keys := o.book.Keys(tx)
+		keys := o.book.WriteKeys(tx)
 		o.mu.Unlock()
 		o.readBack(ctx, keys)
 		o.mu.Lock()
@@ -168,7 +168,7 @@
 	for name := range wanted {
 		if _, held := o.book.Held(name); !held {
 			missing = append(missing, name)
-			keys = append(keys, o.book.Watch(name)...)
+			keys = append(keys, o.book.KeysToWatch(name)...)
 		}
 	}
 	o.mu.Unlock()
@@ -184,7 +184,7 @@
 // take takes a server if it is free, with an epoch higher than above.
 func (o *Owner) take(ctx context.Context, name string, above uint64) {
 	o.mu.Lock()
-	tx, ok := o.book.Take(o.now(), name, above)
+	tx, ok := o.book.Acquire(o.now(), name, above)
 	o.mu.Unlock()
 	if ok {
 		o.transact(ctx, tx)
@@ -238,7 +238,7 @@
 			o.mu.Unlock()
 			return true
 		}
-		tx, ok := o.book.Record(server, orders)
+		tx, ok := o.book.RecordOrders(server, orders)
 		o.mu.Unlock()
 		if !ok {
 			return false
@@ -264,7 +264,7 @@
 func (o *Owner) watch(server string) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.book.Watch(server)
+	return o.book.KeysToWatch(server)
 }
 
 // loading returns how many items are on their way on this node's servers.
@@ -282,7 +282,7 @@
 func (o *Owner) drop(server string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.book.Drop(server)
+	o.book.Forget(server)
 }
 
 // release frees a server for its next owner.
@@ -301,7 +301,7 @@
 // releaseAll ends the session, which frees all servers at once.
 func (o *Owner) releaseAll(ctx context.Context) {
 	o.mu.Lock()
-	tx, ok := o.book.End()
+	tx, ok := o.book.EndSession()
 	o.mu.Unlock()
 	if ok {
 		o.transact(ctx, tx)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -87,7 +87,7 @@
 		claims   *claims
 		division division   // of the loop that takes servers
 		mu       sync.Mutex // guards all below
-		book     *lease.Book
+		book     *lease.Registry
 		catalog  *catalog
 		version  uint64
 		workers  map[string]*worker
@@ -126,7 +126,7 @@
 		}
 		o.epoch = time.Now()
 		o.Lease.Node, o.Lease.Incarnation = o.Node, o.Incarnation
-		o.book = lease.NewBook(o.Lease)
+		o.book = lease.NewRegistry(o.Lease)
 		o.catalog = newCatalog(config.Document{})
 		o.claims = newClaims(o)
 		o.workers = map[string]*worker{}
