--- a/core/ledger/entry.go
+++ b/core/ledger/entry.go
@@ -10,7 +10,7 @@
 type State string
 
 // Answer is the result of a call that carried an order.
-type Answer string
+type CallResult string
 
 const (
 	// Absent items take no memory.
@@ -29,11 +29,11 @@
 
 const (
 	// Accepted means that the engine accepted the order or has completed it.
-	Accepted Answer = "accepted"
+	Accepted CallResult = "accepted"
 	// NotDone means that this call had no effect and can't have one later.
-	NotDone Answer = "not-done"
+	NotDone CallResult = "not-done"
 	// Unknown means that the order may take effect now or later.
-	Unknown Answer = "unknown"
+	Unknown CallResult = "unknown"
 )
 
 type (
@@ -70,7 +70,7 @@
 // Held returns the bytes reserved for the entry. An unsettled load includes the
 // peak even when the item is resident: after a restart the engine may execute
 // the order again.
-func (e Entry) Held() int64 {
+func (e Entry) ReservedBytes() int64 {
 	settled := e.Order.Op != backend.Load && (e.State == Resident || e.State == Unloading)
 	if settled || e.Order.Op == backend.Unload {
 		return e.Cost.Bytes
--- a/core/ledger/invariant_test.go
+++ b/core/ledger/invariant_test.go
@@ -253,16 +253,16 @@
 	}
 	t.Run("refused the second time", func(t *testing.T) {
 		l, id := sent()
-		l.Answered(3, id, ledger.Unknown)
+		l.RecordResult(3, id, ledger.Unknown)
 		_, ok := l.Resend(item)
 		require.True(t, ok)
 		l.Sending(4, id)
-		l.Answered(5, id, ledger.NotDone)
+		l.RecordResult(5, id, ledger.NotDone)
 		require.Equal(t, int64(45), l.Free(), "the first call may still arrive")
 	})
 	t.Run("refused the first time", func(t *testing.T) {
 		l, id := sent()
-		l.Answered(3, id, ledger.NotDone)
+		l.RecordResult(3, id, ledger.NotDone)
 		require.Equal(t, int64(capacity), l.Free())
 	})
 	t.Run("resident while a call is open", func(t *testing.T) {
@@ -271,27 +271,27 @@
 		require.Equal(t, int64(45), l.Free(), "after a restart the open call could load the item again")
 		_, err := l.Reserve(5, backend.Unload, item, ledger.Cost{}, nil)
 		require.ErrorContains(t, err, string(ledger.Unsettled))
-		l.Answered(6, id, ledger.Accepted)
+		l.RecordResult(6, id, ledger.Accepted)
 		l.Observe(7, 8, inventory(backend.Resident))
 		require.Equal(t, int64(60), l.Free())
 	})
 	t.Run("call that may have reached the new boot", func(t *testing.T) {
 		l, id := sent()
 		l.Observe(3, 4, inventory())
-		l.Answered(5, id, ledger.Unknown)
+		l.RecordResult(5, id, ledger.Unknown)
 		require.True(t, l.Observe(6, 7, backend.Inventory{BootID: "c"}))
 		require.Equal(t, int64(45), l.Free())
 	})
 	t.Run("call that ended before the restart", func(t *testing.T) {
 		l, id := sent()
-		l.Answered(3, id, ledger.Unknown)
+		l.RecordResult(3, id, ledger.Unknown)
 		l.Observe(4, 5, inventory())
 		require.True(t, l.Observe(6, 7, backend.Inventory{BootID: "c"}))
 		require.Equal(t, int64(capacity), l.Free())
 	})
 	t.Run("inherited and sent twice", func(t *testing.T) {
 		l, id := sent()
-		l.Answered(3, id, ledger.Unknown)
+		l.RecordResult(3, id, ledger.Unknown)
 		l.Resend(item)
 		records := l.Records()
 		require.True(t, records[0].Resent)
@@ -366,7 +366,7 @@
 				require.ErrorContains(t, err, string(ledger.Unsettled))
 				return
 			}
-			var refusal *ledger.Refusal
+			var refusal *ledger.RefusalError
 			require.ErrorAs(t, err, &refusal)
 			require.Equal(t, tt.want, refusal.Reason)
 		})
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -39,13 +39,13 @@
 
 // Set replaces the settings, for example after a configuration change. Memory
 // that is reserved remains reserved.
-func (l *Ledger) Set(s Settings) { l.settings = s }
+func (l *Ledger) SetSettings(s Settings) { l.settings = s }
 
 // Epoch returns the epoch of the last Adopt.
 func (l *Ledger) Epoch() uint64 { return l.epoch }
 
 // Boot returns the last observed boot id.
-func (l *Ledger) Boot() string { return l.bootID }
+func (l *Ledger) BootID() string { return l.bootID }
 
 // Adopt restarts the ledger under a new, higher epoch. The inventory must have
 // been read after the server was acquired and, on a server that checks fencing
@@ -83,7 +83,7 @@
 func (l *Ledger) Used() int64 {
 	var n int64
 	for _, e := range l.entries {
-		n += e.Held()
+		n += e.ReservedBytes()
 	}
 	return n
 }
@@ -104,7 +104,7 @@
 }
 
 // Coming returns the items that may become resident, sorted by name.
-func (l *Ledger) Coming() []backend.Item {
+func (l *Ledger) Loading() []backend.Item {
 	var out []backend.Item
 	for _, e := range l.Entries() {
 		if e.State != Resident && e.State != Unloading && e.Order.Op != backend.Unload {
@@ -151,7 +151,7 @@
 // unloaded. The error is a *Refusal.
 func (l *Ledger) Reserve(now time.Duration, op backend.Op, item backend.Item, cost Cost, isLastCopy func(backend.Item) bool) (backend.Order, error) {
 	refuse := func(r Reason) (backend.Order, error) {
-		return backend.Order{}, &Refusal{Server: l.settings.Server, Item: item.String(), Reason: r, Need: cost.Bytes + cost.Peak, Free: l.Free()}
+		return backend.Order{}, &RefusalError{Server: l.settings.Server, Item: item.String(), Reason: r, Need: cost.Bytes + cost.Peak, Free: l.Free()}
 	}
 	e, ok := l.entries[item]
 	switch {
@@ -268,7 +268,7 @@
 }
 
 // Answered records the result of a call with the order.
-func (l *Ledger) Answered(now time.Duration, orderID string, a Answer) {
+func (l *Ledger) RecordResult(now time.Duration, orderID string, a CallResult) {
 	e := l.entryByOrder(orderID)
 	if e == nil {
 		return
--- a/core/ledger/refusal.go
+++ b/core/ledger/refusal.go
@@ -25,7 +25,7 @@
 )
 
 // Refusal is the error for an order that was not allowed.
-type Refusal struct {
+type RefusalError struct {
 	Server string
 	Item   string
 	Reason Reason
@@ -34,7 +34,7 @@
 }
 
 // Error returns the server, the item and the reason, and for NoMemory the bytes.
-func (r *Refusal) Error() string {
+func (r *RefusalError) Error() string {
 	if r.Reason == NoMemory {
 		return fmt.Sprintf("ledger: %s: %s: %s: need %d, free %d", r.Server, r.Item, r.Reason, r.Need, r.Free)
 	}
--- a/core/ledger/simulation_test.go
+++ b/core/ledger/simulation_test.go
@@ -215,7 +215,7 @@
 }
 
 // order executes o at the engine.
-func (w *simulation) order(o backend.Order) ledger.Answer {
+func (w *simulation) order(o backend.Order) ledger.CallResult {
 	e := &w.engine
 	if e.done[o.OrderID] {
 		return ledger.Accepted
@@ -375,7 +375,7 @@
 	}
 	epoch, held := n.book.Held(server)
 	e := &n.w.engine
-	return n.w.table.down && e.checks && held && epoch == n.ledger.Epoch() && e.fence == epoch && e.inventory().BootID == n.ledger.Boot()
+	return n.w.table.down && e.checks && held && epoch == n.ledger.Epoch() && e.fence == epoch && e.inventory().BootID == n.ledger.BootID()
 }
 
 func (n *node) record() bool {
@@ -399,11 +399,11 @@
 	n.ledger.Sending(n.w.now, o.OrderID)
 	done := false
 	l := n.ledger
-	answer := func(a ledger.Answer) func() {
+	answer := func(a ledger.CallResult) func() {
 		return n.whileRunning(func() {
 			if !done && n.ledger == l {
 				done = true
-				l.Answered(n.w.now, o.OrderID, a)
+				l.RecordResult(n.w.now, o.OrderID, a)
 			}
 		})
 	}
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -117,7 +117,7 @@
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.o.CallTimeout)
 	defer cancel()
 	done, err := w.engine.Order(call, order)
-	w.ledger.Answered(w.o.now(), order.OrderID, answerOf(err))
+	w.ledger.RecordResult(w.o.now(), order.OrderID, answerOf(err))
 	w.note(order, done, err)
 	if err != nil {
 		w.rest[order.Item] = w.o.now() + retryAfter
@@ -189,7 +189,7 @@
 		return Rival
 	case err != nil:
 		return Unreachable
-	case inv.BootID != w.ledger.Boot():
+	case inv.BootID != w.ledger.BootID():
 		return Restarted
 	}
 	w.ledger.Observe(began, w.o.now(), inv)
@@ -258,7 +258,7 @@
 	for _, e := range w.ledger.Entries() {
 		switch {
 		case e.Order.Op == backend.Unload || e.State == ledger.Unloading:
-			missing -= e.Held() // on its way out
+			missing -= e.ReservedBytes() // on its way out
 		case w.evictable(e, want):
 			candidates = append(candidates, e)
 		}
@@ -268,7 +268,7 @@
 	}
 	var sum int64
 	for _, e := range candidates {
-		sum += e.Held()
+		sum += e.ReservedBytes()
 	}
 	if sum < missing {
 		candidates = nil
@@ -279,7 +279,7 @@
 			break
 		}
 		if w.unload(ctx, e.Item) == allowed {
-			missing -= e.Held()
+			missing -= e.ReservedBytes()
 		}
 	}
 	if missing > 0 {
--- a/internal/owner/reason.go
+++ b/internal/owner/reason.go
@@ -38,14 +38,14 @@
 
 // reasonOf returns the reason inside an error of core/ledger.
 func reasonOf(err error) Reason {
-	if r, ok := errors.AsType[*ledger.Refusal](err); ok {
+	if r, ok := errors.AsType[*ledger.RefusalError](err); ok {
 		return Reason(r.Reason)
 	}
 	return Reason("unknown")
 }
 
 // answerOf tells what an engine's answer means for the order.
-func answerOf(err error) ledger.Answer {
+func answerOf(err error) ledger.CallResult {
 	switch engine.KindOf(err) {
 	case "":
 		return ledger.Accepted
--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -163,7 +163,7 @@
 		w.engine = w.o.engine(s.Address)
 	}
 	w.server = s
-	w.ledger.Set(w.catalog.settings(s))
+	w.ledger.SetSettings(w.catalog.settings(s))
 }
 
 // handOver releases the server.
@@ -195,7 +195,7 @@
 		w.overtaken(ctx, err, epoch)
 		return
 	}
-	if w.ledger.Epoch() != 0 && w.ledger.Boot() != inv.BootID {
+	if w.ledger.Epoch() != 0 && w.ledger.BootID() != inv.BootID {
 		w.restarted()
 	}
 	w.ledger.Adopt(taken, epoch, inv, records)
@@ -275,7 +275,7 @@
 
 // restarted tells about a new boot id.
 func (w *worker) restarted() {
-	w.log.Warn("engine restarted", zap.Uint64("epoch", w.ledger.Epoch()), zap.String("boot-id", w.ledger.Boot()))
+	w.log.Warn("engine restarted", zap.Uint64("epoch", w.ledger.Epoch()), zap.String("boot-id", w.ledger.BootID()))
 	w.o.Metrics.Restarts.Inc()
 	clear(w.rest)
 	if w.o.OnRestart != nil {
@@ -334,7 +334,7 @@
 	w.sequence++
 	v := view.Server{
 		Server: w.name, Owner: w.o.Node, Epoch: epoch, Sequence: w.sequence,
-		BootID: w.ledger.Boot(), Resident: w.ledger.Serving(), Loading: w.ledger.Coming(),
+		BootID: w.ledger.BootID(), Resident: w.ledger.Serving(), Loading: w.ledger.Loading(),
 		Slots: w.server.Slots, FreeBytes: w.ledger.Free(),
 		Reachable: w.misses < missesToUnreachable && w.ledger.Epoch() == epoch, Leaving: w.leaving,
 	}
