--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -11,10 +11,10 @@
 	DefaultWindow = 10 * time.Second
 	// DefaultNormalPart is the fraction of the capacity up to which normal work
 	// is admitted.
-	DefaultNormalPart = 0.95
+	DefaultNormalFraction = 0.95
 	// DefaultDeferrablePart is the fraction of the capacity up to which
 	// deferrable work is admitted.
-	DefaultDeferrablePart = 0.8
+	DefaultDeferrableFraction = 0.8
 	// MinRetryAfter is the minimum retry delay of a refused request.
 	MinRetryAfter = 100 * time.Millisecond
 	// MaxRetryAfter is the maximum retry delay of a refused request.
@@ -52,11 +52,11 @@
 	// Settings configures a policy. With a Capacity of zero only the rules
 	// apply.
 	Settings struct {
-		Capacity       float64       // of this node, in units per second
-		Window         time.Duration // DefaultWindow if zero
-		NormalPart     float64       // DefaultNormalPart if zero
-		DeferrablePart float64       // DefaultDeferrablePart if zero
-		Rules          []Rule
+		Capacity           float64       // of this node, in units per second
+		Window             time.Duration // DefaultWindow if zero
+		NormalFraction     float64       // DefaultNormalPart if zero
+		DeferrableFraction float64       // DefaultDeferrablePart if zero
+		Rules              []Rule
 	}
 )
 
@@ -70,9 +70,9 @@
 	case config.Urgent:
 		return 1
 	case config.Deferrable:
-		return orDefault(s.DeferrablePart, DefaultDeferrablePart)
+		return orDefault(s.DeferrableFraction, DefaultDeferrableFraction)
 	}
-	return orDefault(s.NormalPart, DefaultNormalPart)
+	return orDefault(s.NormalFraction, DefaultNormalFraction)
 }
 
 // window returns the window in seconds.
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -65,8 +65,8 @@
 			map[string]float64{"a": 5000, "b": 30}, map[string]float64{"a": 1, "b": 1}, map[string]float64{"a": 70, "b": 30}},
 	} {
 		for policy, p := range map[string]limit.Policy{
-			"cost":     limit.NewByCost(limit.Settings{Capacity: capacity, NormalPart: 1}),
-			"requests": limit.NewByRequests(limit.Settings{Capacity: capacity, NormalPart: 1}),
+			"cost":     limit.NewByCost(limit.Settings{Capacity: capacity, NormalFraction: 1}),
+			"requests": limit.NewByRequests(limit.Settings{Capacity: capacity, NormalFraction: 1}),
 		} {
 			t.Run(name+" by "+policy, func(t *testing.T) {
 				got := simulate(p, seconds, 1, normal, c.rates, c.weights)
@@ -83,8 +83,8 @@
 // ByCost refuses a small request with a high cost and ByRequests admits it.
 func TestCostCountsFanOut(t *testing.T) {
 	const window = 10.0
-	cost := limit.NewByCost(limit.Settings{Capacity: 100 / window, NormalPart: 1})
-	count := limit.NewByRequests(limit.Settings{Capacity: 100 / window, NormalPart: 1})
+	cost := limit.NewByCost(limit.Settings{Capacity: 100 / window, NormalFraction: 1})
+	count := limit.NewByRequests(limit.Settings{Capacity: 100 / window, NormalFraction: 1})
 	c := team("northstar", 1)
 	r, ok, _ := cost.Admit(start, c, normal, 40)
 	require.True(t, ok)
@@ -114,12 +114,12 @@
 // TestUnsettledStaysReserved checks that the passing of time does not release
 // units that aren't known to be unused.
 func TestUnsettledStaysReserved(t *testing.T) {
-	p := limit.NewByCost(limit.Settings{Capacity: 10, NormalPart: 1})
+	p := limit.NewByCost(limit.Settings{Capacity: 10, NormalFraction: 1})
 	r, ok, _ := p.Admit(start, team("a", 1), normal, 100)
 	require.True(t, ok)
 	_, ok, _ = p.Admit(start.Add(24*time.Hour), team("a", 1), normal, 10)
 	require.False(t, ok)
-	require.Equal(t, 1, p.Open())
+	require.Equal(t, 1, p.Unsettled())
 	p.Settle(start.Add(24*time.Hour), r, 0)
 	_, ok, _ = p.Admit(start.Add(24*time.Hour), team("a", 1), normal, 10)
 	require.True(t, ok)
@@ -142,7 +142,7 @@
 }
 
 func TestRetryAfterIsAccurate(t *testing.T) {
-	p := limit.NewByCost(limit.Settings{Capacity: 100, NormalPart: 1})
+	p := limit.NewByCost(limit.Settings{Capacity: 100, NormalFraction: 1})
 	c := team("a", 1)
 	now := start
 	for range 200 {
--- a/core/limit/shares.go
+++ b/core/limit/shares.go
@@ -101,7 +101,7 @@
 func (c *ByCost) Reconfigure(s Settings) { c.settings = s }
 
 // Open returns the number of unsettled reservations.
-func (c *ByCost) Open() int { return len(c.open) }
+func (c *ByCost) Unsettled() int { return len(c.open) }
 
 // Admit implements Policy.
 func (q *ByRequests) Admit(now time.Time, team config.Team, kind config.Kind, _ float64) (Reservation, bool, time.Duration) {
@@ -116,7 +116,7 @@
 func (q *ByRequests) Reconfigure(s Settings) { q.shares.Reconfigure(s) }
 
 // Open returns the number of unsettled reservations.
-func (q *ByRequests) Open() int { return q.shares.Open() }
+func (q *ByRequests) Unsettled() int { return q.shares.Unsettled() }
 
 // withinShare reports whether estimate more units fit into the capacity or the
 // share of u, and if not, the delay before a retry.
