--- a/core/losses/table.go
+++ b/core/losses/table.go
@@ -32,7 +32,7 @@
 
 	// Table counts requests. The zero value counts in windows of one second.
 	Table struct {
-		Every time.Duration // length of a window; zero means one second
+		Interval time.Duration // length of a window; zero means one second
 
 		reasons map[Reason]int // keyed by Reason with Count zero
 		windows map[time.Time]map[string]int
@@ -51,7 +51,7 @@
 		t.reasons, t.windows = map[Reason]int{}, map[time.Time]map[string]int{}
 	}
 	t.reasons[Reason{Route: pairs["route"], Reason: pairs["reason"]}]++
-	from := at.Truncate(cmp.Or(t.Every, time.Second))
+	from := at.Truncate(cmp.Or(t.Interval, time.Second))
 	if t.windows[from] == nil {
 		t.windows[from] = map[string]int{}
 	}
--- a/core/losses/table_test.go
+++ b/core/losses/table_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestTableCountsByRouteReasonAndWindow(t *testing.T) {
-	table := &losses.Table{Every: 2 * time.Second}
+	table := &losses.Table{Interval: 2 * time.Second}
 	for line, counts := range map[string]bool{
 		"  0.1 front-a-1 time=2026-04-08T08:31:14.2Z level=info event=request request-id=a route=r-1 reason=served status=200": true,
 		"time=2026-04-08T08:31:15.9Z level=info event=request request-id=b route=r-1 reason=busy status=503":                   true,
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -72,7 +72,7 @@
 }
 
 func (e *Environment) runLosses(every time.Duration, files []string) error {
-	t := &losses.Table{Every: every}
+	t := &losses.Table{Interval: every}
 	if len(files) == 0 {
 		if err := addLines(t, e.Stdin); err != nil {
 			return eris.Wrap(err, "standard input")
