--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -26,9 +26,9 @@
 	down      map[string]bool          // by address
 	loss      float64
 	cut       func(from, to string) bool // may be nil
-	queue     []member.Send
-	count     int                 // number of messages
-	onSend    func(m member.Send) // called for each message; may be nil
+	queue     []member.Envelope
+	count     int                     // number of messages
+	onSend    func(m member.Envelope) // called for each message; may be nil
 }
 
 func newNetwork(n int, seed uint64) *network {
@@ -126,7 +126,7 @@
 	w := newNetwork(100, 7)
 	w.run(time.Minute)
 	peers, probed := map[string]map[string]bool{}, map[string]bool{}
-	w.onSend = func(m member.Send) {
+	w.onSend = func(m member.Envelope) {
 		from := m.Message.From.Address
 		if m.Message.Type != member.Ping && m.Message.Type != member.Gossip {
 			return
@@ -250,9 +250,9 @@
 func TestLateNodeIsReported(t *testing.T) {
 	w := newNetwork(3, 1)
 	w.run(20 * time.Second)
-	require.Empty(t, w.states[address(0)].Late())
+	require.Empty(t, w.states[address(0)].LateAnswerers())
 	w.down[address(1)] = true
 	w.run(20 * time.Second)
-	require.Contains(t, w.states[address(0)].Late(), address(1))
-	require.NotContains(t, w.states[address(0)].Late(), address(1))
+	require.Contains(t, w.states[address(0)].LateAnswerers(), address(1))
+	require.NotContains(t, w.states[address(0)].LateAnswerers(), address(1))
 }
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Receive processes a message and returns the messages to send in reply.
-func (s *State) Receive(now time.Time, m Message) []Send {
+func (s *State) Receive(now time.Time, m Message) []Envelope {
 	if m.From.Name == s.self.Name {
 		return nil
 	}
@@ -16,13 +16,13 @@
 	}
 	switch m.Type {
 	case Ping:
-		return []Send{s.send(m.From.Address, s.withChanges(Message{Type: Ack, Sequence: m.Sequence}))}
+		return []Envelope{s.send(m.From.Address, s.withChanges(Message{Type: Ack, Sequence: m.Sequence}))}
 	case Ack:
 		return s.handleAck(now, m)
 	case PingRequest:
 		return s.relay(now, m)
 	case Sync:
-		return []Send{s.replySync(m)}
+		return []Envelope{s.replySync(m)}
 	case SyncReply:
 		return s.replyWanted(m)
 	}
@@ -70,10 +70,10 @@
 }
 
 // handleAck ends the probe, or forwards the answer to the node that requested it.
-func (s *State) handleAck(now time.Time, m Message) []Send {
+func (s *State) handleAck(now time.Time, m Message) []Envelope {
 	if r, ok := s.relayed[m.Sequence]; ok {
 		delete(s.relayed, m.Sequence)
-		return []Send{s.send(r.address, Message{Type: Ack, Sequence: r.sequence, Target: m.From.Name})}
+		return []Envelope{s.send(r.address, Message{Type: Ack, Sequence: r.sequence, Target: m.From.Name})}
 	}
 	if m.Sequence != s.probe.sequence || s.probe.done {
 		return nil
@@ -90,18 +90,18 @@
 }
 
 // relay pings a target on behalf of another node.
-func (s *State) relay(now time.Time, m Message) []Send {
+func (s *State) relay(now time.Time, m Message) []Envelope {
 	p := s.nodes[m.Target]
 	if p == nil {
 		return nil
 	}
 	s.sequence++
 	s.relayed[s.sequence] = relay{address: m.From.Address, sequence: m.Sequence, at: now}
-	return []Send{s.send(p.node.Address, Message{Type: Ping, Sequence: s.sequence})}
+	return []Envelope{s.send(p.node.Address, Message{Type: Ping, Sequence: s.sequence})}
 }
 
 // replySync returns the records that the sender lacks and requests those that this node lacks.
-func (s *State) replySync(m Message) Send {
+func (s *State) replySync(m Message) Envelope {
 	reply := Message{Type: SyncReply}
 	remote := make(map[string]Version, min(len(m.Versions), maxSyncVersions))
 	for _, v := range m.Versions[:min(len(m.Versions), maxSyncVersions)] {
@@ -124,7 +124,7 @@
 }
 
 // replyWanted returns the records that a peer requested.
-func (s *State) replyWanted(m Message) []Send {
+func (s *State) replyWanted(m Message) []Envelope {
 	if len(m.Wanted) == 0 {
 		return nil
 	}
@@ -132,7 +132,7 @@
 	for _, key := range m.Wanted[:min(len(m.Wanted), maxSyncVersions)] {
 		s.attach(&out, key)
 	}
-	return []Send{s.send(m.From.Address, out)}
+	return []Envelope{s.send(m.From.Address, out)}
 }
 
 // attach adds the record of a key to a message.
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -130,7 +130,7 @@
 		return false
 	}
 	s.entries[e.Key] = e
-	if e.Light {
+	if e.Transient {
 		s.pending.put(e.Key, transientRetransmits)
 	} else {
 		s.enqueueChange(e.Key)
@@ -166,7 +166,7 @@
 // Seeds that are not live nodes are contacted again periodically, so that a node whose first
 // messages were lost still joins, and the sides of a long network partition merge again. Call
 // SetSeeds when the seeds change.
-func (s *State) Join(now time.Time, seeds []string) []Send {
+func (s *State) Join(now time.Time, seeds []string) []Envelope {
 	s.SetSeeds(seeds)
 	s.next = schedule{
 		probe:  now.Add(s.settings.ProbePeriod),
@@ -174,7 +174,7 @@
 		sync:   now.Add(s.settings.SyncPeriod),
 		join:   now.Add(s.settings.JoinPeriod),
 	}
-	var out []Send
+	var out []Envelope
 	for _, a := range s.unknownSeeds() {
 		out = append(out, s.send(a, Message{Type: Sync, Versions: s.versions()}))
 	}
@@ -202,9 +202,9 @@
 }
 
 // Leave marks this node as left and returns the messages that inform its peers.
-func (s *State) Leave() []Send {
+func (s *State) Leave() []Envelope {
 	s.Update(func(n *Node) { n.Status, n.Leaving = Left, true })
-	var out []Send
+	var out []Envelope
 	for _, p := range s.nodes {
 		if p.node.Status <= Suspect {
 			out = append(out, s.send(p.node.Address, Message{Type: Gossip}))
@@ -219,9 +219,9 @@
 }
 
 // send returns a message to an address, with this node as the sender.
-func (s *State) send(address string, m Message) Send {
+func (s *State) send(address string, m Message) Envelope {
 	m.From = s.self
-	return Send{Address: address, Message: m}
+	return Envelope{Address: address, Message: m}
 }
 
 // versions returns the versions of all records of this node.
--- a/core/member/tick.go
+++ b/core/member/tick.go
@@ -8,8 +8,8 @@
 
 // Tick performs all work that is due at now and returns the messages to send. It must be called
 // several times within a gossip period.
-func (s *State) Tick(now time.Time) []Send {
-	var out []Send
+func (s *State) Tick(now time.Time) []Envelope {
+	var out []Envelope
 	out = s.continueProbe(now, out)
 	if !now.Before(s.next.probe) {
 		s.next.probe = now.Add(s.settings.ProbePeriod)
@@ -32,7 +32,7 @@
 }
 
 // contactSeed sends a sync to one random seed that is not a live node.
-func (s *State) contactSeed(out []Send) []Send {
+func (s *State) contactSeed(out []Envelope) []Envelope {
 	all := s.unknownSeeds()
 	if len(all) == 0 {
 		return out
@@ -77,7 +77,7 @@
 }
 
 // startProbe suspects the target of an unanswered probe and pings the next node of the round.
-func (s *State) startProbe(now time.Time, out []Send) []Send {
+func (s *State) startProbe(now time.Time, out []Envelope) []Envelope {
 	if s.probe.target != "" && !s.probe.done {
 		s.suspect(now, s.probe.target)
 	}
@@ -129,7 +129,7 @@
 }
 
 // continueProbe asks other nodes to ping the target when its answer is late.
-func (s *State) continueProbe(now time.Time, out []Send) []Send {
+func (s *State) continueProbe(now time.Time, out []Envelope) []Envelope {
 	p := &s.probe
 	if p.done || p.indirect || p.target == "" || now.Sub(p.sent) < s.settings.ProbeTimeout {
 		return out
@@ -162,14 +162,14 @@
 // Late returns the addresses of the nodes whose answers have become late since the last call.
 // Connections to them may be dead although the nodes are alive, so the next messages to them should
 // use new connections.
-func (s *State) Late() []string {
+func (s *State) LateAnswerers() []string {
 	all := s.lateAnswerers
 	s.lateAnswerers = nil
 	return all
 }
 
 // push sends changed records to a few random neighbours.
-func (s *State) push(out []Send) []Send {
+func (s *State) push(out []Envelope) []Envelope {
 	if s.pending.len() == 0 {
 		return out
 	}
@@ -184,7 +184,7 @@
 }
 
 // startSync sends the versions of all records to one random peer.
-func (s *State) startSync(out []Send) []Send {
+func (s *State) startSync(out []Envelope) []Envelope {
 	for _, name := range s.sampleLive(1, "") {
 		m := Message{Type: Sync, Versions: s.versions()}
 		out = append(out, s.send(s.nodes[name].node.Address, m))
--- a/core/member/types.go
+++ b/core/member/types.go
@@ -82,7 +82,7 @@
 		Value []byte `cbor:"4,keyasint"`
 		// Light marks a transient entry, which will soon be replaced. It is pushed three times,
 		// which reaches 95 of 100 nodes; the others learn of it later.
-		Light bool `cbor:"5,keyasint,omitempty"`
+		Transient bool `cbor:"5,keyasint,omitempty"`
 	}
 
 	// Version is the version of an entry, or of a node record if the key has the prefix "node/".
@@ -105,7 +105,7 @@
 	}
 
 	// Send is a message with its destination.
-	Send struct {
+	Envelope struct {
 		Address string
 		Message Message
 	}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -138,11 +138,11 @@
 }
 
 // step advances the membership state.
-func (c *Cluster) step(now time.Time, joined *time.Time) []member.Send {
+func (c *Cluster) step(now time.Time, joined *time.Time) []member.Envelope {
 	defer c.spent(metrics.Membership)()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []member.Send
+	var out []member.Envelope
 	if joined.IsZero() {
 		out = c.state.Join(now, c.Seeds())
 	}
@@ -151,20 +151,20 @@
 		c.state.SetSeeds(c.Seeds())
 	}
 	out = append(out, c.state.Tick(now)...)
-	for _, address := range c.state.Late() {
+	for _, address := range c.state.LateAnswerers() {
 		c.Endpoint.Renew(address)
 	}
 	return out
 }
 
-func (c *Cluster) sendAll(ctx context.Context, all []member.Send) {
+func (c *Cluster) sendAll(ctx context.Context, all []member.Envelope) {
 	for _, s := range all {
 		go c.sendMember(ctx, s)
 	}
 }
 
 // sendMember gives one message of the membership to its address.
-func (c *Cluster) sendMember(ctx context.Context, s member.Send) {
+func (c *Cluster) sendMember(ctx context.Context, s member.Envelope) {
 	if c.send(ctx, s.Address, KindMember, s.Message) {
 		c.viewsOut.Add(entryBytes(s.Message.Entries))
 	}
--- a/internal/cluster/publish.go
+++ b/internal/cluster/publish.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	c.mu.Lock()
-	c.state.Put(member.Entry{Key: loadPrefix + v.Server, Major: v.Epoch, Minor: v.Sequence, Value: b, Light: true})
+	c.state.Put(member.Entry{Key: loadPrefix + v.Server, Major: v.Epoch, Minor: v.Sequence, Value: b, Transient: true})
 	c.mu.Unlock()
 	c.OnLoad(v.Server, l)
 	return nil
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -32,7 +32,7 @@
 
 // receive decodes a message of the membership and takes it in. It returns the
 // entries that are newer than the known, and the messages that answer it.
-func (c *Cluster) receive(from string, f peer.Frame) (m member.Message, fresh []member.Entry, out []member.Send, ok bool) {
+func (c *Cluster) receive(from string, f peer.Frame) (m member.Message, fresh []member.Entry, out []member.Envelope, ok bool) {
 	defer c.spent(metrics.Membership)()
 	if err := f.Decode(&m); err != nil {
 		c.Log.Warn("message refused", zap.String("from", from), zap.Error(err))
