--- a/core/claim/evaluate.go
+++ b/core/claim/evaluate.go
@@ -60,16 +60,16 @@
 	case c.State == Done:
 		return Verdict{Decision: Stored, Answer: c.Answer}, nil
 	case c.State == Unknown:
-		return denied(outcome.Unsure(c.Reason, "an earlier call with this key was sent and its answer was lost")), nil
+		return denied(outcome.Unconfirmed(c.Reason, "an earlier call with this key was sent and its answer was lost")), nil
 	}
 	remaining := time.UnixMilli(c.DeadlineMS).Add(ClockMargin).Sub(now)
 	if remaining <= 0 {
-		return denied(outcome.Unsure(outcome.PeerLost, "an earlier call with this key did not end in time")), nil
+		return denied(outcome.Unconfirmed(outcome.PeerLost, "an earlier call with this key did not end in time")), nil
 	}
 	if dead != nil && dead(c.Node, c.Incarnation) {
-		return denied(outcome.Unsure(outcome.PeerLost, "the node of an earlier call with this key died")), nil
+		return denied(outcome.Unconfirmed(outcome.PeerLost, "the node of an earlier call with this key died")), nil
 	}
-	e := outcome.Unsure(outcome.InProgress, "an earlier call with this key is running")
+	e := outcome.Unconfirmed(outcome.InProgress, "an earlier call with this key is running")
 	e.RetryAfter = min(max(remaining/10, minInProgressRetry), maxInProgressRetry)
 	return denied(e), nil
 }
--- a/core/claim/invariant_test.go
+++ b/core/claim/invariant_test.go
@@ -188,7 +188,7 @@
 		t.failure = outcome.Refuse(outcome.BackendUnreachable, "", 0)
 		t.change = h.Release()
 	default:
-		t.failure = outcome.Unsure(outcome.BackendLost, "")
+		t.failure = outcome.Unconfirmed(outcome.BackendLost, "")
 		t.change = h.MarkUnknown(outcome.BackendLost)
 	}
 }
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -118,7 +118,7 @@
 }
 
 // Unsure returns an Error with outcome Unknown.
-func Unsure(r Reason, detail string) *Error {
+func Unconfirmed(r Reason, detail string) *Error {
 	return &Error{Outcome: Unknown, Reason: r, Detail: detail}
 }
 
@@ -131,5 +131,5 @@
 	if e, ok := errors.AsType[*Error](err); ok {
 		return e
 	}
-	return Unsure(Internal, err.Error())
+	return Unconfirmed(Internal, err.Error())
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -14,7 +14,7 @@
 var (
 	notSent    = outcome.Refuse(outcome.BackendUnreachable, "", 0)
 	refused    = outcome.Refuse(outcome.BackendRefused, "", 0)
-	lost       = outcome.Unsure(outcome.BackendLost, "")
+	lost       = outcome.Unconfirmed(outcome.BackendLost, "")
 	failed     = outcome.Fail(outcome.BackendFailed, "")
 	badRequest = outcome.Refuse(outcome.BadRequest, "", 0)
 	suspect    = outcome.Refuse(outcome.CrashSuspect, "", 0)
--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -68,12 +68,12 @@
 		return call.Answer{}, outcome.Refuse(outcome.BackendRefused, "", time.Second)
 	case "silent":
 		<-ctx.Done()
-		return call.Answer{}, outcome.Unsure(outcome.BackendLost, "silent")
+		return call.Answer{}, outcome.Unconfirmed(outcome.BackendLost, "silent")
 	case "":
 		time.Sleep(3 * time.Millisecond)
 		return call.Answer{Status: 200, Body: answer(r)}, nil
 	}
-	return call.Answer{}, outcome.Unsure(outcome.BackendLost, "")
+	return call.Answer{}, outcome.Unconfirmed(outcome.BackendLost, "")
 }
 
 // Alive implements call.Prober.
--- a/internal/call/chaos_test.go
+++ b/internal/call/chaos_test.go
@@ -86,11 +86,11 @@
 
 func (m *mortal) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Answer, error) {
 	if m.gone(ctx) {
-		return call.Answer{}, outcome.Unsure(outcome.Internal, "dead")
+		return call.Answer{}, outcome.Unconfirmed(outcome.Internal, "dead")
 	}
 	a, err := m.svc.Send(ctx, b, r)
 	if m.gone(ctx) {
-		return call.Answer{}, outcome.Unsure(outcome.Internal, "dead")
+		return call.Answer{}, outcome.Unconfirmed(outcome.Internal, "dead")
 	}
 	return a, err
 }
--- a/internal/call/service.go
+++ b/internal/call/service.go
@@ -100,15 +100,15 @@
 	case service.Refused:
 		return outcome.Refuse(outcome.BackendRefused, err.Error(), retryAfterRefused)
 	case service.Malformed:
-		return outcome.Unsure(outcome.BackendCut, err.Error())
+		return outcome.Unconfirmed(outcome.BackendCut, err.Error())
 	case service.WrongRequest:
-		return outcome.Unsure(outcome.BackendFailed, err.Error())
+		return outcome.Unconfirmed(outcome.BackendFailed, err.Error())
 	case service.Cancelled:
 		if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return outcome.Unsure(outcome.CallerGone, err.Error())
+			return outcome.Unconfirmed(outcome.CallerGone, err.Error())
 		}
 	}
-	return outcome.Unsure(outcome.BackendLost, err.Error())
+	return outcome.Unconfirmed(outcome.BackendLost, err.Error())
 }
 
 // overloaded tells whether another server may answer better.
--- a/internal/call/service_test.go
+++ b/internal/call/service_test.go
@@ -116,7 +116,7 @@
 		}
 		name, done := pick("a")
 		require.Equal(t, "b", name)
-		done(outcome.Unsure(outcome.BackendLost, ""))
+		done(outcome.Unconfirmed(outcome.BackendLost, ""))
 		for range 20 {
 			name, done = pick()
 			require.Equal(t, "a", name, "b failed just now")
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -160,7 +160,7 @@
 		mine.Attempt = rand.Text()
 		change = claim.Insert(key, mine, v.Revision)
 	}
-	return Grant{}, outcome.Unsure(outcome.InProgress, "many callers claim this key at once")
+	return Grant{}, outcome.Unconfirmed(outcome.InProgress, "many callers claim this key at once")
 }
 
 // Finish stores the answer of a call that h's holder sent. It waits for the
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -103,7 +103,7 @@
 func replay(a claim.Answer, id string, emit forward.Emit) error {
 	var s storedAnswer
 	if err := json.Unmarshal(a.Body, &s); err != nil {
-		return outcome.Unsure(outcome.Internal, "the stored answer can't be read")
+		return outcome.Unconfirmed(outcome.Internal, "the stored answer can't be read")
 	}
 	for i, t := range s.Tokens {
 		if err := emit(forward.Reply{Offset: i, Token: t}, forward.ResumeToken{RequestID: id, Offset: i + 1, Server: "stored"}); err != nil {
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -238,7 +238,7 @@
 	if p == nil {
 		return
 	}
-	s.refuse(a, started, outcome.Unsure(outcome.Internal, fmt.Sprintf("panic: %v", p)))
+	s.refuse(a, started, outcome.Unconfirmed(outcome.Internal, fmt.Sprintf("panic: %v", p)))
 	if s.Panicked != nil {
 		s.Panicked(a.id, p, debug.Stack())
 	}
