--- a/core/place/baseline.go
+++ b/core/place/baseline.go
@@ -34,7 +34,7 @@
 	full.Servers = slices.Clone(in.Servers)
 	for j := range full.Servers {
 		full.Servers[j].Reachable, full.Servers[j].Leaving = true, false
-		full.Servers[j].HeldBytes = 0
+		full.Servers[j].ReservedBytes = 0
 	}
 	full.Demand = nil
 	g := (&Gain{}).withDefaults()
@@ -65,7 +65,7 @@
 		for _, c := range slices.Concat(sv.Resident, sv.Loading) {
 			copies[c.Item] = true
 			if !slices.Contains(out.Plan[sv.Name], c.Item) {
-				out.Moves = append(out.Moves, Move{Op: backend.Unload, Server: sv.Name, Item: c.Item, Bytes: c.Bytes, Why: Undeclared})
+				out.Moves = append(out.Moves, Move{Op: backend.Unload, Server: sv.Name, Item: c.Item, Bytes: c.Bytes, Reason: Undeclared})
 			}
 		}
 		current[sv.Name] = copies
@@ -147,7 +147,7 @@
 		return
 	}
 	s.evict(best)
-	s.load(best.server, item, Demanded, 0)
+	s.load(best.server, item, OnDemand, 0)
 }
 
 // leastRecentlyUsed returns the indices of the copies on server j to evict so that an item
--- a/core/place/gain.go
+++ b/core/place/gain.go
@@ -29,10 +29,10 @@
 	Target float64
 	// Spare is the fraction of an item's requests that a second copy is assumed to save when
 	// a server is lost; default 0.05. It halves with each further copy.
-	Spare float64
+	RedundancyShare float64
 	// Burst is the factor by which the request rate of an item may rise without warning;
 	// default 10.
-	Burst float64
+	BurstFactor float64
 	// BurstShare is the fraction of time that an item is assumed to be in a burst; default
 	// 0.1, negative for none.
 	BurstShare float64
@@ -65,8 +65,8 @@
 // Plan returns the plan. The result depends only on the arguments and the settings.
 func (p *Gain) Plan(now time.Time, in Input) Output {
 	settings := p.withDefaults()
-	if p.MaxMoves <= 0 && in.Loads > 0 {
-		settings.MaxMoves = in.Loads
+	if p.MaxMoves <= 0 && in.MaxParallelLoads > 0 {
+		settings.MaxMoves = in.MaxParallelLoads
 	}
 	s := newState(now, in, settings)
 	s.addCurrentCopies()
@@ -81,11 +81,11 @@
 	if settings.Target <= 0 {
 		settings.Target = defaultTarget
 	}
-	if settings.Spare <= 0 {
-		settings.Spare = defaultSpare
+	if settings.RedundancyShare <= 0 {
+		settings.RedundancyShare = defaultSpare
 	}
-	if settings.Burst <= 0 {
-		settings.Burst = defaultBurst
+	if settings.BurstFactor <= 0 {
+		settings.BurstFactor = defaultBurst
 	}
 	if settings.BurstShare == 0 {
 		settings.BurstShare = defaultBurstShare
@@ -118,7 +118,7 @@
 	}
 	for _, i := range order {
 		for n := s.validCopies(i); n < s.items[i].minCopies; n++ {
-			if !p.placeRequiredCopy(s, i, TooFew, true) {
+			if !p.placeRequiredCopy(s, i, BelowMinCopies, true) {
 				break
 			}
 		}
@@ -166,7 +166,7 @@
 
 // placeRequiredCopy places one more copy of an item and reports whether it could. If evict
 // is set, copies that are not needed for their items' minimum may be evicted for it.
-func (p *Gain) placeRequiredCopy(s *state, item int, reason Why, evict bool) bool {
+func (p *Gain) placeRequiredCopy(s *state, item int, reason Reason, evict bool) bool {
 	best := p.bestWithoutEviction(s, item, reason == OneDataCentre)
 	if best < 0 && evict {
 		best = p.makeRoom(s, item)
@@ -260,7 +260,7 @@
 // evict removes the copies that c replaces.
 func (s *state) evict(c candidate) {
 	for k := len(c.evict) - 1; k >= 0; k-- {
-		s.remove(c.server, c.evict[k], GaveWay)
+		s.remove(c.server, c.evict[k], Evicted)
 	}
 }
 
@@ -363,23 +363,23 @@
 
 // load adds a copy to the plan, preceded by the adapter's model if server j does not hold
 // it.
-func (s *state) load(j, item int, reason Why, gain float64) {
+func (s *state) load(j, item int, reason Reason, gain float64) {
 	i := &s.items[item]
 	if i.base >= 0 && !s.holds(j, i.base) {
 		s.load(j, i.base, NeededByAdapter, 0)
 	}
 	s.add(j, placedCopy{item: item})
-	s.moves = append(s.moves, Move{Op: backend.Load, Server: s.servers[j].Name, Item: i.item, Bytes: i.bytes, Why: reason, Gain: gain})
+	s.moves = append(s.moves, Move{Op: backend.Load, Server: s.servers[j].Name, Item: i.item, Bytes: i.bytes, Reason: reason, Gain: gain})
 }
 
 // sortMoves sorts the required loads: items without a copy first, then by descending value.
 // A model precedes the adapters that need it.
 func (s *state) sortMoves() {
-	priority := map[Why]int{Unreachable: 0, NeededByAdapter: 0, TooFew: 1, OneDataCentre: 2}
+	priority := map[Reason]int{Unreachable: 0, NeededByAdapter: 0, BelowMinCopies: 1, OneDataCentre: 2}
 	value := func(m Move) float64 { return s.items[s.byItem[m.Item]].value }
 	slices.SortStableFunc(s.moves, func(a, b Move) int {
 		return cmp.Or(
-			cmp.Compare(priority[a.Why], priority[b.Why]),
+			cmp.Compare(priority[a.Reason], priority[b.Reason]),
 			cmp.Compare(len(a.Item.Base), 0)-cmp.Compare(len(b.Item.Base), 0),
 			cmp.Compare(value(b), value(a)))
 	})
--- a/core/place/marginal.go
+++ b/core/place/marginal.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		s.evict(c)
-		s.load(c.server, c.item, Gained, c.gain)
+		s.load(c.server, c.item, NetGain, c.gain)
 		moves++
 		if c, ok = p.best(s, old.item); ok {
 			heap.Push(&queue, c)
@@ -121,14 +121,14 @@
 // redundancyShare returns the fraction of an item's requests that copy n+1 is assumed to
 // save when a server is lost or a burst arrives.
 func (p *Gain) redundancyShare(i *itemState, n int) float64 {
-	loss := p.Spare * math.Pow(0.5, float64(n-1))
-	return loss + p.BurstShare*p.Burst*(p.burstShortfall(i, n)-p.burstShortfall(i, n+1))
+	loss := p.RedundancyShare * math.Pow(0.5, float64(n-1))
+	return loss + p.BurstShare*p.BurstFactor*(p.burstShortfall(i, n)-p.burstShortfall(i, n+1))
 }
 
 // burstShortfall returns the fraction of an item's requests in a burst that n copies have no
 // slots for, each having BurstSlots free.
 func (p *Gain) burstShortfall(i *itemState, n int) float64 {
-	load := p.Burst * i.load
+	load := p.BurstFactor * i.load
 	if load <= 0 {
 		return 0
 	}
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -49,7 +49,7 @@
 		}
 		in.Servers[j].Resident, in.Servers[j].Loading = nil, nil
 		for _, i := range plan {
-			in.Servers[j].Resident = append(in.Servers[j].Resident, place.Copy{Item: i, Bytes: bytes[i.Name], Since: now})
+			in.Servers[j].Resident = append(in.Servers[j].Resident, place.Copy{Item: i, Bytes: bytes[i.Name], ResidentSince: now})
 		}
 	}
 	return in
@@ -102,7 +102,7 @@
 		require.Empty(t, (&place.Gain{}).Plan(now, in).Moves, "the price of a move exceeds the gain")
 		in.Placement.MovePrice, in.Placement.MinResidenceMS = 0, 60_000
 		for j := range in.Servers {
-			in.Servers[j].Resident[0].Since = now.Add(-time.Second)
+			in.Servers[j].Resident[0].ResidentSince = now.Add(-time.Second)
 		}
 		require.Empty(t, (&place.Gain{}).Plan(now, in).Moves, "copies below the minimum residence time stay")
 	})
@@ -124,7 +124,7 @@
 		out := (&place.Gain{}).Plan(now, in)
 		require.Equal(t, c.Item(), out.Moves[0].Item)
 		require.Equal(t, b.Item(), out.Moves[1].Item)
-		require.Equal(t, place.Unreachable, out.Moves[0].Why)
+		require.Equal(t, place.Unreachable, out.Moves[0].Reason)
 		require.NotContains(t, out.Plan, "s3")
 	})
 	t.Run("an adapter is loaded with its model", func(t *testing.T) {
@@ -330,7 +330,7 @@
 				require.True(t, slices.ContainsFunc(out.Plan[s.Name], func(m backend.Item) bool { return m.Name == i.Base }), "adapter planned without its model")
 			}
 		}
-		require.LessOrEqual(t, sum+peak, s.MemoryBytes-s.KVReserveBytes-s.HeldBytes, "server %s is overcommitted", s.Name)
+		require.LessOrEqual(t, sum+peak, s.MemoryBytes-s.KVReserveBytes-s.ReservedBytes, "server %s is overcommitted", s.Name)
 	}
 }
 
@@ -431,8 +431,8 @@
 		Servers: []place.Server{server("s1", "d1", 26, a.Item(), b.Item())},
 		Demand:  []view.Demand{{Name: "c", Waiting: 3}},
 	}
-	in.Servers[0].Resident[0].Used = now.Add(-time.Minute)
-	in.Servers[0].Resident[1].Used = now.Add(-time.Hour)
+	in.Servers[0].Resident[0].LastUsed = now.Add(-time.Minute)
+	in.Servers[0].Resident[1].LastUsed = now.Add(-time.Hour)
 	out := place.LRU{}.Plan(now, in)
 	require.True(t, out.MayDropLast)
 	require.Equal(t, []backend.Item{a.Item(), c.Item()}, out.Plan["s1"])
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -9,7 +9,7 @@
 )
 
 // Why is the reason for a load or an unload.
-type Why string
+type Reason string
 
 const (
 	// NameGain selects placement by marginal gain.
@@ -22,37 +22,37 @@
 
 const (
 	// Unreachable means that no live server holds the item.
-	Unreachable Why = "no-copy"
+	Unreachable Reason = "no-copy"
 	// TooFew means that the item has fewer than its minimum number of copies.
-	TooFew Why = "min-copies"
+	BelowMinCopies Reason = "min-copies"
 	// OneDataCentre means that all copies of the item are in one data centre.
-	OneDataCentre Why = "one-data-centre"
+	OneDataCentre Reason = "one-data-centre"
 	// NeededByAdapter means that an adapter on the server needs the model.
-	NeededByAdapter Why = "adapter"
+	NeededByAdapter Reason = "adapter"
 	// Gained means that the gain of the copy exceeds the price of a move.
-	Gained Why = "gain"
+	NetGain Reason = "gain"
 	// Demanded means that requests wait for the item or that it overloads its holders.
-	Demanded Why = "demand"
+	OnDemand Reason = "demand"
 	// Declared means that the configuration document alone requires the copy.
-	Declared Why = "declared"
+	Declared Reason = "declared"
 	// Superseded means that a newer version of the item replaces the copy.
-	Superseded Why = "superseded"
+	Superseded Reason = "superseded"
 	// Undeclared means that the configuration document no longer has the item. It is also
 	// used for an adapter whose model is gone and for what Static leaves out of its plan.
-	Undeclared Why = "undeclared"
+	Undeclared Reason = "undeclared"
 	// GaveWay means that the copy was evicted for another one.
-	GaveWay Why = "gave-way"
+	Evicted Reason = "gave-way"
 	// NoRoom means that the item fits on no server.
-	NoRoom Why = "no-room"
+	NoRoom Reason = "no-room"
 )
 
 type (
 	// Copy is an item that a server holds.
 	Copy struct {
-		Item  backend.Item
-		Bytes int64
-		Since time.Time // when it became resident; zero means long ago
-		Used  time.Time // when it was last requested; used by LRU
+		Item          backend.Item
+		Bytes         int64
+		ResidentSince time.Time // when it became resident; zero means long ago
+		LastUsed      time.Time // when it was last requested; used by LRU
 	}
 
 	// Server is a model engine with its current contents.
@@ -61,7 +61,7 @@
 		DataCentre     string
 		MemoryBytes    int64
 		KVReserveBytes int64
-		HeldBytes      int64 // taken by items that are unloading or in an unknown state
+		ReservedBytes  int64 // taken by items that are unloading or in an unknown state
 		Slots          int
 		Reachable      bool
 		Leaving        bool
@@ -71,12 +71,12 @@
 
 	// Input holds everything that a plan depends on except the time.
 	Input struct {
-		Models    []config.Model
-		Adapters  []config.Adapter
-		Servers   []Server
-		Demand    []view.Demand // of all nodes; rates with the same name are summed
-		Placement config.Placement
-		Loads     int // concurrent loads that the weight store serves at full speed; zero if unknown
+		Models           []config.Model
+		Adapters         []config.Adapter
+		Servers          []Server
+		Demand           []view.Demand // of all nodes; rates with the same name are summed
+		Placement        config.Placement
+		MaxParallelLoads int // concurrent loads that the weight store serves at full speed; zero if unknown
 		// Previous is the preceding plan, nil if there is none. A load that it proposed and
 		// that has not started is proposed again while it is still justified, so that the
 		// room made for it is not given to another item.
@@ -89,7 +89,7 @@
 		Server string
 		Item   backend.Item
 		Bytes  int64
-		Why    Why
+		Reason Reason
 		Gain   float64 // weighted requests a second served in time; zero for required loads
 	}
 
--- a/core/place/previous.go
+++ b/core/place/previous.go
@@ -19,7 +19,7 @@
 			}
 			s.evict(candidate{server: j, evict: evict})
 			s.load(j, i, reason, gain)
-			if reason == Gained {
+			if reason == NetGain {
 				s.pendingLoads++
 			}
 		}
@@ -28,18 +28,18 @@
 
 // stillJustified reports whether a copy of an item on server j is required, or its gain over
 // the horizon exceeds half the price of a move; a new proposal must exceed the full price.
-func (p *Gain) stillJustified(s *state, item, j int) (reason Why, gain float64, justified bool) {
+func (p *Gain) stillJustified(s *state, item, j int) (reason Reason, gain float64, justified bool) {
 	i := &s.items[item]
 	switch n := s.validCopies(item); {
 	case n == 0:
 		return Unreachable, 0, true
 	case n < i.minCopies:
-		return TooFew, 0, true
+		return BelowMinCopies, 0, true
 	case s.inOneDataCentre(item) && s.newDataCentre(j, item):
 		return OneDataCentre, 0, true
 	}
 	gain = p.gain(i, p.overloadShare(s, i), s.headroom(j, p.Target))
-	return Gained, gain, 2*gain*p.Horizon.Seconds() > s.in.Placement.MovePrice
+	return NetGain, gain, 2*gain*p.Horizon.Seconds() > s.in.Placement.MovePrice
 }
 
 // proposedServer returns the server for which the previous plan proposed an item that it
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		s.servers = append(s.servers, serverState{
-			Server: &sv, capacity: sv.MemoryBytes - sv.KVReserveBytes - sv.HeldBytes,
+			Server: &sv, capacity: sv.MemoryBytes - sv.KVReserveBytes - sv.ReservedBytes,
 		})
 	}
 }
@@ -234,7 +234,7 @@
 			})
 		}
 	}
-	s.add(j, placedCopy{item: i, resident: resident, loading: !resident, since: c.Since, used: c.Used})
+	s.add(j, placedCopy{item: i, resident: resident, loading: !resident, since: c.ResidentSince, used: c.LastUsed})
 }
 
 // oldVersionUnneeded reports whether server j need not keep another old version of the item
@@ -260,8 +260,8 @@
 }
 
 // recordDrop records the unload of a copy on server j.
-func (s *state) recordDrop(j int, c Copy, reason Why) {
-	s.drops = append(s.drops, Move{Op: backend.Unload, Server: s.servers[j].Name, Item: c.Item, Bytes: c.Bytes, Why: reason})
+func (s *state) recordDrop(j int, c Copy, reason Reason) {
+	s.drops = append(s.drops, Move{Op: backend.Unload, Server: s.servers[j].Name, Item: c.Item, Bytes: c.Bytes, Reason: reason})
 }
 
 // dropOrphans removes the adapters without any version of their model on the same server.
@@ -311,7 +311,7 @@
 }
 
 // remove removes the k-th copy from the plan of server j.
-func (s *state) remove(j, k int, reason Why) {
+func (s *state) remove(j, k int, reason Reason) {
 	sv := &s.servers[j]
 	h := sv.items[k]
 	i := &s.items[h.item]
--- a/internal/planner/input.go
+++ b/internal/planner/input.go
@@ -14,7 +14,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	doc := x.Document()
-	in := place.Input{Models: doc.Models, Adapters: doc.Adapters, Placement: doc.Placement, Loads: doc.Limits.WeightLoads}
+	in := place.Input{Models: doc.Models, Adapters: doc.Adapters, Placement: doc.Placement, MaxParallelLoads: doc.Limits.WeightLoads}
 	for from, r := range p.reports {
 		if now.Sub(r.at) > stale {
 			delete(p.reports, from)
@@ -51,13 +51,13 @@
 			since = now // what was there at the first look may be old
 		}
 		seen[i] = since
-		out.Resident = append(out.Resident, place.Copy{Item: i, Bytes: bytes.of(i), Since: since, Used: p.used[i.Name]})
+		out.Resident = append(out.Resident, place.Copy{Item: i, Bytes: bytes.of(i), ResidentSince: since, LastUsed: p.used[i.Name]})
 	}
 	if p.since != nil && v.Server != "" {
 		p.since[s.Name] = seen
 	}
 	for _, i := range v.Loading {
-		out.Loading = append(out.Loading, place.Copy{Item: i, Bytes: bytes.of(i), Since: now, Used: p.used[i.Name]})
+		out.Loading = append(out.Loading, place.Copy{Item: i, Bytes: bytes.of(i), ResidentSince: now, LastUsed: p.used[i.Name]})
 	}
 	return out
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -184,7 +184,7 @@
 	p.previous = out.Plan
 	for _, m := range out.Moves {
 		p.Log.Debug("proposed move", zap.String("server", m.Server), zap.String("item", m.Item.String()),
-			zap.String("op", string(m.Op)), zap.String("reason", string(m.Why)))
+			zap.String("op", string(m.Op)), zap.String("reason", string(m.Reason)))
 	}
 	byOwner := map[string]message{}
 	for _, v := range p.Views.All() {
