--- a/core/queue/entry.go
+++ b/core/queue/entry.go
@@ -29,7 +29,7 @@
 		RetryAfter time.Duration  // if not admitted
 		Wait       time.Duration  // estimated wait for a slot
 		Seconds    float64        // estimated service time, in seconds
-		Evicted    *Ended         // less urgent entry removed to make room, or nil
+		Evicted    *Rejection     // less urgent entry removed to make room, or nil
 	}
 
 	// Dispatch is an entry to send to the server now.
@@ -41,7 +41,7 @@
 	}
 
 	// Ended is a waiting entry that was removed from the queue without having run.
-	Ended struct {
+	Rejection struct {
 		Entry
 		Reason     outcome.Reason
 		RetryAfter time.Duration
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -62,7 +62,7 @@
 
 // Offer admits e to the queue or refuses it. An entry whose ID is already
 // waiting or running is refused with reason in-progress.
-func (q *Queue) Offer(now time.Time, e Entry) Result {
+func (q *Queue) Enqueue(now time.Time, e Entry) Result {
 	if q.contains(e.ID) {
 		return Result{Reason: outcome.InProgress, RetryAfter: minRetryAfter}
 	}
@@ -82,7 +82,7 @@
 			return r
 		}
 		q.removeWaiting(last)
-		r.Evicted = &Ended{Entry: last.Entry, Reason: outcome.Preempted, RetryAfter: q.drainTime()}
+		r.Evicted = &Rejection{Entry: last.Entry, Reason: outcome.Preempted, RetryAfter: q.drainTime()}
 	}
 	q.addWaiting(w)
 	r.Admitted = true
@@ -144,13 +144,13 @@
 
 // Expire removes the waiting entries that would miss their deadline even if they
 // started now, and returns them in order of their latest start time.
-func (q *Queue) Expire(now time.Time) []Ended {
-	var out []Ended
+func (q *Queue) Expire(now time.Time) []Rejection {
+	var out []Rejection
 	for len(q.expiry) > 0 && q.expiry[0].latestStart.Before(now) {
 		w := q.expiry[0]
 		wait := q.estimateWait(now, w)
 		q.removeWaiting(w)
-		e := Ended{Entry: w.Entry, Reason: outcome.DeadlineUnreachable, RetryAfter: max(wait, minRetryAfter)}
+		e := Rejection{Entry: w.Entry, Reason: outcome.DeadlineUnreachable, RetryAfter: max(wait, minRetryAfter)}
 		if !now.Before(w.Deadline) {
 			e.Reason = outcome.DeadlinePassed
 		}
@@ -285,7 +285,7 @@
 // dispatches have passed since the last one of a promoted entry, or nil.
 func (q *Queue) nextAged() *waiting {
 	front := q.aged.Front()
-	if front == nil || q.sinceAged+1 < q.settings.AgedEvery {
+	if front == nil || q.sinceAged+1 < q.settings.AgingInterval {
 		return nil
 	}
 	return front.Value.(*waiting)
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -60,10 +60,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			q := queue.New(queue.Settings{Slots: 1, CancelToPreempt: true})
-			require.True(t, q.Offer(at(0), entry("running", config.Urgent, 1, 0)).Admitted)
+			require.True(t, q.Enqueue(at(0), entry("running", config.Urgent, 1, 0)).Admitted)
 			require.Equal(t, []string{"running"}, drain(q, at(0)))
 			for _, e := range tt.entries {
-				require.True(t, q.Offer(at(0), e).Admitted)
+				require.True(t, q.Enqueue(at(0), e).Admitted)
 			}
 			var got []string
 			for id := "running"; id != ""; {
@@ -82,44 +82,44 @@
 	t.Run("deadline unreachable by the work ahead", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 2, Seconds: 1})
 		for i := range 6 {
-			require.True(t, q.Offer(at(0), entry(fmt.Sprint(i), config.Urgent, 1, 0)).Admitted)
+			require.True(t, q.Enqueue(at(0), entry(fmt.Sprint(i), config.Urgent, 1, 0)).Admitted)
 			drain(q, at(0))
 		}
 		// The 2 running entries take 1 s more and the 4 waiting ones 2 s, so the
 		// seventh starts after 3 s and completes after 4 s.
-		r := q.Offer(at(0), entry("late", config.Urgent, 0, 3))
+		r := q.Enqueue(at(0), entry("late", config.Urgent, 0, 3))
 		require.False(t, r.Admitted)
 		require.Equal(t, outcome.DeadlineUnreachable, r.Reason)
 		require.Equal(t, time.Second, r.RetryAfter)
-		require.True(t, q.Offer(at(0), entry("in-time", config.Urgent, 0, 4.1)).Admitted)
+		require.True(t, q.Enqueue(at(0), entry("in-time", config.Urgent, 0, 4.1)).Admitted)
 	})
 	t.Run("full queue evicts less urgent work", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 1, Limit: 2})
-		q.Offer(at(0), entry("runs", config.Urgent, 1, 0))
+		q.Enqueue(at(0), entry("runs", config.Urgent, 1, 0))
 		drain(q, at(0))
-		require.True(t, q.Offer(at(0), entry("d1", config.Deferrable, 1, 0)).Admitted)
-		require.True(t, q.Offer(at(0), entry("d2", config.Deferrable, 2, 0)).Admitted)
-		r := q.Offer(at(0), entry("d3", config.Deferrable, 3, 0))
+		require.True(t, q.Enqueue(at(0), entry("d1", config.Deferrable, 1, 0)).Admitted)
+		require.True(t, q.Enqueue(at(0), entry("d2", config.Deferrable, 2, 0)).Admitted)
+		r := q.Enqueue(at(0), entry("d3", config.Deferrable, 3, 0))
 		require.Equal(t, outcome.QueueFull, r.Reason)
 		require.Positive(t, r.RetryAfter)
-		r = q.Offer(at(0), entry("n", config.Normal, 0, 0))
+		r = q.Enqueue(at(0), entry("n", config.Normal, 0, 0))
 		require.True(t, r.Admitted)
 		require.Equal(t, "d1", r.Evicted.ID)
 		require.Equal(t, outcome.Preempted, r.Evicted.Reason)
 	})
 	t.Run("same id twice", func(t *testing.T) {
 		q := queue.New(queue.Settings{})
-		require.True(t, q.Offer(at(0), entry("a", config.Normal, 1, 0)).Admitted)
-		require.Equal(t, outcome.InProgress, q.Offer(at(0), entry("a", config.Normal, 1, 0)).Reason)
+		require.True(t, q.Enqueue(at(0), entry("a", config.Normal, 1, 0)).Admitted)
+		require.Equal(t, outcome.InProgress, q.Enqueue(at(0), entry("a", config.Normal, 1, 0)).Reason)
 		drain(q, at(0))
-		require.Equal(t, outcome.InProgress, q.Offer(at(0), entry("a", config.Normal, 1, 0)).Reason)
+		require.Equal(t, outcome.InProgress, q.Enqueue(at(0), entry("a", config.Normal, 1, 0)).Reason)
 	})
 	t.Run("idle server admits a probe despite a high estimate", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 4})
-		q.Offer(at(0), entry("slow", config.Normal, 1, 0))
+		q.Enqueue(at(0), entry("slow", config.Normal, 1, 0))
 		drain(q, at(0))
 		require.True(t, q.Done("slow", at(100), 100))
-		require.True(t, q.Offer(at(100), entry("probe", config.Normal, 1, 101)).Admitted)
+		require.True(t, q.Enqueue(at(100), entry("probe", config.Normal, 1, 101)).Admitted)
 		require.Empty(t, q.Expire(at(100)))
 		require.Equal(t, []string{"probe"}, drain(q, at(100)))
 	})
@@ -127,10 +127,10 @@
 
 func TestExpire(t *testing.T) {
 	q := queue.New(queue.Settings{Slots: 1, Seconds: 1, CancelToPreempt: true})
-	q.Offer(at(0), entry("runs", config.Urgent, 1, 0))
+	q.Enqueue(at(0), entry("runs", config.Urgent, 1, 0))
 	drain(q, at(0))
-	require.True(t, q.Offer(at(0), entry("a", config.Urgent, 2, 5)).Admitted)
-	require.True(t, q.Offer(at(0), entry("b", config.Urgent, 1, 6)).Admitted)
+	require.True(t, q.Enqueue(at(0), entry("a", config.Urgent, 2, 5)).Admitted)
+	require.True(t, q.Enqueue(at(0), entry("b", config.Urgent, 1, 6)).Admitted)
 	when, ok := q.NextExpiry()
 	require.True(t, ok)
 	require.Empty(t, q.Expire(at(4)))
@@ -149,37 +149,37 @@
 	t.Run("leaves reserved slots free", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 8, Reserve: 2})
 		for i := range 8 {
-			q.Offer(at(0), entry(fmt.Sprint(i), config.Deferrable, 1, 0))
+			q.Enqueue(at(0), entry(fmt.Sprint(i), config.Deferrable, 1, 0))
 		}
 		require.Len(t, drain(q, at(0)), 6)
-		q.Offer(at(0), entry("n", config.Normal, 1, 0))
+		q.Enqueue(at(0), entry("n", config.Normal, 1, 0))
 		require.Equal(t, []string{"n"}, drain(q, at(0)))
 	})
 	t.Run("preempted by urgent work through cancellation", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 2, Reserve: -1, CancelToPreempt: true})
-		q.Offer(at(0), entry("d1", config.Deferrable, 1, 0))
-		q.Offer(at(0), entry("d2", config.Deferrable, 1, 0))
+		q.Enqueue(at(0), entry("d1", config.Deferrable, 1, 0))
+		q.Enqueue(at(0), entry("d2", config.Deferrable, 1, 0))
 		require.Len(t, drain(q, at(0)), 2)
-		q.Offer(at(0), entry("u1", config.Urgent, 1, 0))
+		q.Enqueue(at(0), entry("u1", config.Urgent, 1, 0))
 		d, ok := q.Next(at(0))
 		require.True(t, ok)
 		require.Equal(t, "d2", d.Preempts)
 		q.Done("d2", at(0), 0)
-		q.Offer(at(0), entry("u2", config.Urgent, 1, 0))
+		q.Enqueue(at(0), entry("u2", config.Urgent, 1, 0))
 		d, ok = q.Next(at(0))
 		require.True(t, ok)
 		require.Equal(t, "d1", d.Preempts)
-		q.Offer(at(0), entry("u3", config.Urgent, 1, 0))
+		q.Enqueue(at(0), entry("u3", config.Urgent, 1, 0))
 		require.Empty(t, drain(q, at(0)), "urgent work occupies every slot")
 	})
 	t.Run("two urgent entries cancel two deferrable entries", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 2, Reserve: -1, CancelToPreempt: true})
-		q.Offer(at(0), entry("d1", config.Deferrable, 1, 0))
-		q.Offer(at(0), entry("d2", config.Deferrable, 1, 0))
+		q.Enqueue(at(0), entry("d1", config.Deferrable, 1, 0))
+		q.Enqueue(at(0), entry("d2", config.Deferrable, 1, 0))
 		require.Len(t, drain(q, at(0)), 2)
 		var cancelled []string
 		for i := range 2 {
-			q.Offer(at(0), entry(fmt.Sprint("u", i), config.Urgent, 1, 0))
+			q.Enqueue(at(0), entry(fmt.Sprint("u", i), config.Urgent, 1, 0))
 			d, ok := q.Next(at(0))
 			require.True(t, ok)
 			cancelled = append(cancelled, d.Preempts)
@@ -188,13 +188,13 @@
 	})
 	t.Run("preempted by urgent work through engine priority", func(t *testing.T) {
 		q := queue.New(queue.Settings{Slots: 2, Reserve: -1})
-		q.Offer(at(0), entry("d1", config.Deferrable, 1, 0))
-		q.Offer(at(0), entry("d2", config.Deferrable, 1, 0))
+		q.Enqueue(at(0), entry("d1", config.Deferrable, 1, 0))
+		q.Enqueue(at(0), entry("d2", config.Deferrable, 1, 0))
 		require.Len(t, drain(q, at(0)), 2)
 		for i := range 3 {
-			q.Offer(at(0), entry(fmt.Sprint("u", i), config.Urgent, 1, 0))
+			q.Enqueue(at(0), entry(fmt.Sprint("u", i), config.Urgent, 1, 0))
 		}
-		q.Offer(at(0), entry("n", config.Normal, 1, 0))
+		q.Enqueue(at(0), entry("n", config.Normal, 1, 0))
 		d, ok := q.Next(at(0))
 		require.True(t, ok)
 		require.Empty(t, d.Preempts)
@@ -204,13 +204,13 @@
 		require.Equal(t, []string{"u2"}, drain(q, at(1)))
 	})
 	t.Run("makes progress under a constant stream of urgent work", func(t *testing.T) {
-		q := queue.New(queue.Settings{Slots: 1, AgeAfter: 10 * time.Second, AgedEvery: 4, Limit: 1000})
-		q.Offer(at(0), entry("d", config.Deferrable, 0, 0))
+		q := queue.New(queue.Settings{Slots: 1, AgeAfter: 10 * time.Second, AgingInterval: 4, Limit: 1000})
+		q.Enqueue(at(0), entry("d", config.Deferrable, 0, 0))
 		dispatchedAt := -1
 		for i := range 60 {
 			now := at(float64(i))
-			q.Offer(now, entry(fmt.Sprint("u", i), config.Urgent, 1, 0))
-			q.Offer(now, entry(fmt.Sprint("v", i), config.Urgent, 1, 0))
+			q.Enqueue(now, entry(fmt.Sprint("u", i), config.Urgent, 1, 0))
+			q.Enqueue(now, entry(fmt.Sprint("v", i), config.Urgent, 1, 0))
 			for _, id := range drain(q, now) {
 				if id == "d" {
 					dispatchedAt = i
@@ -225,16 +225,16 @@
 
 func TestIsolatedEntry(t *testing.T) {
 	q := queue.New(queue.Settings{Slots: 4})
-	q.Offer(at(0), entry("a", config.Normal, 1, 0))
+	q.Enqueue(at(0), entry("a", config.Normal, 1, 0))
 	require.Equal(t, []string{"a"}, drain(q, at(0)))
 	suspect := entry("suspect", config.Normal, 5, 0)
 	suspect.Isolated = true
-	q.Offer(at(0), suspect)
-	q.Offer(at(0), entry("b", config.Normal, 1, 0))
+	q.Enqueue(at(0), suspect)
+	q.Enqueue(at(0), entry("b", config.Normal, 1, 0))
 	require.Empty(t, drain(q, at(0)), "b must not start before the isolated entry ahead of it")
 	q.Done("a", at(1), 1)
 	require.Equal(t, []string{"suspect"}, drain(q, at(1)))
-	q.Offer(at(1), entry("u", config.Urgent, 1, 0))
+	q.Enqueue(at(1), entry("u", config.Urgent, 1, 0))
 	require.Empty(t, drain(q, at(1)), "no entry may run concurrently with the isolated one")
 	q.Done("suspect", at(2), 1)
 	require.Equal(t, []string{"u", "b"}, drain(q, at(2)))
@@ -261,7 +261,7 @@
 					e.Deadline = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "deadline")) * time.Second)
 				}
 				next++
-				r := q.Offer(now, e)
+				r := q.Enqueue(now, e)
 				if !r.Admitted {
 					require.NotEmpty(t, r.Reason)
 					require.Positive(t, r.RetryAfter)
@@ -343,7 +343,7 @@
 			enqueue := func() {
 				id++
 				e := entry(fmt.Sprint(id), urgencies[random.IntN(3)], float64(random.IntN(4)), 1e6+float64(random.IntN(1000)))
-				if !q.Offer(at(0), e).Admitted {
+				if !q.Enqueue(at(0), e).Admitted {
 					b.Fatal("refused")
 				}
 			}
--- a/core/queue/settings.go
+++ b/core/queue/settings.go
@@ -30,7 +30,7 @@
 	AgeAfter time.Duration
 	// AgedEvery is the aging ratio: one dispatch in AgedEvery goes to the
 	// promoted entry that has waited longest, default 16.
-	AgedEvery int
+	AgingInterval int
 	// Seconds is the service time assumed until one has been learned, default
 	// 1 s.
 	Seconds float64
@@ -60,8 +60,8 @@
 	if s.AgeAfter <= 0 {
 		s.AgeAfter = defaultAgeAfter
 	}
-	if s.AgedEvery <= 0 {
-		s.AgedEvery = defaultAgedEvery
+	if s.AgingInterval <= 0 {
+		s.AgingInterval = defaultAgedEvery
 	}
 	if s.Seconds <= 0 {
 		s.Seconds = defaultSeconds
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -41,7 +41,7 @@
 		return nil, outcome.Refuse(outcome.NoServer, s.name, notOwnedRetry)
 	}
 	verdicts := make(chan verdict, 1)
-	r := s.queue.Offer(now, entry(job, now))
+	r := s.queue.Enqueue(now, entry(job, now))
 	if !r.Admitted {
 		return nil, outcome.Refuse(r.Reason, s.name, r.RetryAfter)
 	}
@@ -80,7 +80,7 @@
 	})
 }
 
-func (s *server) refuse(e queue.Ended) {
+func (s *server) refuse(e queue.Rejection) {
 	s.verdict(e.ID, verdict{err: outcome.Refuse(e.Reason, s.name, e.RetryAfter)})
 }
 
--- a/internal/testbed/bound/bound.go
+++ b/internal/testbed/bound/bound.go
@@ -108,7 +108,7 @@
 func (p *pool) offer(number int, now time.Duration) {
 	a := p.arrivals[number]
 	deadline := a.At + time.Duration(a.Mix.DeadlineMS)*time.Millisecond
-	p.q.Offer(clock(now), queue.Entry{
+	p.q.Enqueue(clock(now), queue.Entry{
 		ID: strconv.Itoa(number), Kind: a.Mix.Name, Urgency: a.Mix.Urgency, Value: a.Mix.Value,
 		Deadline: clock(deadline), Tokens: p.left[number],
 	})
