--- a/core/residency/eviction.go
+++ b/core/residency/eviction.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		source := loadSource(s, model)
-		if source == fromStore && p.reservedFromStore >= max(1, p.in.Stores) {
+		if source == fromStore && p.reservedFromStore >= max(1, p.in.StoreLoads) {
 			continue
 		}
 		for _, h := range s.Resident {
@@ -46,11 +46,11 @@
 	if best.server == nil {
 		return false
 	}
-	best.server.Kept, best.server.KeptWhy = model, Room
+	best.server.ReservedFor, best.server.ReservedReason = model, MakeRoom
 	if best.source == fromStore {
 		p.reservedFromStore++
 	}
-	p.unload(best.server, best.model, Room, model)
+	p.unload(best.server, best.model, MakeRoom, model)
 	return true
 }
 
@@ -62,7 +62,7 @@
 		n--
 	}
 	cost := p.in.Load[model] / float64(max(1, n))
-	return evictionCandidate{server: s, model: model, cost: cost, worthwhile: cost*Gain <= maxVictimLoad, last: last}
+	return evictionCandidate{server: s, model: model, cost: cost, worthwhile: cost*MinGain <= maxVictimLoad, last: last}
 }
 
 // better reports whether evicting v is preferable to evicting o: first a copy worth less
--- a/core/residency/limited.go
+++ b/core/residency/limited.go
@@ -22,7 +22,7 @@
 	pendingModels := map[string]bool{}
 	for i := range p.in.Servers {
 		s := &p.in.Servers[i]
-		pendingModels[s.Coming], pendingModels[s.Kept] = true, true
+		pendingModels[s.Loading], pendingModels[s.ReservedFor] = true, true
 	}
 	var out []string
 	for m := range p.in.Limited {
--- a/core/residency/limited_test.go
+++ b/core/residency/limited_test.go
@@ -14,7 +14,7 @@
 	limited := map[string]bool{"m0": true, "gone": true}
 	light := map[string]float64{"m0": 0.1, "m1": 0.1}
 	loading := server("c")
-	loading.Coming = "m0"
+	loading.Loading = "m0"
 	for _, test := range []struct {
 		name    string
 		models  int
@@ -33,8 +33,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			var got []string
 			for _, m := range residency.Plan(residency.Input{Engine: engine(test.models), Servers: test.servers, Load: test.load,
-				Limited: test.limited, Stores: 5}) {
-				if m.Why == residency.Declared {
+				Limited: test.limited, StoreLoads: 5}) {
+				if m.Reason == residency.Declared {
 					continue
 				}
 				move := m.Model + " " + m.Server.ID
--- a/core/residency/load_test.go
+++ b/core/residency/load_test.go
@@ -64,19 +64,19 @@
 
 // round makes one plan, carries it out and returns its number of moves.
 func (w *planSimulation) round() int {
-	plan := residency.Plan(residency.Input{Engine: w.engine, Servers: slices.Clone(w.servers), Load: w.load, Stores: 50, Supposed: w.assumed})
+	plan := residency.Plan(residency.Input{Engine: w.engine, Servers: slices.Clone(w.servers), Load: w.load, StoreLoads: 50, LoadAssumed: w.assumed})
 	for _, m := range plan {
 		i := slices.IndexFunc(w.servers, func(s residency.Server) bool { return s.ID == m.Server.ID })
 		s := &w.servers[i]
 		if m.Load {
 			s.Resident = append(slices.Clone(s.Resident), fleet.ResidentModel{Model: m.Model})
-			if s.Kept == m.Model {
-				s.Kept = ""
+			if s.ReservedFor == m.Model {
+				s.ReservedFor = ""
 			}
 			continue
 		}
-		if m.Why == residency.Spread {
-			s.Kept = m.For
+		if m.Reason == residency.Spread {
+			s.ReservedFor = m.For
 		}
 		s.Resident = slices.DeleteFunc(slices.Clone(s.Resident), func(h fleet.ResidentModel) bool { return h.Model == m.Model })
 	}
@@ -165,7 +165,7 @@
 	for _, s := range w.servers {
 		list = append(list, s.Server)
 	}
-	w.load = residency.Prior(w.engine, list)
+	w.load = residency.PriorLoad(w.engine, list)
 	require.Equal(t, map[string]float64{"m0": 4, "m1": 4}, w.load)
 	require.InDelta(t, 6, w.servedLoad(3), 0.01, "of a load of 8")
 	rounds := 0
@@ -182,6 +182,6 @@
 }
 
 func TestNoSpreadOnceThereIsDemand(t *testing.T) {
-	require.Empty(t, residency.Plan(residency.Input{Engine: engine(7), Stores: 5, Load: map[string]float64{"m0": 20, "m1": 20}, Servers: []residency.Server{
+	require.Empty(t, residency.Plan(residency.Input{Engine: engine(7), StoreLoads: 5, Load: map[string]float64{"m0": 20, "m1": 20}, Servers: []residency.Server{
 		server("a", "m0", "m1", "m2"), server("b", "m0", "m1", "m3"), server("c", "m4", "m5", "m6")}}), "a swap would cost two loads of several seconds each")
 }
--- a/core/residency/overcommit.go
+++ b/core/residency/overcommit.go
@@ -34,7 +34,7 @@
 // one. It never may while there is a place for every declared model, since all of them must
 // be reachable at once, and never for a model that nobody requests.
 func (p *planner) mayGiveUpLastCopy(s *Server, wanted string) bool {
-	return p.overcommitted && !p.in.Supposed && s.Settled >= minLastCopyTime && p.reason(wanted) != Declared
+	return p.overcommitted && !p.in.LoadAssumed && s.SinceLastMove >= minLastCopyTime && p.reason(wanted) != Declared
 }
 
 // starvedLoad returns the load of a model without a copy, increased by the time for which it
--- a/core/residency/overcommit_test.go
+++ b/core/residency/overcommit_test.go
@@ -43,14 +43,14 @@
 	w.now += planStep
 	for i := range w.in.Servers {
 		s := &w.in.Servers[i]
-		s.Settled = w.now - w.orderedAt[i]
+		s.SinceLastMove = w.now - w.orderedAt[i]
 		if w.now < w.doneAt[i] {
 			continue
 		}
-		if s.Coming != "" {
-			s.Resident = append(s.Resident, server("", s.Coming).Resident...)
+		if s.Loading != "" {
+			s.Resident = append(s.Resident, server("", s.Loading).Resident...)
 		}
-		s.Coming, s.Going = "", ""
+		s.Loading, s.Unloading = "", ""
 	}
 	w.in.Waiting = map[string]int{}
 	for m := range w.in.Load {
@@ -62,7 +62,7 @@
 		w.in.Starved[m] += planStep
 		w.in.Waiting[m] = 1
 	}
-	w.in.Stores = int(loadsPerS*w.now.Seconds()) - w.loads
+	w.in.StoreLoads = int(loadsPerS*w.now.Seconds()) - w.loads
 	for _, m := range residency.Plan(w.in) {
 		w.startMove(m)
 	}
@@ -88,14 +88,14 @@
 		}
 		w.orderedAt[i], w.doneAt[i] = w.now, w.now+loadTime
 		if m.Load {
-			s.Coming, s.Kept = m.Model, ""
+			s.Loading, s.ReservedFor = m.Model, ""
 			if m.Store {
 				w.loads++
 			}
 			continue
 		}
 		w.doneAt[i] = w.now
-		s.Going, s.Kept, s.KeptWhy, s.Victim = m.Model, m.For, m.Why, m.Model
+		s.Unloading, s.ReservedFor, s.ReservedReason, s.Evicted = m.Model, m.For, m.Reason, m.Model
 		held := s.Resident[:0:0]
 		for _, h := range s.Resident {
 			if h.Model != m.Model {
--- a/core/residency/plan.go
+++ b/core/residency/plan.go
@@ -11,7 +11,7 @@
 const (
 	// Gain is the factor by which a move must increase the load that a copy serves, so that
 	// two busy models do not replace each other whenever their load fluctuates.
-	Gain = 1.3
+	MinGain = 1.3
 	// minActiveLoad is the load, in slots, below which a model counts as not in use. One
 	// prompt token a second takes about a thousandth of a slot.
 	minActiveLoad = 0.001
@@ -29,51 +29,51 @@
 )
 
 // Why is the reason for a move.
-type Why string
+type Reason string
 
 const (
 	// Asked means that requests wait for a model without a copy.
-	Asked Why = "asked-for"
+	Requested Reason = "asked-for"
 	// Limited means that all copies of a model are on servers that accept no more requests.
-	Limited Why = "limited"
+	Limited Reason = "limited"
 	// Declared means that a declared model has no copy.
-	Declared Why = "declared"
+	Declared Reason = "declared"
 	// Busy means that the load per copy of the model is far higher than that of others.
-	Busy Why = "busy"
+	Busy Reason = "busy"
 	// Room means that the copy is evicted to make room for another model.
-	Room Why = "room"
+	MakeRoom Reason = "room"
 	// Spread means that the copy moves from an engine with several busy models to one with
 	// none.
-	Spread Why = "spread"
+	Spread Reason = "spread"
 	// Undeclared means that the configuration no longer has the model.
-	Undeclared Why = "undeclared"
+	Undeclared Reason = "undeclared"
 )
 
 type (
 	// Server is an engine with what is, or may be, in its memory.
 	Server struct {
 		fleet.Server
-		Coming  string // model that is, or may be, loading
-		Going   string // model that is, or may be, unloading
-		Kept    string // model that room is reserved, or being made, for
-		KeptWhy Why    // reason for the reservation: Room or Spread
-		Victim  string // model that was evicted to make the room
-		Blocked bool   // cannot take orders now
+		Loading        string // model that is, or may be, loading
+		Unloading      string // model that is, or may be, unloading
+		ReservedFor    string // model that room is reserved, or being made, for
+		ReservedReason Reason // reason for the reservation: Room or Spread
+		Evicted        string // model that was evicted to make the room
+		Blocked        bool   // cannot take orders now
 
-		Settled time.Duration // time since its last move
+		SinceLastMove time.Duration // time since its last move
 	}
 
 	// Input holds everything that a plan depends on.
 	Input struct {
-		Engine  fleet.Engine
-		Servers []Server
-		Load    map[string]float64       // engine slots that the demand occupies, by model
-		Waiting map[string]int           // requests waiting, by model without a copy
-		Starved map[string]time.Duration // time for which a model has been requested without a copy
-		Limited map[string]bool          // models whose servers accept no more requests under the rate limits that they announce
-		Stores  int                      // number of loads from the weight store that may start now
+		Engine     fleet.Engine
+		Servers    []Server
+		Load       map[string]float64       // engine slots that the demand occupies, by model
+		Waiting    map[string]int           // requests waiting, by model without a copy
+		Starved    map[string]time.Duration // time for which a model has been requested without a copy
+		Limited    map[string]bool          // models whose servers accept no more requests under the rate limits that they announce
+		StoreLoads int                      // number of loads from the weight store that may start now
 
-		Supposed bool // there is no demand yet, and Load comes from Prior
+		LoadAssumed bool // there is no demand yet, and Load comes from Prior
 	}
 
 	// Move is an order to load or unload a model.
@@ -82,7 +82,7 @@
 		Model  string
 		Load   bool
 		Store  bool // from the weight store
-		Why    Why
+		Reason Reason
 		For    string // for an unload: model that the room is for
 	}
 
@@ -112,14 +112,14 @@
 	p.serversByModel = make(map[string][]*Server, len(in.Engine.Models))
 	for i := range in.Servers {
 		s := &in.Servers[i]
-		if s.Coming != "" {
-			p.copies[s.Coming]++
+		if s.Loading != "" {
+			p.copies[s.Loading]++
 		}
-		if s.Coming != "" || s.Going != "" {
+		if s.Loading != "" || s.Unloading != "" {
 			p.moving++
 		}
 		for _, h := range s.Resident {
-			if h.Model != s.Going && !s.Leaving {
+			if h.Model != s.Unloading && !s.Leaving {
 				p.copies[h.Model]++
 				p.serving[h.Model]++
 				p.serversByModel[h.Model] = append(p.serversByModel[h.Model], s)
@@ -134,7 +134,7 @@
 	p.placeMissing()
 	p.placeLimited()
 	p.rebalance()
-	if in.Supposed {
+	if in.LoadAssumed {
 		p.spreadBusyCopies()
 	}
 	return p.moves
@@ -163,12 +163,12 @@
 }
 
 // reason returns the reason for loading a model.
-func (p *planner) reason(model string) Why {
+func (p *planner) reason(model string) Reason {
 	if p.copies[model] > 0 {
 		return Busy
 	}
 	if p.in.Waiting[model] > 0 || p.in.Load[model] > minActiveLoad {
-		return Asked
+		return Requested
 	}
 	return Declared
 }
@@ -230,19 +230,19 @@
 	}
 	maxVictimLoad := 0.0
 	switch {
-	case reason == Asked:
+	case reason == Requested:
 		maxVictimLoad = p.starvedLoad(model)
-	case p.in.Supposed:
+	case p.in.LoadAssumed:
 		maxVictimLoad = declaredLoad
 	}
-	p.makeRoom(model, maxVictimLoad, reason == Asked)
+	p.makeRoom(model, maxVictimLoad, reason == Requested)
 }
 
 // load orders a load on the preferred server with room and reports whether there is such a
 // server. It reports true as well if the load has to wait for the weight store, since no
 // other room is needed then. With localOnly set it orders no loads from the weight store and
 // reports false for them.
-func (p *planner) load(model string, reason Why) bool {
+func (p *planner) load(model string, reason Reason) bool {
 	var best *Server
 	size := p.sizes.Of(model)
 	for _, s := range p.withRoom {
@@ -265,18 +265,18 @@
 
 // orderLoad orders a load on a server and reports whether it did; a load from the weight
 // store needs budget in Input.Stores.
-func (p *planner) orderLoad(s *Server, model string, reason Why) bool {
+func (p *planner) orderLoad(s *Server, model string, reason Reason) bool {
 	store := loadSource(s, model) == fromStore
-	if store && p.in.Stores <= 0 {
+	if store && p.in.StoreLoads <= 0 {
 		return false
 	}
 	if store {
-		p.in.Stores--
+		p.in.StoreLoads--
 	}
-	s.Coming = model
+	s.Loading = model
 	p.copies[model]++
 	p.moving++
-	p.moves = append(p.moves, Move{Server: s.Server, Model: model, Load: true, Store: store, Why: reason})
+	p.moves = append(p.moves, Move{Server: s.Server, Model: model, Load: true, Store: store, Reason: reason})
 	return true
 }
 
@@ -307,7 +307,7 @@
 func (p *planner) unreservedUnloads() int {
 	unloads := 0
 	for i := range p.in.Servers {
-		if s := &p.in.Servers[i]; s.Going != "" && s.Kept == "" {
+		if s := &p.in.Servers[i]; s.Unloading != "" && s.ReservedFor == "" {
 			unloads++
 		}
 	}
@@ -327,23 +327,23 @@
 	}
 }
 
-func (p *planner) unload(s *Server, model string, reason Why, forModel string) {
-	s.Going = model
+func (p *planner) unload(s *Server, model string, reason Reason, forModel string) {
+	s.Unloading = model
 	p.copies[model]--
 	p.serving[model]--
 	p.moving++
-	p.moves = append(p.moves, Move{Server: s.Server, Model: model, Why: reason, For: forModel})
+	p.moves = append(p.moves, Move{Server: s.Server, Model: model, Reason: reason, For: forModel})
 	if p.ranking != nil {
 		p.ranking.insert(model)
 	}
 }
 
 // idle reports whether a server has no move in progress and can take orders.
-func (p *planner) idle(s *Server) bool { return s.Coming == "" && s.Going == "" && !s.Blocked }
+func (p *planner) idle(s *Server) bool { return s.Loading == "" && s.Unloading == "" && !s.Blocked }
 
 // available reports whether a server can take any order: it is idle, stays in the cluster
 // and has no reservation.
-func (p *planner) available(s *Server) bool { return p.idle(s) && !s.Leaving && s.Kept == "" }
+func (p *planner) available(s *Server) bool { return p.idle(s) && !s.Leaving && s.ReservedFor == "" }
 
 // collectServersWithRoom collects the servers with room for the smallest model. Planning
 // only ever consumes room, and for most models there is none; scanning all servers for each
@@ -370,8 +370,8 @@
 	for _, h := range s.Resident {
 		freeMemory -= p.sizes.Of(h.Model)
 	}
-	if s.Coming != "" {
-		freeMemory -= p.sizes.Of(s.Coming)
+	if s.Loading != "" {
+		freeMemory -= p.sizes.Of(s.Loading)
 	}
 	return freeMemory - p.sizes.Adapters()
 }
--- a/core/residency/plan_test.go
+++ b/core/residency/plan_test.go
@@ -31,12 +31,12 @@
 	b := server("b", "m0")
 	b.OnDisk = []string{"m1"}
 	moves := residency.Plan(residency.Input{Engine: engine(2), Servers: []residency.Server{server("a", "m0"), b},
-		Waiting: map[string]int{"m1": 1}, Stores: 1})
+		Waiting: map[string]int{"m1": 1}, StoreLoads: 1})
 	require.NotEmpty(t, moves)
 	require.Equal(t, "b", moves[0].Server.ID)
 	require.True(t, moves[0].Load)
 	require.False(t, moves[0].Store)
-	require.Equal(t, residency.Asked, moves[0].Why)
+	require.Equal(t, residency.Requested, moves[0].Reason)
 }
 
 // TestDiskLoadPreferredOverLessLoadedEngine has room on two engines; the one that has the
@@ -50,7 +50,7 @@
 		}
 		disk.OnDisk = []string{"m0"}
 		load := map[string]float64{disk.Resident[0].Model: 20, idle.Resident[0].Model: 1}
-		moves := residency.Plan(residency.Input{Engine: engine(3), Stores: 5, Load: load,
+		moves := residency.Plan(residency.Input{Engine: engine(3), StoreLoads: 5, Load: load,
 			Servers: []residency.Server{a, b}, Waiting: map[string]int{"m0": 3}})
 		require.NotEmpty(t, moves)
 		require.Equal(t, "m0", moves[0].Model)
@@ -62,27 +62,27 @@
 func TestMemoryIsNeverOvercommitted(t *testing.T) {
 	full := server("a", "m0", "m1", "m2")
 	moves := residency.Plan(residency.Input{Engine: engine(4), Servers: []residency.Server{full},
-		Waiting: map[string]int{"m3": 1}, Stores: 5})
+		Waiting: map[string]int{"m3": 1}, StoreLoads: 5})
 	require.Empty(t, moves, "three models of 72 GB leave no room, and each copy is a last one")
 
 	unloading := server("a", "m0", "m1", "m2")
-	unloading.Going = "m0"
+	unloading.Unloading = "m0"
 	moves = residency.Plan(residency.Input{Engine: engine(4), Servers: []residency.Server{unloading, server("b", "m0", "m1", "m2")},
-		Waiting: map[string]int{"m3": 1}, Stores: 5})
+		Waiting: map[string]int{"m3": 1}, StoreLoads: 5})
 	for _, m := range moves {
 		require.False(t, m.Load && m.Server.ID == "a", "a model that is unloading still takes memory")
 	}
 
 	loading := server("a", "m0", "m1")
-	loading.Coming = "m2"
-	moves = residency.Plan(residency.Input{Engine: engine(4), Servers: []residency.Server{loading}, Waiting: map[string]int{"m3": 1}, Stores: 5})
+	loading.Loading = "m2"
+	moves = residency.Plan(residency.Input{Engine: engine(4), Servers: []residency.Server{loading}, Waiting: map[string]int{"m3": 1}, StoreLoads: 5})
 	require.Empty(t, moves, "a model that is loading already takes memory")
 }
 
 func TestLastCopyIsKept(t *testing.T) {
 	moves := residency.Plan(residency.Input{Engine: engine(4), Servers: []residency.Server{
 		server("a", "m0", "m1", "m2"), server("b", "m0", "m1", "m2")},
-		Load: map[string]float64{"m0": 1000, "m1": 900, "m2": 5}, Waiting: map[string]int{"m3": 2}, Stores: 5})
+		Load: map[string]float64{"m0": 1000, "m1": 900, "m2": 5}, Waiting: map[string]int{"m3": 2}, StoreLoads: 5})
 	require.NotEmpty(t, moves)
 	require.False(t, moves[0].Load)
 	require.Equal(t, "m2", moves[0].Model, "the copy with the lowest cost is evicted")
@@ -97,7 +97,7 @@
 	for i := range 6 {
 		servers = append(servers, server(fmt.Sprint("s", i)))
 	}
-	moves := residency.Plan(residency.Input{Engine: engine(6), Servers: servers, Stores: 2})
+	moves := residency.Plan(residency.Input{Engine: engine(6), Servers: servers, StoreLoads: 2})
 	store := 0
 	for _, m := range moves {
 		if m.Store {
@@ -113,7 +113,7 @@
 	e := engine(5)
 	servers := []residency.Server{server("a", "m0", "m1", "m2"), server("b", "m0", "m1", "m3"), server("c", "m0", "m1", "m4"),
 		server("d", "m0", "m1", "m2")}
-	in := residency.Input{Engine: e, Servers: servers, Load: map[string]float64{"m4": 30000, "m1": 8000}, Stores: 100}
+	in := residency.Input{Engine: e, Servers: servers, Load: map[string]float64{"m4": 30000, "m1": 8000}, StoreLoads: 100}
 	for range 40 {
 		moves := residency.Plan(in)
 		if len(moves) == 0 {
@@ -140,7 +140,7 @@
 			}
 		}
 		for i := range in.Servers {
-			in.Servers[i].Coming, in.Servers[i].Going = "", ""
+			in.Servers[i].Loading, in.Servers[i].Unloading = "", ""
 		}
 	}
 	copies := map[string]int{}
@@ -158,7 +158,7 @@
 func TestRoomIsMadeWhereLoadIsFastest(t *testing.T) {
 	a, b, c := server("a", "m0", "m1", "m2"), server("b", "m0", "m1", "m2"), server("c", "m0", "m1", "m3")
 	b.OnDisk = []string{"m0", "m1", "m2", "m3"}
-	in := residency.Input{Engine: engine(4), Servers: []residency.Server{a, b, c}, Stores: 5,
+	in := residency.Input{Engine: engine(4), Servers: []residency.Server{a, b, c}, StoreLoads: 5,
 		Load: map[string]float64{"m0": 0.2, "m1": 1, "m2": 1, "m3": 30}}
 	moves := residency.Plan(in)
 	require.NotEmpty(t, moves)
@@ -174,7 +174,7 @@
 	b := server("b")
 	b.OnDisk = []string{"m0", "m1"}
 	moves := residency.Plan(residency.Input{Engine: engine(4), Servers: []residency.Server{server("a", "m0", "m1", "m2"), b, server("c")},
-		Load: map[string]float64{"m0": 30, "m1": 20}, Waiting: map[string]int{"m3": 2}, Stores: 5})
+		Load: map[string]float64{"m0": 30, "m1": 20}, Waiting: map[string]int{"m3": 2}, StoreLoads: 5})
 	loads := map[string]string{}
 	for _, m := range moves {
 		require.True(t, m.Load)
@@ -186,13 +186,13 @@
 func TestIdleEnginesKeepTheirModels(t *testing.T) {
 	require.Empty(t, residency.Plan(residency.Input{Engine: engine(3), Servers: []residency.Server{
 		server("a", "m0", "m1"), server("b", "m1", "m2"), server("c", "m2", "m0")},
-		Load: map[string]float64{"m0": 0.2, "m1": 0.1}, Stores: 5}), "a request every few seconds does not justify a load")
+		Load: map[string]float64{"m0": 0.2, "m1": 0.1}, StoreLoads: 5}), "a request every few seconds does not justify a load")
 }
 
 func TestRoomReservedForSwapIsNotCountedForOtherModels(t *testing.T) {
 	a := server("a", "m0", "m1", "m2")
-	a.Going, a.Kept = "m0", "m3"
-	moves := residency.Plan(residency.Input{Engine: engine(5), Stores: 5, Waiting: map[string]int{"m4": 3},
+	a.Unloading, a.ReservedFor = "m0", "m3"
+	moves := residency.Plan(residency.Input{Engine: engine(5), StoreLoads: 5, Waiting: map[string]int{"m4": 3},
 		Servers: []residency.Server{a, server("b", "m0", "m1", "m3"), server("c", "m0", "m1", "m2"), server("d", "m0", "m1", "m2")}})
 	require.NotEmpty(t, moves)
 	require.Equal(t, "m4", moves[0].For, "room is made on another engine")
--- a/core/residency/plantime_test.go
+++ b/core/residency/plantime_test.go
@@ -14,7 +14,7 @@
 // fullEngines returns an input with more declared models than places, all engines full, and
 // a tenth of the models requested.
 func fullEngines(servers, models int) residency.Input {
-	in := residency.Input{Engine: engine(models), Load: map[string]float64{}, Waiting: map[string]int{}, Stores: 5}
+	in := residency.Input{Engine: engine(models), Load: map[string]float64{}, Waiting: map[string]int{}, StoreLoads: 5}
 	for i := range servers {
 		held := []string{}
 		for j := range 3 {
--- a/core/residency/reservation.go
+++ b/core/residency/reservation.go
@@ -16,14 +16,14 @@
 func (p *planner) reviewReservations() {
 	for i := range p.in.Servers {
 		s := &p.in.Servers[i]
-		if s.Kept == "" || s.KeptWhy != Room {
+		if s.ReservedFor == "" || s.ReservedReason != MakeRoom {
 			continue
 		}
-		if !p.needsCopy(s.Kept) {
-			s.Kept, s.KeptWhy = "", ""
+		if !p.needsCopy(s.ReservedFor) {
+			s.ReservedFor, s.ReservedReason = "", ""
 			continue
 		}
-		if s.Coming != s.Kept {
+		if s.Loading != s.ReservedFor {
 			p.addReserved(s, 1)
 		}
 	}
@@ -32,8 +32,8 @@
 // addReserved changes the number of copies that room is reserved for, by delta for the model
 // of a server's reservation.
 func (p *planner) addReserved(s *Server, delta int) {
-	p.reserved[s.Kept] += delta
-	if loadSource(s, s.Kept) == fromStore {
+	p.reserved[s.ReservedFor] += delta
+	if loadSource(s, s.ReservedFor) == fromStore {
 		p.reservedFromStore += delta
 	}
 }
@@ -57,12 +57,12 @@
 func (p *planner) loadReserved() {
 	for i := range p.in.Servers {
 		s := &p.in.Servers[i]
-		m, declared := p.in.Engine.Models[s.Kept]
-		if !declared || !p.idle(s) || s.Leaving || s.Holds(s.Kept, "") || p.freeMemory(s) < m.MB {
+		m, declared := p.in.Engine.Models[s.ReservedFor]
+		if !declared || !p.idle(s) || s.Leaving || s.Holds(s.ReservedFor, "") || p.freeMemory(s) < m.MB {
 			continue
 		}
-		if s.KeptWhy != Room {
-			p.orderLoad(s, s.Kept, s.KeptWhy)
+		if s.ReservedReason != MakeRoom {
+			p.orderLoad(s, s.ReservedFor, s.ReservedReason)
 			continue
 		}
 		model := p.modelForReservation(s)
@@ -76,13 +76,13 @@
 // was made for, or a model that is in memory or on disk there and whose load per copy is at
 // least 1/localLoadAdvantage of it. The model that was evicted to make the room is excluded.
 func (p *planner) modelForReservation(s *Server) string {
-	if loadSource(s, s.Kept) != fromStore || p.copies[s.Kept] == 0 {
-		return s.Kept
+	if loadSource(s, s.ReservedFor) != fromStore || p.copies[s.ReservedFor] == 0 {
+		return s.ReservedFor
 	}
-	minLoad := p.loadPerCopyWithOneMore(s.Kept, p.copies[s.Kept]) / localLoadAdvantage
-	best := s.Kept
+	minLoad := p.loadPerCopyWithOneMore(s.ReservedFor, p.copies[s.ReservedFor]) / localLoadAdvantage
+	best := s.ReservedFor
 	for m := range p.in.Engine.Models {
-		if loadSource(s, m) == fromStore || s.Holds(m, "") || m == s.Victim {
+		if loadSource(s, m) == fromStore || s.Holds(m, "") || m == s.Evicted {
 			continue
 		}
 		if l := p.loadPerCopyWithOneMore(m, p.copies[m]); l > minLoad || l == minLoad && m < best {
--- a/core/residency/reservation_test.go
+++ b/core/residency/reservation_test.go
@@ -31,19 +31,19 @@
 
 // step makes one plan and advances the time by a quarter of a second.
 func (c *engineSimulation) step() {
-	c.in.Stores = 2
+	c.in.StoreLoads = 2
 	for _, m := range residency.Plan(c.in) {
 		c.orders++
 		i := slices.IndexFunc(c.in.Servers, func(s residency.Server) bool { return s.ID == m.Server.ID })
 		s := &c.in.Servers[i]
 		switch {
 		case !m.Load:
-			s.Going, c.remaining[i] = m.Model, unloadPlans
-			s.Kept, s.KeptWhy, s.Victim = m.For, m.Why, m.Model
+			s.Unloading, c.remaining[i] = m.Model, unloadPlans
+			s.ReservedFor, s.ReservedReason, s.Evicted = m.For, m.Reason, m.Model
 		case m.Store:
-			s.Coming, c.remaining[i] = m.Model, storeLoadPlans
+			s.Loading, c.remaining[i] = m.Model, storeLoadPlans
 		default:
-			s.Coming, c.remaining[i] = m.Model, localLoadPlans
+			s.Loading, c.remaining[i] = m.Model, localLoadPlans
 		}
 	}
 	for i := range c.in.Servers {
@@ -55,15 +55,15 @@
 
 // finish completes the order of a server.
 func (c *engineSimulation) finish(s *residency.Server) {
-	if s.Coming != "" {
-		s.Resident = append(slices.Clone(s.Resident), fleet.ResidentModel{Model: s.Coming})
-		s.Kept, s.KeptWhy = "", ""
+	if s.Loading != "" {
+		s.Resident = append(slices.Clone(s.Resident), fleet.ResidentModel{Model: s.Loading})
+		s.ReservedFor, s.ReservedReason = "", ""
 	}
-	if s.Going != "" {
-		s.InMemory = append(slices.Clone(s.InMemory), s.Going)
-		s.Resident = slices.DeleteFunc(slices.Clone(s.Resident), func(h fleet.ResidentModel) bool { return h.Model == s.Going })
+	if s.Unloading != "" {
+		s.InMemory = append(slices.Clone(s.InMemory), s.Unloading)
+		s.Resident = slices.DeleteFunc(slices.Clone(s.Resident), func(h fleet.ResidentModel) bool { return h.Model == s.Unloading })
 	}
-	s.Coming, s.Going = "", ""
+	s.Loading, s.Unloading = "", ""
 }
 
 func (c *engineSimulation) copies(model string) int {
@@ -101,9 +101,9 @@
 // weight store is used for another busy model that is on disk there.
 func TestReservedRoomTakesLocalModelOfSimilarLoad(t *testing.T) {
 	a := server("a", "m0", "m1")
-	a.Kept, a.KeptWhy, a.Victim = "m2", residency.Room, "m4"
+	a.ReservedFor, a.ReservedReason, a.Evicted = "m2", residency.MakeRoom, "m4"
 	a.OnDisk, a.InMemory = []string{"m3"}, []string{"m4"}
-	in := residency.Input{Engine: engine(5), Stores: 0, Servers: []residency.Server{a,
+	in := residency.Input{Engine: engine(5), StoreLoads: 0, Servers: []residency.Server{a,
 		server("b", "m0", "m1", "m2"), server("c", "m3", "m1", "m4"), server("d", "m0", "m3", "m4")}}
 	loads := func(load map[string]float64) []string {
 		in.Load = load
--- a/core/residency/slots.go
+++ b/core/residency/slots.go
@@ -41,7 +41,7 @@
 // Prior returns the load assumed before there is demand. Models with more than one copy are
 // assumed to be busy in proportion to their copies; every model has one copy in any case, so
 // a single copy indicates no load.
-func Prior(e fleet.Engine, servers []fleet.Server) map[string]float64 {
+func PriorLoad(e fleet.Engine, servers []fleet.Server) map[string]float64 {
 	copies := map[string]int{}
 	for _, s := range servers {
 		for _, h := range s.Resident {
--- a/core/residency/spread.go
+++ b/core/residency/spread.go
@@ -20,7 +20,7 @@
 func (p *planner) spreadBusyCopies() {
 	reservations := 0
 	for i := range p.in.Servers {
-		if p.in.Servers[i].Kept != "" {
+		if p.in.Servers[i].ReservedFor != "" {
 			reservations++
 		}
 	}
@@ -39,7 +39,7 @@
 		if !ok {
 			continue
 		}
-		from.Kept, from.KeptWhy = idleModel, Spread
+		from.ReservedFor, from.ReservedReason = idleModel, Spread
 		p.unload(from, busyModel, Spread, idleModel)
 	}
 }
--- a/core/residency/stuck_test.go
+++ b/core/residency/stuck_test.go
@@ -45,7 +45,7 @@
 		for _, s := range w.servers {
 			list = append(list, s.Server)
 		}
-		w.load = residency.Prior(w.engine, list)
+		w.load = residency.PriorLoad(w.engine, list)
 		initial := w.stuckEngines()
 		for range 20 {
 			w.round()
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -28,7 +28,7 @@
 		v, err = p.give(ctx, e, m.Server, platform.Order{Load: m.Load, Model: m.Model}, m.Store)
 	}
 	p.Log.Info("order", zap.String("server", m.Server.ID), zap.String("model", m.Model), zap.Bool("load", m.Load),
-		zap.String("why", string(m.Why)), zap.String("for", m.For), zap.Bool("from-store", m.Store), zap.Int64("epoch", epoch), zap.Bool("sent", sent),
+		zap.String("why", string(m.Reason)), zap.String("for", m.For), zap.Bool("from-store", m.Store), zap.Int64("epoch", epoch), zap.Bool("sent", sent),
 		zap.Int64("sequence", p.sequence(e)), zap.String("verdict", v.String()), zap.Duration("took", time.Since(began)), zap.Error(err))
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -103,7 +103,7 @@
 		inherited bool // coming was told by the holder before
 		going     string
 		kept      string // model that room was made for
-		keptWhy   residency.Why
+		keptWhy   residency.Reason
 		victim    string // model whose copy made the room
 		since     time.Time
 		blocked   time.Time
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -89,7 +89,7 @@
 		return load, false
 	}
 	if p.prior == nil {
-		p.prior = residency.Prior(e, slices.Collect(maps.Values(p.servers)))
+		p.prior = residency.PriorLoad(e, slices.Collect(maps.Values(p.servers)))
 	}
 	return p.prior, true
 }
@@ -135,7 +135,7 @@
 		}
 		load, supposed := p.load(*s.Engine)
 		t := task{tookOver: p.tookOver, reads: map[string]int{}}
-		t.in = residency.Input{Engine: *s.Engine, Load: load, Supposed: supposed, Waiting: p.waiting, Limited: p.limited, Stores: p.stores(now, *s.Engine)}
+		t.in = residency.Input{Engine: *s.Engine, Load: load, LoadAssumed: supposed, Waiting: p.waiting, Limited: p.limited, StoreLoads: p.stores(now, *s.Engine)}
 		t.in.Engine.WeightsMB -= slackMB
 		for _, f := range p.servers {
 			if f.Service != name {
@@ -148,8 +148,8 @@
 				again = append(again, *e.open)
 			}
 			t.reads[f.ID] = e.reads
-			t.in.Servers = append(t.in.Servers, residency.Server{Server: f, Coming: e.coming, Going: e.going, Kept: e.kept, KeptWhy: e.keptWhy, Victim: e.victim,
-				Blocked: now.Before(e.blocked) || e.unread(), Settled: now.Sub(later(e.since, p.tookOver))})
+			t.in.Servers = append(t.in.Servers, residency.Server{Server: f, Loading: e.coming, Unloading: e.going, ReservedFor: e.kept, ReservedReason: e.keptWhy, Evicted: e.victim,
+				Blocked: now.Before(e.blocked) || e.unread(), SinceLastMove: now.Sub(later(e.since, p.tookOver))})
 		}
 		t.in.Starved = p.starve(now, name, t.in)
 		list = append(list, t)
@@ -178,7 +178,7 @@
 	since := map[string]time.Time{}
 	out := map[string]time.Duration{}
 	for m := range in.Load {
-		if held[m] || in.Supposed {
+		if held[m] || in.LoadAssumed {
 			continue
 		}
 		since[m] = now
@@ -234,7 +234,7 @@
 		e.going = m.Model
 	}
 	if m.For != "" {
-		e.kept, e.keptWhy, e.victim = m.For, m.Why, m.Model
+		e.kept, e.keptWhy, e.victim = m.For, m.Reason, m.Model
 	}
 }
 
