--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -16,9 +16,9 @@
 // Budget is a token bucket that successes fill and retries drain. The zero value
 // uses the defaults and starts full. It is not safe for concurrent use.
 type Budget struct {
-	Share float64 // tokens per success, negative for none
-	Floor float64 // tokens per second, negative for none
-	Burst float64 // capacity in tokens
+	PerSuccess float64 // tokens per success, negative for none
+	PerSecond  float64 // tokens per second, negative for none
+	Burst      float64 // capacity in tokens
 
 	spent float64 // tokens missing from a full bucket
 	last  time.Time
@@ -26,14 +26,14 @@
 
 // Success records that a first attempt succeeded.
 func (b *Budget) Success() {
-	b.spent = max(0, b.spent-orDefault(b.Share, DefaultShare))
+	b.spent = max(0, b.spent-orDefault(b.PerSuccess, DefaultShare))
 }
 
 // Take takes a token for a retry at the time now and reports whether one was
 // available.
 func (b *Budget) Take(now time.Time) bool {
 	if !b.last.IsZero() && now.After(b.last) {
-		b.spent = max(0, b.spent-now.Sub(b.last).Seconds()*orDefault(b.Floor, DefaultFloor))
+		b.spent = max(0, b.spent-now.Sub(b.last).Seconds()*orDefault(b.PerSecond, DefaultFloor))
 	}
 	if b.last.IsZero() || now.After(b.last) {
 		b.last = now
--- a/core/retry/policy.go
+++ b/core/retry/policy.go
@@ -17,7 +17,7 @@
 
 const (
 	// Again means that the request is sent again, preferably to another server.
-	Again Action = "again"
+	Retry Action = "again"
 	// Resume means that the stream is resumed after the tokens already received.
 	Resume Action = "resume"
 	// Stop means that the failure is returned to the caller.
@@ -113,13 +113,13 @@
 	case f.Tokens > 0:
 		return Verdict{Action: Resume, Reason: TokensSeen}
 	case ran:
-		return Verdict{Action: Again, Reason: Repeatable}
+		return Verdict{Action: Retry, Reason: Repeatable}
 	}
-	return Verdict{Action: Again, Reason: NotRun}
+	return Verdict{Action: Retry, Reason: NotRun}
 }
 
 // Spent returns the verdict for a request that gets no token from the budget.
-func Spent() Verdict { return Verdict{Action: Stop, Reason: NoBudget} }
+func BudgetExhausted() Verdict { return Verdict{Action: Stop, Reason: NoBudget} }
 
 // Backoff returns the wait before an attempt, 2 being the first retry. The
 // interval doubles from Base to Max, with a random jitter of up to half of it
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -27,12 +27,12 @@
 		action retry.Action
 		reason retry.Reason
 	}{
-		"not sent, not repeatable":         {retry.Failure{Attempt: 1, Err: notSent, Remaining: left}, retry.Again, retry.NotRun},
-		"refused, not repeatable":          {retry.Failure{Attempt: 1, Err: refused, Remaining: left}, retry.Again, retry.NotRun},
+		"not sent, not repeatable":         {retry.Failure{Attempt: 1, Err: notSent, Remaining: left}, retry.Retry, retry.NotRun},
+		"refused, not repeatable":          {retry.Failure{Attempt: 1, Err: refused, Remaining: left}, retry.Retry, retry.NotRun},
 		"lost, not repeatable":             {retry.Failure{Attempt: 1, Err: lost, Remaining: left}, retry.Stop, retry.NotRepeatable},
 		"failed, not repeatable":           {retry.Failure{Attempt: 1, Err: failed, Remaining: left}, retry.Stop, retry.NotRepeatable},
 		"refused but started":              {retry.Failure{Attempt: 1, Err: notSent, Started: true, Remaining: left}, retry.Stop, retry.NotRepeatable},
-		"lost, repeatable":                 {retry.Failure{Attempt: 1, Err: lost, Repeatable: true, Remaining: left}, retry.Again, retry.Repeatable},
+		"lost, repeatable":                 {retry.Failure{Attempt: 1, Err: lost, Repeatable: true, Remaining: left}, retry.Retry, retry.Repeatable},
 		"lost after tokens":                {retry.Failure{Attempt: 1, Err: lost, Repeatable: true, Started: true, Tokens: 3, Remaining: left}, retry.Resume, retry.TokensSeen},
 		"lost after tokens, may not rerun": {retry.Failure{Attempt: 1, Err: lost, Started: true, Tokens: 3, Remaining: left}, retry.Stop, retry.NotRepeatable},
 		"last attempt":                     {retry.Failure{Attempt: 3, Err: notSent, Repeatable: true, Remaining: left}, retry.Stop, retry.Attempts},
@@ -82,7 +82,7 @@
 			}
 			for attempt := 1; failed; attempt++ {
 				v := retry.Policy{}.Decide(retry.Failure{Attempt: attempt, Err: lost, Repeatable: true, Remaining: time.Second})
-				if v.Action != retry.Again || !b.Take(now) {
+				if v.Action != retry.Retry || !b.Take(now) {
 					break
 				}
 				retries++
@@ -102,7 +102,7 @@
 
 func TestBudgetFloorAllowsRetryWithoutTraffic(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	b := retry.Budget{Floor: 1, Burst: 2}
+	b := retry.Budget{PerSecond: 1, Burst: 2}
 	require.True(t, b.Take(now))
 	require.True(t, b.Take(now))
 	require.False(t, b.Take(now))
@@ -114,7 +114,7 @@
 
 func TestBudgetWithoutRefillIsSpentOnce(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
-	b := retry.Budget{Share: -1, Floor: -1, Burst: 1}
+	b := retry.Budget{PerSuccess: -1, PerSecond: -1, Burst: 1}
 	require.True(t, b.Take(now))
 	for range 100 {
 		b.Success()
--- a/core/retry/fleet.go
+++ b/core/retry/service_budget.go
@@ -24,7 +24,7 @@
 // Fleet limits the retries to one backend service over all nodes together. A
 // retry is any send of a request beyond the first. Zero fields select the
 // defaults.
-type Fleet struct {
+type ServiceBudget struct {
 	Ratio  float64       // retries per request in a window, negative for none
 	Extra  float64       // retries in a window in addition to Ratio, negative for none
 	Window time.Duration // period to which Ratio and Extra apply
@@ -35,7 +35,7 @@
 // The parts depend on the number of nodes: with a fixed part per node, an eighth
 // of 56, 65 nodes with 100 requests per second send 510 retries in ten seconds to
 // a service that allows 370.
-func (f Fleet) Part(b *Budget, nodes int) {
+func (f ServiceBudget) Apply(b *Budget, nodes int) {
 	if nodes <= 0 {
 		nodes = UnknownNodes
 	}
@@ -44,9 +44,9 @@
 		window = defaultWindow
 	}
 	extra := orDefault(f.Extra, defaultExtra) * usableExtra / float64(nodes)
-	b.Share = noneIfZero(orDefault(f.Ratio, defaultRatio) * usableRatio)
+	b.PerSuccess = noneIfZero(orDefault(f.Ratio, defaultRatio) * usableRatio)
 	b.Burst = max(1, extra*burstFraction)
-	b.Floor = noneIfZero(extra * (1 - burstFraction) / window.Seconds())
+	b.PerSecond = noneIfZero(extra * (1 - burstFraction) / window.Seconds())
 }
 
 // noneIfZero returns -1, which means none in a Budget, if v is zero, and v otherwise.
--- a/core/retry/fleet_test.go
+++ b/core/retry/service_budget_test.go
@@ -12,12 +12,12 @@
 // TestNodesStayWithinServiceBudget lets each node retry as often as its budget
 // allows and counts the retries of all nodes in each window.
 func TestNodesStayWithinServiceBudget(t *testing.T) {
-	f := retry.Fleet{Ratio: 0.2, Extra: 170, Window: 10 * time.Second}
+	f := retry.ServiceBudget{Ratio: 0.2, Extra: 170, Window: 10 * time.Second}
 	start := time.Unix(1000, 0)
 	for _, x := range []struct{ nodes, perSecond int }{{8, 0}, {65, 0}, {65, 100}, {65, 700}, {85, 50}, {130, 100}} {
 		budgets := make([]retry.Budget, x.nodes)
 		for i := range budgets {
-			f.Part(&budgets[i], x.nodes)
+			f.Apply(&budgets[i], x.nodes)
 		}
 		retries := make([]int, 60) // per second
 		requests := 0
@@ -43,12 +43,12 @@
 }
 
 func TestUnknownNodeCountGivesSmallBudget(t *testing.T) {
-	f := retry.Fleet{Ratio: 0.2, Extra: 56, Window: 10 * time.Second}
+	f := retry.ServiceBudget{Ratio: 0.2, Extra: 56, Window: 10 * time.Second}
 	var unknown, eight retry.Budget
-	f.Part(&unknown, 0)
-	f.Part(&eight, 8)
+	f.Apply(&unknown, 0)
+	f.Apply(&eight, 8)
 	require.Less(t, unknown.Burst, eight.Burst)
 	require.InDelta(t, 4, eight.Burst, 0.1)
-	require.InDelta(t, 0.2, eight.Floor, 0.02)
-	require.InDelta(t, 0.15, eight.Share, 1e-9)
+	require.InDelta(t, 0.2, eight.PerSecond, 0.02)
+	require.InDelta(t, 0.15, eight.PerSuccess, 1e-9)
 }
--- a/internal/call/caller.go
+++ b/internal/call/caller.go
@@ -141,7 +141,7 @@
 func (c *Caller) SetRetryShare(share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Budget.Share = share
+	c.Budget.PerSuccess = share
 }
 
 // succeeded tells the budget of a first attempt that was answered.
--- a/internal/call/try.go
+++ b/internal/call/try.go
@@ -65,7 +65,7 @@
 		}
 		v := t.judge(ctx, e)
 		t.c.Metrics.verdict(v)
-		if v.Action == retry.Again && t.wait(ctx, v) {
+		if v.Action == retry.Retry && t.wait(ctx, v) {
 			continue
 		}
 		if t.ran != nil {
@@ -192,11 +192,11 @@
 	v := t.c.Retry.Decide(retry.Failure{
 		Attempt: t.n, Err: e, Repeatable: t.r.Kind.Repeatable, Remaining: time.Until(t.r.Deadline),
 	})
-	if v.Action == retry.Again && ctx.Err() != nil {
+	if v.Action == retry.Retry && ctx.Err() != nil {
 		return retry.Verdict{Action: retry.Stop, Reason: retry.NoTime}
 	}
-	if v.Action == retry.Again && !t.c.take() {
-		return retry.Spent()
+	if v.Action == retry.Retry && !t.c.take() {
+		return retry.BudgetExhausted()
 	}
 	return v
 }
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -137,9 +137,9 @@
 }
 
 // repeats returns what services bear by the settings, where zero means none.
-func (n *Node) repeats() retry.Fleet {
+func (n *Node) repeats() retry.ServiceBudget {
 	s := n.settings
-	f := retry.Fleet{Ratio: s.RepeatRatio, Extra: s.RepeatExtra, Window: time.Duration(s.RepeatSpanS * float64(time.Second))}
+	f := retry.ServiceBudget{Ratio: s.RepeatRatio, Extra: s.RepeatExtra, Window: time.Duration(s.RepeatSpanS * float64(time.Second))}
 	if f.Ratio == 0 {
 		f.Ratio = -1
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -62,7 +62,7 @@
 		// new; nil for nobody.
 		OnDeparture func(departure.Incarnation) bool
 		// Repeats is what a service bears of sends beyond the first of each request.
-		Repeats retry.Fleet
+		Repeats retry.ServiceBudget
 
 		configuring sync.Mutex // held while a configuration comes into force
 		config      atomic.Pointer[fleet.Config]
@@ -255,7 +255,7 @@
 	b := g.budgets[service]
 	if b == nil {
 		b = &retry.Budget{}
-		g.Repeats.Part(b, g.nodes)
+		g.Repeats.Apply(b, g.nodes)
 		g.budgets[service] = b
 	}
 	return b
@@ -363,7 +363,7 @@
 	g.nodes = nodes
 	g.picture.SetNodes(nodes)
 	for _, b := range g.budgets {
-		g.Repeats.Part(b, nodes)
+		g.Repeats.Apply(b, nodes)
 	}
 }
 
--- a/internal/generate/judge.go
+++ b/internal/generate/judge.go
@@ -84,11 +84,11 @@
 		Repeatable: a.q.Kind.Repeatable,
 		Remaining:  time.Until(a.q.Deadline),
 	})
-	if v.Action == retry.Again && !a.r.take() {
-		v = retry.Spent()
+	if v.Action == retry.Retry && !a.r.take() {
+		v = retry.BudgetExhausted()
 	}
 	a.note("retry", string(v.Reason))
-	if v.Action != retry.Again {
+	if v.Action != retry.Retry {
 		return false, e
 	}
 	if v.Reason == retry.NotRun {
--- a/internal/generate/outcome_test.go
+++ b/internal/generate/outcome_test.go
@@ -108,7 +108,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			owner := &flaky{}
 			r := newRouter(owner, "s1")
-			r.Init(1, &retry.Budget{Floor: -1})
+			r.Init(1, &retry.Budget{PerSecond: -1})
 			r.SetRetryShare(test.share)
 			for range 200 {
 				_ = r.Do(t.Context(), generate.Request{
--- a/internal/generate/router.go
+++ b/internal/generate/router.go
@@ -229,7 +229,7 @@
 func (r *Router) SetRetryShare(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget.Share = share
+	r.budget.PerSuccess = share
 }
 
 // success fills the retry budget; only first attempts count.
