--- a/core/roster/watch.go
+++ b/core/roster/watcher.go
@@ -11,13 +11,13 @@
 	Refresh = 10 * time.Minute
 	// Life is how long a row may stay unchanged before it expires. It allows two
 	// refreshes to fail.
-	Life = 35 * time.Minute
+	MaxAge = 35 * time.Minute
 )
 
 type (
 	// Watch tracks the versions of rows over time. The zero value is ready to
 	// use and has seen no row.
-	Watch struct {
+	Watcher struct {
 		seen map[string]observed
 	}
 
@@ -30,7 +30,7 @@
 
 // Gone records the versions of all rows, by key, and returns the sorted keys of
 // the expired rows. now is the time of the read on a clock that never stops.
-func (w *Watch) Gone(now time.Duration, versions map[string]int64) []string {
+func (w *Watcher) Expired(now time.Duration, versions map[string]int64) []string {
 	seen := make(map[string]observed, len(versions))
 	var expired []string
 	for key, v := range versions {
@@ -39,7 +39,7 @@
 			m = observed{version: v, since: now}
 		}
 		seen[key] = m
-		if now-m.since >= Life {
+		if now-m.since >= MaxAge {
 			expired = append(expired, key)
 		}
 	}
--- a/internal/front/members.go
+++ b/internal/front/members.go
@@ -65,10 +65,10 @@
 
 // tidy removes the rows of nodes that are gone, while this node holds the lease.
 func (n *Node) tidy(ctx context.Context) {
-	var w roster.Watch
+	var w roster.Watcher
 	for clock.Sleep(ctx, roster.Refresh) {
 		if !n.placer.Holding() {
-			w = roster.Watch{}
+			w = roster.Watcher{}
 			continue
 		}
 		n.removeGone(ctx, &w)
@@ -77,7 +77,7 @@
 
 // removeGone removes the rows that a watch finds left behind, unless they have
 // been written since they were read.
-func (n *Node) removeGone(ctx context.Context, w *roster.Watch) {
+func (n *Node) removeGone(ctx context.Context, w *roster.Watcher) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	rows, _, err := n.store.Read(ctx, nodeTable, "", "")
@@ -89,7 +89,7 @@
 	for _, r := range rows {
 		versions[r.Key] = r.Version
 	}
-	for _, key := range w.Gone(clock.Boot(), versions) {
+	for _, key := range w.Expired(clock.Boot(), versions) {
 		row := platform.Row{Table: nodeTable, Key: key, Version: versions[key]}
 		_, _, ok, err := n.store.Change(ctx, platform.Change{Expect: []platform.Row{row}, Remove: []platform.Row{row}})
 		n.log.Info("node-row-removed", zap.String("node", key), zap.Int64("version", row.Version), zap.Bool("removed", ok), zap.Error(err))
