--- a/core/route/baseline.go
+++ b/core/route/baseline.go
@@ -24,7 +24,7 @@
 func (*RoundRobin) Name() string { return NameRoundRobin }
 
 // Pick returns the next holder in turn.
-func (p *RoundRobin) Pick(_ time.Time, r Request, cs []Candidate, _ *rand.Rand) (Choice, bool) {
+func (p *RoundRobin) Pick(_ time.Time, r Request, cs []Candidate, _ *rand.Rand) (Selection, bool) {
 	var buf [stackBufferSize]int
 	in := filter(r, cs, buf[:0])
 	if len(in) == 0 {
@@ -35,18 +35,18 @@
 	}
 	n := p.next[r.Item]
 	p.next[r.Item] = n + 1
-	return Choice{Index: in[n%len(in)], Reason: InTurn}, true
+	return Selection{Index: in[n%len(in)], Reason: InTurn}, true
 }
 
 // Name returns "static".
 func (Static) Name() string { return NameStatic }
 
 // Pick returns a random holder.
-func (Static) Pick(_ time.Time, r Request, cs []Candidate, random *rand.Rand) (Choice, bool) {
+func (Static) Pick(_ time.Time, r Request, cs []Candidate, random *rand.Rand) (Selection, bool) {
 	var buf [stackBufferSize]int
 	in := filter(r, cs, buf[:0])
 	if len(in) == 0 {
 		return noSelection(r, cs)
 	}
-	return Choice{Index: in[random.IntN(len(in))], Reason: AtRandom}, true
+	return Selection{Index: in[random.IntN(len(in))], Reason: AtRandom}, true
 }
--- a/core/route/direct.go
+++ b/core/route/direct.go
@@ -14,14 +14,14 @@
 func (*Direct) Name() string { return NameDirect }
 
 // Pick returns the less loaded of two holders.
-func (p *Direct) Pick(_ time.Time, r Request, cs []Candidate, random *rand.Rand) (Choice, bool) {
+func (p *Direct) Pick(_ time.Time, r Request, cs []Candidate, random *rand.Rand) (Selection, bool) {
 	var buf [stackBufferSize]int
 	in := filter(r, cs, buf[:0])
 	switch len(in) {
 	case 0:
 		return noSelection(r, cs)
 	case 1:
-		return Choice{Index: in[0], Reason: OnlyHolder}, true
+		return Selection{Index: in[0], Reason: OnlyHolder}, true
 	}
 	first, reason := in[random.IntN(len(in))], TwoChoices
 	if r.PrefixHash != 0 {
@@ -32,9 +32,9 @@
 		second = in[random.IntN(len(in))]
 	}
 	if relativeLoad(&cs[second]) < relativeLoad(&cs[first]) {
-		return Choice{Index: second, Reason: TwoChoices}, true
+		return Selection{Index: second, Reason: TwoChoices}, true
 	}
-	return Choice{Index: first, Reason: reason}, true
+	return Selection{Index: first, Reason: reason}, true
 }
 
 // relativeLoad returns the number of requests per slot at c. It takes the larger
--- a/core/route/home.go
+++ b/core/route/home.go
@@ -36,20 +36,20 @@
 
 // Pick returns the server that the request's prefix hashes to, if its load
 // permits, or the holder with the least estimated wait.
-func (p *Home) Pick(now time.Time, r Request, cs []Candidate, random *rand.Rand) (Choice, bool) {
+func (p *Home) Pick(now time.Time, r Request, cs []Candidate, random *rand.Rand) (Selection, bool) {
 	var buf [stackBufferSize]int
 	in := filter(r, cs, buf[:0])
 	switch len(in) {
 	case 0:
 		return noSelection(r, cs)
 	case 1:
-		return Choice{Index: in[0], Reason: OnlyHolder, WaitMS: int64(p.wait(r, &cs[in[0]]))}, true
+		return Selection{Index: in[0], Reason: OnlyHolder, WaitMS: int64(p.wait(r, &cs[in[0]]))}, true
 	}
 	if i, ok := p.pickAffine(r, cs, in); ok {
-		return Choice{Index: i, Reason: Affinity}, true
+		return Selection{Index: i, Reason: Affinity}, true
 	}
 	i, wait := p.lowest(r, cs, in, random)
-	c := Choice{Index: i, Reason: LeastWait, WaitMS: int64(wait)}
+	c := Selection{Index: i, Reason: LeastWait, WaitMS: int64(wait)}
 	if !r.Deadline.IsZero() && wait+p.seconds(r)*1000 > float64(r.Deadline.Sub(now).Milliseconds()) {
 		c.Reason = LateAnyway
 	}
--- a/core/route/policy.go
+++ b/core/route/policy.go
@@ -68,7 +68,7 @@
 	}
 
 	// Choice is the result of a pick.
-	Choice struct {
+	Selection struct {
 		Index  int // of the candidate, -1 if none
 		Reason Reason
 		WaitMS int64 // estimated wait at the server, in milliseconds
@@ -78,7 +78,7 @@
 	// reason, if no candidate is usable.
 	Policy interface {
 		Name() string
-		Pick(now time.Time, r Request, cs []Candidate, random *rand.Rand) (Choice, bool)
+		Pick(now time.Time, r Request, cs []Candidate, random *rand.Rand) (Selection, bool)
 	}
 
 	// UnknownPolicyError is returned by New for a name that no policy has.
@@ -124,11 +124,11 @@
 }
 
 // noSelection returns the selection for the case that no candidate is usable.
-func noSelection(r Request, cs []Candidate) (Choice, bool) {
+func noSelection(r Request, cs []Candidate) (Selection, bool) {
 	for i := range cs {
 		if cs[i].Holds(r.Item) {
-			return Choice{Index: -1, Reason: NoneUsable}, false
+			return Selection{Index: -1, Reason: NoneUsable}, false
 		}
 	}
-	return Choice{Index: -1, Reason: NoHolder}, false
+	return Selection{Index: -1, Reason: NoHolder}, false
 }
--- a/core/route/policy_test.go
+++ b/core/route/policy_test.go
@@ -54,7 +54,7 @@
 			}
 			c, ok := p.Pick(now, r, []route.Candidate{leaving, unreachable, other, excluded}, random)
 			require.False(t, ok)
-			require.Equal(t, route.Choice{Index: -1, Reason: route.NoneUsable}, c)
+			require.Equal(t, route.Selection{Index: -1, Reason: route.NoneUsable}, c)
 			c, ok = p.Pick(now, r, []route.Candidate{other}, random)
 			require.False(t, ok)
 			require.Equal(t, route.NoHolder, c.Reason)
@@ -160,7 +160,7 @@
 	tr.Sent("a", now)
 	tr.Sent("a", now.Add(10*time.Millisecond))
 	require.Equal(t, 2, tr.Recent("a"))
-	tr.Seen("a", now.Add(11*time.Millisecond))
+	tr.ViewUpdated("a", now.Add(11*time.Millisecond))
 	require.Equal(t, 1, tr.Recent("a"), "the view can't include the second request yet")
 	require.Equal(t, 2, tr.InFlight("a"))
 	tr.Ended("a")
--- a/core/route/tracker.go
+++ b/core/route/tracker.go
@@ -12,7 +12,7 @@
 	// Settle is the maximum time before a view's arrival at which a request may
 	// have been sent without being included in the view. It is about one round
 	// trip to the owner, default 3 ms.
-	Settle time.Duration
+	ViewDelay time.Duration
 
 	sent     map[string][]time.Time // by server, oldest first
 	inFlight map[string]int
@@ -40,8 +40,8 @@
 }
 
 // Seen records that a newer view of the server arrived.
-func (t *Tracker) Seen(server string, now time.Time) {
-	settle := t.Settle
+func (t *Tracker) ViewUpdated(server string, now time.Time) {
+	settle := t.ViewDelay
 	if settle == 0 {
 		settle = defaultSettle
 	}
--- a/internal/generate/router.go
+++ b/internal/generate/router.go
@@ -210,7 +210,7 @@
 func (r *Router) Seen(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent.Seen(server, time.Now())
+	r.sent.ViewUpdated(server, time.Now())
 }
 
 func (r *Router) begin(server string) {
