--- a/core/status/report.go
+++ b/core/status/report.go
@@ -48,7 +48,7 @@
 )
 
 // NotAt returns the live nodes of r whose configuration version is below version.
-func (r Report) NotAt(version uint64) []Node {
+func (r Report) Behind(version uint64) []Node {
 	var behind []Node
 	for _, n := range r.Nodes {
 		if n.State == Live && n.ConfigVersion < version {
--- a/core/status/status_test.go
+++ b/core/status/status_test.go
@@ -16,8 +16,8 @@
 		{Name: "d", State: status.Leaving, ConfigVersion: 3},
 		{Name: "e", State: status.Live, ConfigVersion: 5},
 	}}
-	require.Equal(t, []status.Node{r.Nodes[1]}, r.NotAt(4))
-	require.Empty(t, r.NotAt(3))
+	require.Equal(t, []status.Node{r.Nodes[1]}, r.Behind(4))
+	require.Empty(t, r.Behind(3))
 }
 
 func TestMergeOrdersEvents(t *testing.T) {
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -145,7 +145,7 @@
 			unconfirmed = &UnconfirmedError{Version: version, Err: err}
 		}
 		if err == nil {
-			behind := r.NotAt(version)
+			behind := r.Behind(version)
 			have := live(r) - len(behind)
 			if len(behind) == 0 && have > 0 {
 				return have, nil
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -70,7 +70,7 @@
 	for _, n := range r.Nodes {
 		newest = max(newest, n.ConfigVersion)
 	}
-	if behind := r.NotAt(newest); len(behind) > 0 {
+	if behind := r.Behind(newest); len(behind) > 0 {
 		return &behindError{UnconfirmedError{Version: newest, Behind: behind}}
 	}
 	return nil
