--- a/core/suspect/copies.go
+++ b/core/suspect/copies.go
@@ -4,7 +4,7 @@
 // have not yet shown that they run without a crash. A node sends a further copy
 // to the same server, so that concurrent copies can crash only that one. The zero
 // value is ready to use. Copies is not safe for concurrent use.
-type Copies struct {
+type UnprovenCopies struct {
 	running map[Fingerprint]location
 }
 
@@ -16,14 +16,14 @@
 
 // Where returns the server on which unproven copies of fp run, and false if there
 // are none.
-func (c *Copies) Where(fp Fingerprint) (string, bool) {
+func (c *UnprovenCopies) ServerOf(fp Fingerprint) (string, bool) {
 	p, found := c.running[fp]
 	return p.server, found
 }
 
 // Begin records that a copy was sent to server. A copy that had to be sent to
 // another server than the one returned by Where is not counted.
-func (c *Copies) Begin(fp Fingerprint, server string) {
+func (c *UnprovenCopies) Begin(fp Fingerprint, server string) {
 	if c.running == nil {
 		c.running = map[Fingerprint]location{}
 	}
@@ -35,7 +35,7 @@
 }
 
 // End records that a copy at server has ended.
-func (c *Copies) End(fp Fingerprint, server string) {
+func (c *UnprovenCopies) End(fp Fingerprint, server string) {
 	p, found := c.running[fp]
 	if !found || p.server != server {
 		return
--- a/core/suspect/invariant_test.go
+++ b/core/suspect/invariant_test.go
@@ -190,7 +190,7 @@
 	case suspect.Refuse:
 		r.refused++
 		w.endRound(r)
-	case suspect.Alone:
+	case suspect.Isolate:
 		r.phase = planning
 	default:
 		r.phase, r.server = running, w.server(rt)
@@ -223,12 +223,12 @@
 		}
 		inflight = append(inflight, r.fp)
 		r.crashes++
-		marks := w.sets[r.node].Crash(w.now, i, []suspect.Fingerprint{r.fp})
+		marks := w.sets[r.node].RecordCrash(w.now, i, []suspect.Fingerprint{r.fp})
 		r.phase, r.crashedHere, r.avoid, r.unacknowledged = broadcasting, true, server, map[int]bool{}
 		w.queueWrite(r)
 		w.broadcast(r.node, r, marks...)
 	}
-	w.broadcast(owner, nil, w.sets[owner].Crash(w.now, i, inflight)...)
+	w.broadcast(owner, nil, w.sets[owner].RecordCrash(w.now, i, inflight)...)
 }
 
 // endRun ends a run: the crashing request crashes its server, others succeed.
@@ -238,7 +238,7 @@
 		return
 	}
 	r.served++
-	if m, marked := w.sets[r.node].Success(w.now, r.fp); marked {
+	if m, marked := w.sets[r.node].RecordSuccess(w.now, r.fp); marked {
 		w.queueWrite(r)
 		w.broadcast(r.node, nil, m)
 	}
@@ -256,7 +256,7 @@
 	trial := suspect.Incident{Server: name, Trial: fmt.Sprint("t", w.attempts)}
 	set := w.sets[r.node]
 	if w.down {
-		if !r.crashedHere || set.Verdict(w.now, r.fp) != suspect.Alone {
+		if !r.crashedHere || set.Verdict(w.now, r.fp) != suspect.Isolate {
 			r.refused++
 			w.endRound(r)
 			return
--- a/core/suspect/mark.go
+++ b/core/suspect/mark.go
@@ -31,7 +31,7 @@
 )
 
 // Of returns the fingerprint of a request.
-func Of(team, model string, body []byte) Fingerprint {
+func FingerprintOf(team, model string, body []byte) Fingerprint {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%d:%s%d:%s", len(team), team, len(model), model) // writes to a hash never fail
 	_, _ = h.Write(body)
@@ -39,7 +39,7 @@
 }
 
 // Standing returns the number of incidents that are not cleared.
-func (m Mark) Standing() int {
+func (m Mark) OpenIncidents() int {
 	n := 0
 	for _, i := range m.Incidents {
 		if !contains(m.Cleared, i) {
@@ -50,7 +50,7 @@
 }
 
 // Trying reports whether a trial is charged whose result is not known.
-func (m Mark) Trying() bool {
+func (m Mark) OnTrial() bool {
 	for _, i := range m.Incidents {
 		if i.Trial != "" && !contains(m.Cleared, i) {
 			return true
--- a/core/suspect/record.go
+++ b/core/suspect/record.go
@@ -27,10 +27,10 @@
 
 	// Plan is the decision on a marked request.
 	Plan struct {
-		Verdict Verdict
-		Busy    bool   // the server runs another trial: use another server
-		Tx      row.Tx // to be committed before the request is sent or refused
-		Mark    Mark   // contents of the mark row after Tx
+		Verdict    Verdict
+		Busy       bool   // the server runs another trial: use another server
+		Tx         row.Tx // to be committed before the request is sent or refused
+		MergedMark Mark   // contents of the mark row after Tx
 	}
 
 	// RowError is returned for a row whose value can't be decoded.
@@ -74,8 +74,8 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	p := Plan{Verdict: m.verdict(), Mark: m}
-	if p.Verdict != Alone {
+	p := Plan{Verdict: m.verdict(), MergedMark: m}
+	if p.Verdict != Isolate {
 		p.Tx = Record(mark, m)
 		return p, nil
 	}
@@ -87,8 +87,8 @@
 		p.Busy = true
 		return p, nil
 	}
-	p.Mark = m.WithIncident(trial, m.ExpiresMS)
-	p.Tx = Record(mark, p.Mark).When(slot.Key, slot.Revision).
+	p.MergedMark = m.WithIncident(trial, m.ExpiresMS)
+	p.Tx = Record(mark, p.MergedMark).When(slot.Key, slot.Revision).
 		Put(slot.Key, encode(Slot{Trial: trial, Fingerprint: fp, UntilMS: until.UnixMilli()}))
 	return p, nil
 }
@@ -115,7 +115,7 @@
 }
 
 // Mine reports whether the trial is charged in the mark row r.
-func Mine(fp Fingerprint, trial Incident, r row.Row) (bool, error) {
+func IsCharged(fp Fingerprint, trial Incident, r row.Row) (bool, error) {
 	m, err := Decode(fp, r)
 	return contains(m.Incidents, trial), err
 }
--- a/core/suspect/set.go
+++ b/core/suspect/set.go
@@ -13,7 +13,7 @@
 	// Clear means that the request may run like any other.
 	Clear Verdict = "clear"
 	// Alone means that the request may run only on trial.
-	Alone Verdict = "alone"
+	Isolate Verdict = "alone"
 	// Refuse means that the request is refused.
 	Refuse Verdict = "refuse"
 )
@@ -51,7 +51,7 @@
 // incident that is recorded by several nodes counts once. The charge of a request
 // on trial remains, so that a crash during the trial counts even if the incident
 // has the boot id of an earlier one.
-func (s *Set) Crash(now time.Time, i Incident, inflight []Fingerprint) []Mark {
+func (s *Set) RecordCrash(now time.Time, i Incident, inflight []Fingerprint) []Mark {
 	out := make([]Mark, 0, len(inflight))
 	for _, fp := range inflight {
 		out = append(out, s.addIncident(now, fp, i))
@@ -70,9 +70,9 @@
 
 // Success records that a request completed, which clears all its known incidents.
 // It returns the mark, and whether there were incidents to clear.
-func (s *Set) Success(now time.Time, fp Fingerprint) (Mark, bool) {
+func (s *Set) RecordSuccess(now time.Time, fp Fingerprint) (Mark, bool) {
 	m := s.mark(now, fp)
-	if m.Standing() == 0 {
+	if m.OpenIncidents() == 0 {
 		return m, false
 	}
 	m = m.WithCleared(m.Incidents...)
@@ -82,7 +82,7 @@
 
 // NotRun records that a trial provably did not run, which clears its charge, and
 // returns the mark.
-func (s *Set) NotRun(now time.Time, fp Fingerprint, trial Incident) Mark {
+func (s *Set) RecordNotRun(now time.Time, fp Fingerprint, trial Incident) Mark {
 	m := s.mark(now, fp).WithCleared(trial)
 	s.store(m)
 	return m
@@ -133,15 +133,15 @@
 func (s *Set) Len() int { return len(s.marks) }
 
 // Dropped returns the number of marks that were removed to keep the limit.
-func (s *Set) Dropped() uint64 { return s.dropped }
+func (s *Set) Evicted() uint64 { return s.dropped }
 
 // verdict returns the decision on the requests that m applies to.
 func (m Mark) verdict() Verdict {
-	switch n := m.Standing(); {
+	switch n := m.OpenIncidents(); {
 	case n == 0:
 		return Clear
 	case n < refusalThreshold:
-		return Alone
+		return Isolate
 	}
 	return Refuse
 }
@@ -202,7 +202,7 @@
 	}
 	slices.SortFunc(all, func(a, b entry) int {
 		return cmp.Or(
-			cmp.Compare(min(a.mark.Standing(), refusalThreshold), min(b.mark.Standing(), refusalThreshold)),
+			cmp.Compare(min(a.mark.OpenIncidents(), refusalThreshold), min(b.mark.OpenIncidents(), refusalThreshold)),
 			cmp.Compare(a.changed, b.changed))
 	})
 	for _, e := range all[:max(0, len(all)-limit)] {
--- a/core/suspect/set_test.go
+++ b/core/suspect/set_test.go
@@ -20,52 +20,52 @@
 )
 
 func TestFingerprintCoversTeamModelAndBody(t *testing.T) {
-	base := suspect.Of("c", "m", []byte("b"))
+	base := suspect.FingerprintOf("c", "m", []byte("b"))
 	require.Len(t, string(base), 32)
-	require.NotEqual(t, base, suspect.Of("d", "m", []byte("b")))
-	require.NotEqual(t, base, suspect.Of("c", "mb", nil))
-	require.NotEqual(t, base, suspect.Of("cm", "", []byte("b")))
+	require.NotEqual(t, base, suspect.FingerprintOf("d", "m", []byte("b")))
+	require.NotEqual(t, base, suspect.FingerprintOf("c", "mb", nil))
+	require.NotEqual(t, base, suspect.FingerprintOf("cm", "", []byte("b")))
 }
 
 func TestVerdicts(t *testing.T) {
 	var s suspect.Set
 	fps := []suspect.Fingerprint{"a", "b"}
 	require.Equal(t, suspect.Clear, s.Verdict(now, "a"))
-	require.Len(t, s.Crash(now, crash, fps), 2)
-	require.Equal(t, suspect.Alone, s.Verdict(now, "a"))
-	s.Crash(now, crash, fps)
-	require.Equal(t, suspect.Alone, s.Verdict(now, "a"), "an incident reported twice counts once")
-	s.Crash(now, secondCrash, fps[:1])
+	require.Len(t, s.RecordCrash(now, crash, fps), 2)
+	require.Equal(t, suspect.Isolate, s.Verdict(now, "a"))
+	s.RecordCrash(now, crash, fps)
+	require.Equal(t, suspect.Isolate, s.Verdict(now, "a"), "an incident reported twice counts once")
+	s.RecordCrash(now, secondCrash, fps[:1])
 	require.Equal(t, suspect.Refuse, s.Verdict(now, "a"))
-	_, marked := s.Success(now, "b")
+	_, marked := s.RecordSuccess(now, "b")
 	require.True(t, marked)
 	require.Equal(t, suspect.Clear, s.Verdict(now, "b"))
-	s.Crash(now, crash, fps)
+	s.RecordCrash(now, crash, fps)
 	require.Equal(t, suspect.Clear, s.Verdict(now, "b"), "a late report of a cleared incident")
-	_, marked = s.Success(now, "c")
+	_, marked = s.RecordSuccess(now, "c")
 	require.False(t, marked)
 	require.Equal(t, suspect.Clear, s.Verdict(now.Add(suspect.DefaultLifetime), "a"), "expired")
 }
 
 func TestTrialIsChargedWhileItRuns(t *testing.T) {
 	var s suspect.Set
-	s.Crash(now, crash, []suspect.Fingerprint{"a"})
-	require.True(t, s.Charged(now, "a", trial).Trying())
+	s.RecordCrash(now, crash, []suspect.Fingerprint{"a"})
+	require.True(t, s.Charged(now, "a", trial).OnTrial())
 	require.Equal(t, suspect.Refuse, s.Verdict(now, "a"))
-	require.False(t, s.NotRun(now, "a", trial).Trying())
-	require.Equal(t, suspect.Alone, s.Verdict(now, "a"))
+	require.False(t, s.RecordNotRun(now, "a", trial).OnTrial())
+	require.Equal(t, suspect.Isolate, s.Verdict(now, "a"))
 }
 
 func TestOneTrialPerServer(t *testing.T) {
 	var s suspect.Set
-	s.Crash(now, crash, []suspect.Fingerprint{"a", "b"})
+	s.RecordCrash(now, crash, []suspect.Fingerprint{"a", "b"})
 	until := now.Add(time.Minute)
 	slot := row.Row{Key: suspect.SlotKey("s2")}
 	p, err := s.Plan(now, "a", trial, until, row.Row{Key: suspect.Key("a")}, slot)
 	require.NoError(t, err)
-	require.Equal(t, suspect.Alone, p.Verdict)
+	require.Equal(t, suspect.Isolate, p.Verdict)
 	require.Len(t, p.Tx.Writes, 2)
-	charged, err := suspect.Mine("a", trial, row.Row{Key: suspect.Key("a"), Value: p.Tx.Writes[0].Value, Revision: 3})
+	charged, err := suspect.IsCharged("a", trial, row.Row{Key: suspect.Key("a"), Value: p.Tx.Writes[0].Value, Revision: 3})
 	require.NoError(t, err)
 	require.True(t, charged)
 
@@ -89,15 +89,15 @@
 
 func TestMarkLimitKeepsRefusedMarks(t *testing.T) {
 	s := suspect.Set{MaxMarks: 10}
-	s.Crash(now, crash, []suspect.Fingerprint{"bad"})
-	s.Crash(now, secondCrash, []suspect.Fingerprint{"bad"})
+	s.RecordCrash(now, crash, []suspect.Fingerprint{"bad"})
+	s.RecordCrash(now, secondCrash, []suspect.Fingerprint{"bad"})
 	for i := range 100 {
-		s.Crash(now, crash, []suspect.Fingerprint{suspect.Fingerprint(fmt.Sprint("f", i))})
+		s.RecordCrash(now, crash, []suspect.Fingerprint{suspect.Fingerprint(fmt.Sprint("f", i))})
 	}
 	require.Equal(t, 10, s.Len())
-	require.EqualValues(t, 91, s.Dropped())
+	require.EqualValues(t, 91, s.Evicted())
 	require.Equal(t, suspect.Refuse, s.Verdict(now, "bad"))
-	require.Equal(t, suspect.Alone, s.Verdict(now, "f99"))
+	require.Equal(t, suspect.Isolate, s.Verdict(now, "f99"))
 	require.Equal(t, suspect.Fingerprint("f99"), s.Marks(now)[0].Fingerprint, "the most recently changed mark is first")
 	require.Empty(t, s.Marks(now.Add(2*time.Hour)))
 }
@@ -144,19 +144,19 @@
 // TestCopiesGoToOneServer checks that concurrent copies of a request are directed
 // to the server of the first one until all of them have ended.
 func TestCopiesGoToOneServer(t *testing.T) {
-	var c suspect.Copies
-	_, found := c.Where("a")
+	var c suspect.UnprovenCopies
+	_, found := c.ServerOf("a")
 	require.False(t, found)
 	c.Begin("a", "s1")
 	c.Begin("a", "s1")
 	c.Begin("a", "s2") // the first server had no free slot
 	c.End("a", "s2")
 	c.End("a", "s1")
-	server, found := c.Where("a")
+	server, found := c.ServerOf("a")
 	require.True(t, found)
 	require.Equal(t, "s1", server)
 	c.End("a", "s1")
-	_, found = c.Where("a")
+	_, found = c.ServerOf("a")
 	require.False(t, found)
 	c.End("a", "s1")
 }
@@ -167,7 +167,7 @@
 	for i := range suspect.DefaultMaxMarks {
 		fps = append(fps, suspect.Fingerprint(fmt.Sprint(i)))
 	}
-	s.Crash(now, crash, fps)
+	s.RecordCrash(now, crash, fps)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Verdict(now, "7")
@@ -177,6 +177,6 @@
 func BenchmarkOf(b *testing.B) {
 	body := make([]byte, 4096)
 	for b.Loop() {
-		suspect.Of("corella", "plan-draft", body)
+		suspect.FingerprintOf("corella", "plan-draft", body)
 	}
 }
--- a/internal/call/caller.go
+++ b/internal/call/caller.go
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	t := &try{c: c, r: r, sole: !r.Kind.Repeatable && !keyed,
-		fp: suspect.Of(r.Team, r.Service+" "+r.Method+" "+r.Path, r.Body)}
+		fp: suspect.FingerprintOf(r.Team, r.Service+" "+r.Method+" "+r.Path, r.Body)}
 	if keyed {
 		return c.claimed(ctx, t)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -181,7 +181,7 @@
 		first = time.Now()
 		e.Metrics.First(r.kind.Name, first.Sub(r.started))
 	}
-	q.Fingerprint = suspect.Of(r.team.Name, g.Model, g.Body)
+	q.Fingerprint = suspect.FingerprintOf(r.team.Name, g.Model, g.Body)
 	err := e.run(ctx, g, q, func(reply forward.Reply, at forward.ResumeToken) error {
 		tokens++
 		return emit(reply, at)
--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -119,7 +119,7 @@
 // Succeeded notes that the request of r ran to its end.
 func (g *Guard) Succeeded(r Run) {
 	g.mu.Lock()
-	m, marked := g.set.Success(time.Now(), r.Fingerprint)
+	m, marked := g.set.RecordSuccess(time.Now(), r.Fingerprint)
 	g.mu.Unlock()
 	if marked {
 		g.Metrics.count("cleared")
@@ -134,7 +134,7 @@
 		return
 	}
 	g.mu.Lock()
-	m := g.set.NotRun(time.Now(), r.Fingerprint, r.trial)
+	m := g.set.RecordNotRun(time.Now(), r.Fingerprint, r.trial)
 	g.mu.Unlock()
 	g.later(r, m)
 }
@@ -145,7 +145,7 @@
 	crash := suspect.Incident{Server: r.Server, BootID: bootID}
 	g.once.Do(g.init)
 	g.mu.Lock()
-	marks := g.set.Crash(time.Now(), crash, []suspect.Fingerprint{r.Fingerprint})
+	marks := g.set.RecordCrash(time.Now(), crash, []suspect.Fingerprint{r.Fingerprint})
 	g.mu.Unlock()
 	g.Metrics.count("crash")
 	g.later(r)
@@ -157,7 +157,7 @@
 func (g *Guard) ServerCrashed(ctx context.Context, crash suspect.Incident, inflight []suspect.Fingerprint) {
 	g.once.Do(g.init)
 	g.mu.Lock()
-	marks := g.set.Crash(time.Now(), crash, inflight)
+	marks := g.set.RecordCrash(time.Now(), crash, inflight)
 	g.mu.Unlock()
 	for _, m := range marks {
 		g.Metrics.count("crash")
@@ -222,7 +222,7 @@
 // offline decides without the table: only the node whose own send was lost may
 // send again, once.
 func (g *Guard) offline(ctx context.Context, run *Run, own bool) (bool, error) {
-	if !own || g.Verdict(run.Fingerprint) != suspect.Alone {
+	if !own || g.Verdict(run.Fingerprint) != suspect.Isolate {
 		return false, g.refuse(run.Fingerprint, "table-down")
 	}
 	g.Metrics.count("trial-offline")
@@ -251,7 +251,7 @@
 	if err != nil {
 		return false, err
 	}
-	return suspect.Mine(run.Fingerprint, run.trial, rows[0])
+	return suspect.IsCharged(run.Fingerprint, run.trial, rows[0])
 }
 
 // spread tells the other nodes.
@@ -353,7 +353,7 @@
 	m := g.set.Mark(time.Now(), fp)
 	g.mu.Unlock()
 	after := retryAfter
-	if !m.Trying() && m.Standing() > 1 {
+	if !m.OnTrial() && m.OpenIncidents() > 1 {
 		after = refuseFor
 	}
 	return outcome.Refuse(outcome.CrashSuspect, "the request was in flight at servers that crashed", after)
--- a/internal/suspects/guard_test.go
+++ b/internal/suspects/guard_test.go
@@ -149,7 +149,7 @@
 			b.Merge(marks)
 		}
 		a.Crashed(t.Context(), begin(t, a, "s1", false), "b1")
-		require.Equal(t, suspect.Alone, b.Verdict(fp))
+		require.Equal(t, suspect.Isolate, b.Verdict(fp))
 		a.Wait()
 		deaf = true
 		begun := time.Now()
