--- a/core/balance/backoff_test.go
+++ b/core/balance/backoff_test.go
@@ -40,7 +40,7 @@
 	p := newPicker(a)
 	r := balance.Request{Service: "llm", Model: "m", Tokens: 500}
 	p.BackOff("a", now.Add(time.Second))
-	p.LearnLimit("a", throttle.Named(now, 1.5))
+	p.LearnLimit("a", throttle.NewLimit(now, 1.5))
 	ticket := p.RecordSent(now, "a", r)
 	p.Update(nil)
 	p.Update([]fleet.Server{a})
--- a/core/balance/pick.go
+++ b/core/balance/pick.go
@@ -84,11 +84,11 @@
 // Pick picks a server for a request that is not decided by a scheduler. If the server names a rate
 // limit the request must be reserved with Reserve.
 func (p *Picker) Pick(now time.Time, r Request) (Selection, Reason) {
-	share := throttle.Share{Nodes: max(1, p.nodes), Part: 1}
+	share := throttle.Share{Nodes: max(1, p.nodes), Fraction: 1}
 	if r.Model != "" {
-		share.Part = unscheduledRateFraction
+		share.Fraction = unscheduledRateFraction
 	}
-	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.Opens(now, share) })
+	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.LocalWait(now, share) })
 	if len(eligible) == 0 {
 		return Selection{Wait: wait}, reason
 	}
@@ -101,7 +101,7 @@
 // pending there, and if less than the fraction maxSlotFraction of its slots is taken. It requires
 // that the picker knows the exact counts of all nodes.
 func (p *Picker) PickWithin(now time.Time, r Request, maxTokens int, maxSlotFraction float64) (Selection, Reason) {
-	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.Free(now) })
+	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.GlobalWait(now) })
 	if len(eligible) == 0 {
 		return Selection{Wait: wait}, reason
 	}
@@ -127,7 +127,7 @@
 // other request takes its turn before it is sent.
 func (p *Picker) Reserve(now time.Time, id string) {
 	if s := p.servers[id]; s != nil {
-		s.throttle.Take(now)
+		s.throttle.Record(now)
 	}
 }
 
--- a/core/balance/ticket.go
+++ b/core/balance/ticket.go
@@ -68,7 +68,7 @@
 		tokens: p.normalizedTokens(now, s, r), sent: now, wait: p.wait(now, s, r)}
 	s.local.Pending++
 	s.local.Tokens += t.tokens
-	s.throttle.Take(now)
+	s.throttle.Record(now)
 	if len(s.segments) > maxSegments {
 		clear(s.segments)
 	}
--- a/core/grant/scheduler.go
+++ b/core/grant/scheduler.go
@@ -192,9 +192,9 @@
 	if !ok {
 		return
 	}
-	l := throttle.Withdrawn(h.at)
+	l := throttle.NoLimit(h.at)
 	if perSecond != nil {
-		l = throttle.Named(now, *perSecond)
+		l = throttle.NewLimit(now, *perSecond)
 	}
 	if s.picker.LearnLimit(h.server, l) {
 		s.markServer(now, h.server)
--- a/core/throttle/limit.go
+++ b/core/throttle/limit.go
@@ -10,8 +10,8 @@
 }
 
 // Named returns the limit of an answer that arrived at a time and named a rate.
-func Named(at time.Time, rate float64) Limit { return Limit{Rate: rate, Active: true, At: at} }
+func NewLimit(at time.Time, rate float64) Limit { return Limit{Rate: rate, Active: true, At: at} }
 
 // Withdrawn returns the limit of an answer without a rate, by the time at which its request was
 // sent.
-func Withdrawn(sent time.Time) Limit { return Limit{At: sent} }
+func NoLimit(sent time.Time) Limit { return Limit{At: sent} }
--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -27,8 +27,8 @@
 
 	// Share is the share of a server's rate that a node may use on its own.
 	Share struct {
-		Nodes int     // number of nodes that share the rate, at least one
-		Part  float64 // fraction of the rate for all these nodes together, above zero
+		Nodes    int     // number of nodes that share the rate, at least one
+		Fraction float64 // fraction of the rate for all these nodes together, above zero
 	}
 )
 
@@ -65,7 +65,7 @@
 
 // Free returns the time until a scheduler that decides for all nodes may send the server a request,
 // zero if it may send one now.
-func (t *Throttle) Free(now time.Time) time.Duration {
+func (t *Throttle) GlobalWait(now time.Time) time.Duration {
 	if t.bucket == nil {
 		return 0
 	}
@@ -74,11 +74,11 @@
 
 // Opens returns the time until this node may send the server a request on its own, zero if it may
 // send one now.
-func (t *Throttle) Opens(now time.Time, s Share) time.Duration {
+func (t *Throttle) LocalWait(now time.Time, s Share) time.Duration {
 	if !t.limit.Active {
 		return 0
 	}
-	width := 1 / (t.Rate() * s.Part)
+	width := 1 / (t.Rate() * s.Fraction)
 	period := width * float64(s.Nodes)
 	offset := math.Mod(now.Sub(t.windowStart).Seconds()+t.phase*period, period)
 	sinceSent := now.Sub(t.lastSent).Seconds()
@@ -95,7 +95,7 @@
 }
 
 // Take records a request to the server.
-func (t *Throttle) Take(now time.Time) {
+func (t *Throttle) Record(now time.Time) {
 	t.lastSent = now
 	if t.bucket != nil {
 		t.bucket.ReserveN(now, 1)
--- a/core/throttle/throttle_test.go
+++ b/core/throttle/throttle_test.go
@@ -22,16 +22,16 @@
 		rate    float64
 		changes int
 	}{
-		"none":                {[]throttle.Limit{throttle.Withdrawn(at(1))}, false, 0, 0},
-		"named":               {[]throttle.Limit{throttle.Named(at(1), 2)}, true, 2, 1},
-		"named again":         {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Named(at(2), 2)}, true, 2, 1},
-		"another rate":        {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Named(at(2), 3)}, true, 3, 2},
-		"withdrawn":           {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Withdrawn(at(2))}, false, 0, 2},
-		"request sent before": {[]throttle.Limit{throttle.Named(at(5), 2), throttle.Withdrawn(at(4))}, true, 2, 1},
-		"older rate":          {[]throttle.Limit{throttle.Named(at(5), 2), throttle.Named(at(4), 9)}, true, 2, 1},
-		"named once more":     {[]throttle.Limit{throttle.Named(at(1), 2), throttle.Withdrawn(at(2)), throttle.Named(at(3), 2)}, true, 2, 3},
-		"zero is a rate":      {[]throttle.Limit{throttle.Named(at(1), 0)}, true, 0, 1},
-		"withdrawn, before":   {[]throttle.Limit{throttle.Named(at(3), 2), throttle.Withdrawn(at(4)), throttle.Named(at(2), 5)}, false, 0, 2},
+		"none":                {[]throttle.Limit{throttle.NoLimit(at(1))}, false, 0, 0},
+		"named":               {[]throttle.Limit{throttle.NewLimit(at(1), 2)}, true, 2, 1},
+		"named again":         {[]throttle.Limit{throttle.NewLimit(at(1), 2), throttle.NewLimit(at(2), 2)}, true, 2, 1},
+		"another rate":        {[]throttle.Limit{throttle.NewLimit(at(1), 2), throttle.NewLimit(at(2), 3)}, true, 3, 2},
+		"withdrawn":           {[]throttle.Limit{throttle.NewLimit(at(1), 2), throttle.NoLimit(at(2))}, false, 0, 2},
+		"request sent before": {[]throttle.Limit{throttle.NewLimit(at(5), 2), throttle.NoLimit(at(4))}, true, 2, 1},
+		"older rate":          {[]throttle.Limit{throttle.NewLimit(at(5), 2), throttle.NewLimit(at(4), 9)}, true, 2, 1},
+		"named once more":     {[]throttle.Limit{throttle.NewLimit(at(1), 2), throttle.NoLimit(at(2)), throttle.NewLimit(at(3), 2)}, true, 2, 3},
+		"zero is a rate":      {[]throttle.Limit{throttle.NewLimit(at(1), 0)}, true, 0, 1},
+		"withdrawn, before":   {[]throttle.Limit{throttle.NewLimit(at(3), 2), throttle.NoLimit(at(4)), throttle.NewLimit(at(2), 5)}, false, 0, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var v throttle.Throttle
@@ -69,11 +69,11 @@
 // sends requests by it, over duration milliseconds.
 func sendScheduled(perSecond float64, duration int) (throttle.Throttle, []time.Time) {
 	v := throttle.New(0)
-	v.Learn(throttle.Named(start, perSecond))
+	v.Learn(throttle.NewLimit(start, perSecond))
 	var sent []time.Time
 	for ms := range duration {
-		if now := at(ms); v.Free(now) == 0 {
-			v.Take(now)
+		if now := at(ms); v.GlobalWait(now) == 0 {
+			v.Record(now)
 			sent = append(sent, now)
 		}
 	}
@@ -90,17 +90,17 @@
 
 func TestFreeReportsTimeUntilRequestFits(t *testing.T) {
 	v := throttle.New(0)
-	require.Zero(t, v.Free(start))
-	v.Learn(throttle.Named(start, 2))
-	require.Equal(t, 500*time.Millisecond, v.Free(start), "other nodes may have just sent requests")
+	require.Zero(t, v.GlobalWait(start))
+	v.Learn(throttle.NewLimit(start, 2))
+	require.Equal(t, 500*time.Millisecond, v.GlobalWait(start), "other nodes may have just sent requests")
 	for range 2 {
-		require.Zero(t, v.Free(at(1000)))
-		v.Take(at(1000))
+		require.Zero(t, v.GlobalWait(at(1000)))
+		v.Record(at(1000))
 	}
-	require.Equal(t, 500*time.Millisecond, v.Free(at(1000)))
-	require.Zero(t, v.Free(at(1500)))
-	v.Learn(throttle.Withdrawn(at(1)))
-	require.Zero(t, v.Free(at(1)))
+	require.Equal(t, 500*time.Millisecond, v.GlobalWait(at(1000)))
+	require.Zero(t, v.GlobalWait(at(1500)))
+	v.Learn(throttle.NoLimit(at(1)))
+	require.Zero(t, v.GlobalWait(at(1)))
 }
 
 // TestNodesKeepToTheRateTogether has nodes that have long been idle send as much as they may, right
@@ -130,17 +130,17 @@
 // sendScheduledThenLocal returns the times of the requests that a scheduler sends in 8 s and of
 // those that nodes send on their own in the following 12 s.
 func sendScheduledThenLocal(rng *rand.Rand, nodes int, perSecond float64) []time.Time {
-	share := throttle.Share{Nodes: nodes, Part: 0.5}
+	share := throttle.Share{Nodes: nodes, Fraction: 0.5}
 	_, sent := sendScheduled(perSecond, 8_000)
 	all := make([]throttle.Throttle, nodes)
 	for i := range all {
 		all[i] = throttle.New(rng.Float64())
-		all[i].Learn(throttle.Named(start, perSecond))
+		all[i].Learn(throttle.NewLimit(start, perSecond))
 	}
 	for ms := 8_000; ms < 20_000; ms += 5 {
 		for i := range all {
-			if now := at(ms); all[i].Opens(now, share) == 0 {
-				all[i].Take(now)
+			if now := at(ms); all[i].LocalWait(now, share) == 0 {
+				all[i].Record(now)
 				sent = append(sent, now)
 			}
 		}
@@ -152,14 +152,14 @@
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		v := throttle.New(rng.Float64())
-		v.Learn(throttle.Named(start, 1+rng.Float64()))
-		share := throttle.Share{Nodes: 1 + rng.IntN(9), Part: 0.5}
+		v.Learn(throttle.NewLimit(start, 1+rng.Float64()))
+		share := throttle.Share{Nodes: 1 + rng.IntN(9), Fraction: 0.5}
 		now := at(rng.IntN(10_000))
 		for range 5 {
-			now = now.Add(v.Opens(now, share) + time.Microsecond)
-			require.Zero(t, v.Opens(now, share), "seed %d", seed)
-			v.Take(now)
-			require.Positive(t, v.Opens(now, share), "seed %d", seed)
+			now = now.Add(v.LocalWait(now, share) + time.Microsecond)
+			require.Zero(t, v.LocalWait(now, share), "seed %d", seed)
+			v.Record(now)
+			require.Positive(t, v.LocalWait(now, share), "seed %d", seed)
 		}
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -124,9 +124,9 @@
 
 // learnLimit takes in what the answer to a request says of the rate that its server takes.
 func (t *try) learnLimit(sent time.Time) {
-	l := throttle.Withdrawn(sent)
+	l := throttle.NoLimit(sent)
 	if t.answer.Rate != nil {
-		l = throttle.Named(time.Now(), *t.answer.Rate)
+		l = throttle.NewLimit(time.Now(), *t.answer.Rate)
 	}
 	t.g.mu.Lock()
 	changed := t.g.picture.LearnLimit(t.choice.Server.ID, l)
