--- a/core/apikey/apikey_test.go
+++ b/core/apikey/apikey_test.go
@@ -29,7 +29,7 @@
 		{[]string{"Bearer a b"}, "", apikey.Malformed},
 		{[]string{"Bearer k1,Bearer k2"}, "", apikey.Malformed},
 		{[]string{"Bearer k\x001"}, "", apikey.Malformed},
-		{[]string{"Bearer " + strings.Repeat("k", apikey.LongestKey+1)}, "", apikey.Malformed},
+		{[]string{"Bearer " + strings.Repeat("k", apikey.MaxKeyBytes+1)}, "", apikey.Malformed},
 	} {
 		key, err := apikey.Bearer(tt.values)
 		require.Equal(t, tt.key, key, tt.values)
@@ -76,7 +76,7 @@
 		key, err := apikey.Bearer([]string{s})
 		if err == nil {
 			require.NotEmpty(t, key)
-			require.LessOrEqual(t, len(key), apikey.LongestKey)
+			require.LessOrEqual(t, len(key), apikey.MaxKeyBytes)
 			require.NotContains(t, key, " ")
 			return
 		}
--- a/core/apikey/bearer.go
+++ b/core/apikey/bearer.go
@@ -4,7 +4,7 @@
 
 const (
 	// LongestKey is the maximum length of a key in bytes.
-	LongestKey = 256
+	MaxKeyBytes = 256
 	// scheme is the authentication scheme of RFC 6750.
 	scheme = "Bearer"
 )
@@ -49,7 +49,7 @@
 		return "", &CredentialsError{OtherScheme}
 	}
 	key = strings.Trim(key, " \t")
-	if !found || key == "" || len(key) > LongestKey || !isValidKey(key) {
+	if !found || key == "" || len(key) > MaxKeyBytes || !isValidKey(key) {
 		return "", &CredentialsError{Malformed}
 	}
 	return key, nil
