--- a/core/apikey/bearer.go
+++ b/core/apikey/bearer.go
@@ -3,7 +3,7 @@
 import "strings"
 
 const (
-	// LongestKey is the maximum length of a key in bytes.
+	// MaxKeyBytes is the maximum length of a key in bytes.
 	MaxKeyBytes = 256
 	// scheme is the authentication scheme of RFC 6750.
 	scheme = "Bearer"
--- a/core/balance/doc.go
+++ b/core/balance/doc.go
@@ -18,7 +18,7 @@
 // cost is scaled by how much slower than estimated the server has recently
 // answered.
 //
-// The cheapest of Choices randomly drawn servers is picked (Mitzenmacher 2001,
+// The cheapest of SampleSize randomly drawn servers is picked (Mitzenmacher 2001,
 // "The power of two choices in randomized load balancing"). Otherwise all nodes
 // that act on the same delayed load report would pick the same server.
 //
@@ -34,9 +34,9 @@
 //	p := balance.New(rand.New(rand.NewPCG(1, 2)))
 //	p.Update(servers)
 //	c, reason := p.Pick(now, balance.Request{Service: "drafter", Model: "m1", Tokens: 900})
-//	t := p.Sent(now, c.Server.ID, request)
-//	p.First(now, t)
-//	p.Done(now, t, balance.Good)
+//	t := p.RecordSent(now, c.Server.ID, request)
+//	p.FirstByte(now, t)
+//	p.RecordDone(now, t, balance.Succeeded)
 //
-// A Picture is not safe for concurrent use.
+// A Picker is not safe for concurrent use.
 package balance
--- a/core/balance/pick.go
+++ b/core/balance/pick.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// Choices is the number of servers drawn at random for one pick.
+	// SampleSize is the number of servers drawn at random for one pick.
 	SampleSize = 3
 	// defaultPrefillRate is the number of prompt tokens that an engine is assumed to read in a
 	// millisecond until a model's rate has been measured. The users' data sheets give 19 to 22.
@@ -31,7 +31,7 @@
 )
 
 type (
-	// Part is a segment of a prompt that several requests may share.
+	// Segment is a part of a prompt that several requests may share.
 	Segment struct {
 		ID     string
 		Tokens int
@@ -48,7 +48,7 @@
 		Exclude  map[string]bool // IDs of servers that must not be picked
 	}
 
-	// Choice is the result of a pick.
+	// Selection is the result of a pick.
 	Selection struct {
 		Server fleet.Server
 		// Wait is the estimated time until the server starts the request. If no server was picked
@@ -57,7 +57,7 @@
 		Age  time.Duration // of the latest load report from other nodes; -1 if there is none
 	}
 
-	// Why is the reason why no server was picked.
+	// Reason is the reason why no server was picked.
 	Reason string
 )
 
@@ -73,7 +73,7 @@
 	// Limited means that all servers that could run the request have reached the rate limit that
 	// they named.
 	Limited Reason = "limited"
-	// Resting means that the servers that could run the request have asked this node to back off.
+	// Backoff means that the servers that could run the request have asked this node to back off.
 	Backoff Reason = "resting"
 	// Leaving means that the picked server is leaving.
 	Leaving Reason = "leaving"
@@ -96,7 +96,7 @@
 	return Selection{Server: s.Server, Wait: p.wait(now, s, r), Age: s.age(now)}, Picked
 }
 
-// PickRoom picks the cheapest of all servers with room for the request. A server has room if at
+// PickWithin picks the cheapest of all servers with room for the request. A server has room if at
 // most maxTokens prompt tokens would be pending there including this request, or if no request is
 // pending there, and if less than the fraction maxSlotFraction of its slots is taken. It requires
 // that the picker knows the exact counts of all nodes.
@@ -220,7 +220,7 @@
 	return b
 }
 
-// cheapestOfSample draws Choices servers at random and returns the one with the lowest cost.
+// cheapestOfSample draws SampleSize servers at random and returns the one with the lowest cost.
 func (p *Picker) cheapestOfSample(now time.Time, eligible []*server, r Request) *server {
 	n := min(SampleSize, len(eligible))
 	for i := range n {
--- a/core/balance/picker.go
+++ b/core/balance/picker.go
@@ -32,7 +32,7 @@
 		Granted int // running requests that the current granter counts itself
 	}
 
-	// Picture tracks the load of all backend servers and picks a server for each request.
+	// Picker tracks the load of all backend servers and picks a server for each request.
 	Picker struct {
 		rng         *rand.Rand
 		prefillTime map[string]float64 // by model: time to read a prompt, relative to defaultPrefillRate
@@ -149,7 +149,7 @@
 	return s.Server, true
 }
 
-// Models yields the models that a server may hold according to its store entry or to later
+// ResidentModels yields the models that a server may hold according to its store entry or to later
 // residency updates. A model may be yielded twice.
 func (p *Picker) ResidentModels(id string) iter.Seq[string] {
 	return func(yield func(string) bool) {
@@ -212,7 +212,7 @@
 	return s.Holds(h.model, h.adapter)
 }
 
-// Note overrides a server's store entry: the server holds, or lacks, a model or adapter.
+// SetResidency overrides a server's store entry: the server holds, or lacks, a model or adapter.
 func (p *Picker) SetResidency(now time.Time, id, name, adapter string, has bool) {
 	if s := p.servers[id]; s != nil {
 		s.residency[resident{name, adapter}] = residencyUpdate{resident: has, until: now.Add(residencyTTL)}
@@ -220,7 +220,7 @@
 	}
 }
 
-// Report records a server's own count of its requests.
+// ServerReport records a server's own count of its requests.
 func (p *Picker) ServerReport(now time.Time, id string, running, waiting int) {
 	if s := p.servers[id]; s != nil {
 		s.report = Count{Pending: waiting, Running: running}
@@ -236,14 +236,14 @@
 	return s != nil && s.throttle.Learn(l)
 }
 
-// Rest records that a server asked this node to send no requests until a given time.
+// BackOff records that a server asked this node to send no requests until a given time.
 func (p *Picker) BackOff(id string, until time.Time) {
 	if s := p.servers[id]; s != nil && until.After(s.backoff) {
 		s.backoff = until
 	}
 }
 
-// Resting returns the servers of a service that have asked this node to back off.
+// InBackoff returns the servers of a service that have asked this node to back off.
 func (p *Picker) InBackoff(now time.Time, service string) []string {
 	var out []string
 	for _, s := range p.byService[service] {
@@ -282,14 +282,14 @@
 	return out
 }
 
-// SetRatePart sets the fraction, above zero, that is used of each rate named from now on. The
+// SetRateFraction sets the fraction, above zero, that is used of each rate named from now on. The
 // default is 1.
 func (p *Picker) SetRateFraction(fraction float64) { p.rateFraction = fraction }
 
 // SetNodes sets how many nodes pick servers on their own and share the rates named by servers.
 func (p *Picker) SetNodes(nodes int) { p.nodes = nodes }
 
-// Own returns the counts of this node for each server where it has requests, with the number of
+// LocalCounts returns the counts of this node for each server where it has requests, with the number of
 // those that the current granter counts itself.
 func (p *Picker) LocalCounts(granter int64) map[string]Count {
 	out := map[string]Count{}
@@ -303,7 +303,7 @@
 	return out
 }
 
-// Others records the combined counts of the other nodes at each server.
+// SetRemoteCounts records the combined counts of the other nodes at each server.
 func (p *Picker) SetRemoteCounts(now time.Time, counts map[string]Count) {
 	for id, s := range p.servers {
 		s.remote = counts[id]
--- a/core/balance/ticket.go
+++ b/core/balance/ticket.go
@@ -45,19 +45,19 @@
 )
 
 const (
-	// Good means that the server answered.
+	// Succeeded means that the server answered.
 	Succeeded Result = iota
 	// Full means that the server reported that it was full.
 	Full
-	// Broken means that the server could not be reached or that the connection failed.
+	// ConnFailed means that the server could not be reached or that the connection failed.
 	ConnFailed
-	// Dropped means that the client or the node abandoned the request.
+	// Abandoned means that the client or the node abandoned the request.
 	Abandoned
 	// Failed means that the server itself answered with an error.
 	Failed
 )
 
-// Sent records that a request is sent to a server. It returns nil if the server is no longer known;
+// RecordSent records that a request is sent to a server. It returns nil if the server is no longer known;
 // the other methods accept a nil ticket.
 func (p *Picker) RecordSent(now time.Time, id string, r Request) *Ticket {
 	s := p.servers[id]
@@ -78,7 +78,7 @@
 	return t
 }
 
-// First records that the first byte of an answer arrived.
+// FirstByte records that the first byte of an answer arrived.
 func (p *Picker) FirstByte(now time.Time, t *Ticket) {
 	if t == nil || t.firstByte || t.done {
 		return
@@ -120,7 +120,7 @@
 	s.slowness = min(max(s.slowness, 0.5), maxSlowness)
 }
 
-// Pace returns how long an engine takes to read a model's prompts, relative to defaultPrefillRate.
+// RelativePrefillTime returns how long an engine takes to read a model's prompts, relative to defaultPrefillRate.
 // It is 1 until it has been learned.
 func (p *Picker) RelativePrefillTime(model string) float64 {
 	if v, ok := p.prefillTime[model]; ok {
@@ -129,15 +129,15 @@
 	return 1
 }
 
-// Granted records which granter granted the request and counts it until its end. It must be called
-// before First.
+// SetGranter records which granter granted the request and counts it until its end. It must be called
+// before FirstByte.
 func (t *Ticket) SetGranter(granter int64) {
 	if t != nil {
 		t.granter = granter
 	}
 }
 
-// Done records the end of a request at a server.
+// RecordDone records the end of a request at a server.
 func (p *Picker) RecordDone(now time.Time, t *Ticket, r Result) {
 	if t == nil || t.done {
 		return
--- a/core/claim/batch.go
+++ b/core/claim/batch.go
@@ -60,7 +60,7 @@
 	return tx.Put(BatchKey(minute, id), v)
 }
 
-// Listed returns the claim keys in a batch row.
+// BatchKeys returns the claim keys in a batch row.
 func BatchKeys(r row.Row) ([]string, error) {
 	var b Batch
 	if err := json.Unmarshal(r.Value, &b); err != nil {
--- a/core/claim/change.go
+++ b/core/claim/change.go
@@ -7,13 +7,13 @@
 	"guavapaddle/core/row"
 )
 
-// Fate is the outcome of writing a change.
+// WriteOutcome is the outcome of writing a change.
 type WriteOutcome string
 
 const (
-	// Took means that the change was committed.
+	// Committed means that the change was committed.
 	Committed WriteOutcome = "took"
-	// Open means that the change has not been committed, but a transaction that
+	// Pending means that the change has not been committed, but a transaction that
 	// is still in transit may commit it. It is safe to send the change again.
 	Pending WriteOutcome = "open"
 	// Lost means that the change was not committed and never will be.
@@ -54,7 +54,7 @@
 	return Held{Key: c.Key, Revision: revision, Claim: c.Claim}
 }
 
-// Fate returns the outcome of c, derived from the current row r: a conflict
+// Outcome returns the outcome of c, derived from the current row r: a conflict
 // reported by a transaction that was not committed, or a row that was read back
 // after the reply to a transaction was lost.
 func (c Change) Outcome(r row.Row) (WriteOutcome, error) {
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -114,7 +114,7 @@
 	return Change{Key: h.Key, Revision: h.Revision, Claim: c}
 }
 
-// Lose returns the change that sets the state to Unknown because the answer was
+// MarkUnknown returns the change that sets the state to Unknown because the answer was
 // lost for reason r.
 func (h Held) MarkUnknown(r outcome.Reason) Change {
 	c := h.Claim
--- a/core/claim/doc.go
+++ b/core/claim/doc.go
@@ -29,18 +29,18 @@
 //
 // A node that wants to send a call creates a Claim with a new attempt id and
 // commits the change returned by Insert. If the outcome of the write is not
-// known, the node reads the row and calls Change.Fate. If the change is Lost,
-// Ask evaluates the row that was found instead:
+// known, the node reads the row and calls Change.Outcome. If the change is Lost,
+// Evaluate evaluates the row that was found instead:
 //
 //	c := claim.Insert(key, own, 0)
-//	v, err := claim.Ask(current, own, now, dead)
-//	switch v.Kind {
+//	v, err := claim.Evaluate(current, own, now, dead)
+//	switch v.Decision {
 //	case claim.Free:   // commit claim.Insert(key, own, v.Revision)
 //	case claim.Stored: // return v.Answer
-//	case claim.Closed: // return v.Err
+//	case claim.Denied: // return v.Err
 //	}
 //
-// The holder ends its claim with Held.Finish, Held.Lose or Held.Release. A node
+// The holder ends its claim with Held.Finish, Held.MarkUnknown or Held.Release. A node
 // that gives up on an insert whose outcome is unknown has not sent the call. It
 // reports to its caller that the call did not run, and commits the change
 // returned by Settle when the table is available again.
--- a/core/claim/evaluate.go
+++ b/core/claim/evaluate.go
@@ -7,7 +7,7 @@
 	"guavapaddle/core/row"
 )
 
-// Kind is the decision on a request to claim a call.
+// Decision is the decision on a request to claim a call.
 type Decision string
 
 const (
@@ -15,7 +15,7 @@
 	Free Decision = "free"
 	// Stored means that the call was answered and that the verdict has the answer.
 	Stored Decision = "stored"
-	// Closed means that the requester must not send the call and gets an error.
+	// Denied means that the requester must not send the call and gets an error.
 	Denied Decision = "closed"
 )
 
@@ -32,16 +32,16 @@
 		Decision Decision
 		Revision uint64         // for Free: the revision that the insert requires
 		Answer   *Answer        // for Stored
-		Err      *outcome.Error // for Closed
+		Err      *outcome.Error // for Denied
 	}
 
-	// Dead reports whether an incarnation of a node is known to have ended. A
+	// IsDead reports whether an incarnation of a node is known to have ended. A
 	// false positive is safe: the requester gets unknown instead of in-progress,
 	// which is correct but less precise.
 	IsDead func(node string, incarnation uint64) bool
 )
 
-// Ask evaluates the row r, as read at the key that own is to claim. While
+// Evaluate evaluates the row r, as read at the key that own is to claim. While
 // another attempt holds the row, the requester gets in-progress until the
 // deadline of that claim plus ClockMargin has passed or its node is known to be
 // dead, and unknown after that.
--- a/core/config/head/doc.go
+++ b/core/config/head/doc.go
@@ -23,9 +23,9 @@
 // A node tracks the head with a Follower, an immutable value whose versions
 // never decrease:
 //
-//	t := f.Ticket()
+//	t := f.QueryStamp()
 //	read the head row
 //	f, err = f.WithRead(t, ref)
-//	if ref, ok := f.Want(); ok { fetch the body of ref.Hash }
+//	if ref, ok := f.Missing(); ok { fetch the body of ref.Hash }
 //	f = f.WithAdopted(ref)
 package head
--- a/core/config/head/follower.go
+++ b/core/config/head/follower.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 type (
-	// Ticket records when a query was sent, as the number of pauses of the node
+	// QueryStamp records when a query was sent, as the number of pauses of the node
 	// until then. A reply to a query from before the last pause may be outdated,
 	// so it doesn't confirm the head.
 	QueryStamp uint64
@@ -39,7 +39,7 @@
 // Target returns the newest document seen.
 func (f Follower) Target() Ref { return f.target }
 
-// Want returns the newest document seen and reports whether it is newer than the
+// Missing returns the newest document seen and reports whether it is newer than the
 // one in force, so that it has to be fetched.
 func (f Follower) Missing() (Ref, bool) { return f.target, f.target.Version > f.inForce.Version }
 
@@ -48,9 +48,9 @@
 // stays fresh while it fetches a new version.
 func (f Follower) Fresh() bool { return f.fresh }
 
-// Ticket returns a ticket for a query. It must be taken before the query is
+// QueryStamp returns the stamp for a query. It must be taken before the query is
 // sent.
-func (f Follower) Ticket() QueryStamp { return f.pauses }
+func (f Follower) QueryStamp() QueryStamp { return f.pauses }
 
 // WithRead returns f after ref was read from the head row; ref is the zero Ref if
 // the row is absent, and t was taken before the read. A version lower than the
@@ -64,7 +64,7 @@
 	return f.withFresh(), err
 }
 
-// WithAnswer returns f after a peer, queried after t was taken, replied that ref
+// WithReply returns f after a peer, queried after t was taken, replied that ref
 // is in force there. The reply confirms the head only if the peer is fresh; its
 // version may then be lower than the newest one that f has seen. The error is a
 // *ForkError.
@@ -111,7 +111,7 @@
 	return f
 }
 
-// WithTrust returns f with the newest version seen assumed to be confirmed. The
+// WithAssumed returns f with the newest version seen assumed to be confirmed. The
 // caller may assume so if, since t was taken, all other nodes replied and none is
 // fresh, or if neither the table nor a fresh peer has replied for a long time.
 // Without this, nodes that were all paused during an outage would wait for each
--- a/core/config/head/simulation_test.go
+++ b/core/config/head/simulation_test.go
@@ -29,10 +29,10 @@
 
 	// message is a reply or a hint to a node.
 	message struct {
-		ticket head.QueryStamp
-		ref    head.Ref
-		from   int // index of a node, fromTable or fromHint
-		fresh  bool
+		stamp head.QueryStamp
+		ref   head.Ref
+		from  int // index of a node, fromTable or fromHint
+		fresh bool
 	}
 
 	// simulation is a table with operators and nodes, and the failures of their
@@ -196,7 +196,7 @@
 	}
 	h, err := head.Parse(s.row(head.Key))
 	if err == nil {
-		n.Follower, err = n.WithRead(n.Ticket(), h.Ref())
+		n.Follower, err = n.WithRead(n.QueryStamp(), h.Ref())
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -216,14 +216,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.inbox = append(n.inbox, message{ticket: n.Ticket(), ref: h.Ref(), from: fromTable})
+	n.inbox = append(n.inbox, message{stamp: n.QueryStamp(), ref: h.Ref(), from: fromTable})
 }
 
 // nodeQueriesPeer lets a node query a peer; the reply may be delayed.
 func (s *simulation) nodeQueriesPeer(t *rapid.T) {
 	_, n := s.runningNode(t)
 	j, peer := s.runningNode(t)
-	n.inbox = append(n.inbox, message{ticket: n.Ticket(), ref: peer.InForce(), from: j, fresh: peer.Fresh()})
+	n.inbox = append(n.inbox, message{stamp: n.QueryStamp(), ref: peer.InForce(), from: j, fresh: peer.Fresh()})
 }
 
 // nodeSendsHint lets a node send a hint to a peer.
@@ -245,12 +245,12 @@
 	var err error
 	switch m.from {
 	case fromTable:
-		n.Follower, err = n.WithRead(m.ticket, m.ref)
+		n.Follower, err = n.WithRead(m.stamp, m.ref)
 	case fromHint:
 		n.Follower, err = n.WithHint(m.ref)
 	default:
-		n.Follower, err = n.WithReply(m.ticket, m.ref, m.fresh)
-		if m.ticket == n.Ticket() {
+		n.Follower, err = n.WithReply(m.stamp, m.ref, m.fresh)
+		if m.stamp == n.QueryStamp() {
 			n.replied[m.from] = true
 		}
 	}
@@ -320,6 +320,6 @@
 		}
 	}
 	if s.down {
-		n.Follower = n.WithAssumed(n.Ticket())
+		n.Follower = n.WithAssumed(n.QueryStamp())
 	}
 }
--- a/core/departure/doc.go
+++ b/core/departure/doc.go
@@ -8,7 +8,7 @@
 //
 //	var s departure.Set
 //	if s.Add(departure.Incarnation{ID: "i-7", Born: startTime}) { ... }
-//	servers = s.Apply(servers)
+//	servers = s.MarkLeaving(servers)
 //
 // A Set is not safe for concurrent use.
 package departure
--- a/core/departure/set.go
+++ b/core/departure/set.go
@@ -23,7 +23,7 @@
 	}
 )
 
-// Of returns the incarnation of a server.
+// IncarnationOf returns the incarnation of a server.
 func IncarnationOf(s fleet.Server) Incarnation { return Incarnation{ID: s.ID, Born: s.StartedAtMS} }
 
 // Add adds incarnations that leave. It reports whether any of them is new.
@@ -47,7 +47,7 @@
 	return added
 }
 
-// Apply returns the servers with Leaving set for those in the set. The list itself isn't modified.
+// MarkLeaving returns the servers with Leaving set for those in the set. The list itself isn't modified.
 func (s *Set) MarkLeaving(list []fleet.Server) []fleet.Server {
 	out := list
 	for i, v := range list {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// Among returns those of the servers that have announced that they leave although their store
+// Undeclared returns those of the servers that have announced that they leave although their store
 // entries don't show it.
 func (s *Set) Undeclared(list []fleet.Server) []Incarnation {
 	var out []Incarnation
--- a/core/deputy/doc.go
+++ b/core/deputy/doc.go
@@ -6,7 +6,7 @@
 // # Method
 //
 // One node is the deputy at a time, for as long as the store answers it. When the
-// store has not answered it for Fresh, the next deputy is selected by rendezvous
+// store has not answered it for MaxStoreAge, the next deputy is selected by rendezvous
 // hashing of the node's name and the number of the selection, among the nodes that
 // the store has recently answered, or among all if there are none. Nodes with less
 // than half the processor capacity of the largest are excluded, since they
@@ -18,8 +18,8 @@
 //
 // # Usage
 //
-//	var c deputy.Chooser
-//	node := c.Choose(now, []deputy.Candidate{{Node: "a", Age: time.Second}})
+//	var c deputy.Selector
+//	node := c.Select(now, []deputy.Candidate{{Node: "a", Age: time.Second}})
 //
-// A Chooser is not safe for concurrent use.
+// A Selector is not safe for concurrent use.
 package deputy
--- a/core/deputy/selector.go
+++ b/core/deputy/selector.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fresh is the maximum time since the store last answered a deputy. The deputy follows the store
+// MaxStoreAge is the maximum time since the store last answered a deputy. The deputy follows the store
 // with a wait of 0.6 s, and reports at least every 0.8 s.
 const MaxStoreAge = 2 * time.Second
 
@@ -19,7 +19,7 @@
 		Cores float64       // processor cores that the node may use
 	}
 
-	// Chooser selects the deputy. The zero value has selected none.
+	// Selector selects the deputy. The zero value has selected none.
 	Selector struct {
 		node       string
 		selectedAt time.Time // when the deputy was selected
@@ -27,7 +27,7 @@
 	}
 )
 
-// Choose returns the deputy, or the empty string if there never was a candidate.
+// Select returns the deputy, or the empty string if there never was a candidate.
 func (c *Selector) Select(now time.Time, list []Candidate) string {
 	var recent, others []Candidate
 	for _, k := range capable(list) {
--- a/core/fleet/server.go
+++ b/core/fleet/server.go
@@ -3,7 +3,7 @@
 import "slices"
 
 type (
-	// Held is a model in the memory of a model engine, with its loaded adapters.
+	// ResidentModel is a model in the memory of a model engine, with its loaded adapters.
 	ResidentModel struct {
 		Model    string
 		Version  int64
@@ -11,7 +11,7 @@
 	}
 
 	// Server is one incarnation of a backend server, as reported by the server
-	// itself. A server may restart under the same id; Born distinguishes the
+	// itself. A server may restart under the same id; StartedAtMS distinguishes the
 	// incarnations.
 	Server struct {
 		ID          string
--- a/core/fleet/team.go
+++ b/core/fleet/team.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// UrgencyLeast is the rank of the least urgent requests.
+	// LowestUrgency is the rank of the least urgent requests.
 	LowestUrgency = 9
 	// maxRevokedKeys bounds the revoked keys that a configuration retains.
 	maxRevokedKeys = 4096
@@ -21,9 +21,9 @@
 	Quota struct {
 		Rate  float64 // units per second
 		Burst float64 // size of the bucket, in units
-		// Tokens specifies that the unit is a token of a model instead of a request.
+		// CountTokens specifies that the unit is a token of a model instead of a request.
 		CountTokens bool
-		// Plain is the number of tokens charged for a request that doesn't specify
+		// DefaultTokens is the number of tokens charged for a request that doesn't specify
 		// its token count.
 		DefaultTokens int
 	}
@@ -47,7 +47,7 @@
 		priorities []int64                // priority keys of all pairs of a team and a route, sorted
 	}
 
-	// Member is a team and the digests of its keys.
+	// TeamKeys is a team and the digests of its keys.
 	TeamKeys struct {
 		Team
 		Keys []apikey.Digest
@@ -125,7 +125,7 @@
 func (c *Config) Teams() []Team { return c.access.teams }
 
 // Urgency returns the rank of a team's requests on a route, from 0 for the most
-// urgent to UrgencyLeast. Requests are ranked by the team's priority and then by
+// urgent to LowestUrgency. Requests are ranked by the team's priority and then by
 // the route's. Without a team, the rank is the route's priority.
 func (c *Config) Urgency(r Route, t Team) int {
 	if t.Name == "" {
--- a/core/forward/token.go
+++ b/core/forward/token.go
@@ -10,7 +10,7 @@
 
 const tokenFields = 3
 
-// Token identifies the position at which a streamed answer can be resumed.
+// ResumeToken identifies the position at which a streamed answer can be resumed.
 // Callers receive it as the id of each event and return it in Last-Event-ID.
 type ResumeToken struct {
 	RequestID string
@@ -18,7 +18,7 @@
 	Server    string
 }
 
-// BadToken is the error for a resume token that can't be parsed.
+// ResumeTokenError is the error for a resume token that can't be parsed.
 type ResumeTokenError struct{ Token string }
 
 // Error returns a message with the quoted token.
@@ -26,12 +26,12 @@
 	return "resume token does not parse: " + strconv.Quote(e.Token)
 }
 
-// String returns the text form of the token, which ParseToken parses.
+// String returns the text form of the token, which ParseResumeToken parses.
 func (t ResumeToken) String() string {
 	return t.RequestID + "." + strconv.Itoa(t.Offset) + "." + t.Server
 }
 
-// ParseToken parses the text form of a token. The error is a *BadToken.
+// ParseResumeToken parses the text form of a token. The error is a *ResumeTokenError.
 func ParseResumeToken(text string) (ResumeToken, error) {
 	parts := strings.SplitN(text, ".", tokenFields)
 	if len(parts) != tokenFields || parts[0] == "" || parts[2] == "" {
--- a/core/grant/doc.go
+++ b/core/grant/doc.go
@@ -8,7 +8,7 @@
 // and so do the gaps between the tokens of all streams: three steps of 2,048
 // prompt tokens take about 350 ms, while callers accept 300 ms. The number of
 // prompt tokens that an engine has been sent and has not read is therefore
-// bounded by Tokens. Requests beyond that wait in the scheduler, where they can
+// bounded by Settings.Tokens. Requests beyond that wait in the scheduler, where they can
 // still go to another engine and more urgent requests can overtake them.
 //
 // Requests wait in order of priority. Within a priority, those of teams that are
@@ -17,16 +17,16 @@
 // behind all that still can. A request that cannot start before its deadline is
 // refused.
 //
-// A grant holds its prompt tokens until Begun, which the entry node calls at the
+// A grant holds its prompt tokens until PrefillDone, which the entry node calls at the
 // first byte of the answer, and a slot of the engine until Release.
 //
 // # Usage
 //
 //	s := grant.New(picker, grant.Settings{})
-//	s.Offer(grant.Request{ID: 1, Pick: r, Priority: 2, Target: t, Expire: e})
+//	s.Enqueue(grant.Request{ID: 1, Pick: r, Priority: 2, TargetStart: t, Deadline: d})
 //	for _, d := range s.Next(now) { send(d.ID, d) }
-//	s.Begun(now, 1)
-//	s.Release(now, 1, balance.Good)
+//	s.PrefillDone(now, 1)
+//	s.Release(now, 1, balance.Succeeded)
 //
 // A Scheduler is not safe for concurrent use.
 package grant
--- a/core/grant/scheduler.go
+++ b/core/grant/scheduler.go
@@ -12,9 +12,9 @@
 
 // Default settings.
 const (
-	// Tokens is the default limit of unread prompt tokens at an engine.
+	// DefaultTokens is the default limit of unread prompt tokens at an engine.
 	DefaultTokens = 2000
-	// Part is the default fraction of an engine's slots that granted requests may take. It is 1
+	// DefaultSlotFraction is the default fraction of an engine's slots that granted requests may take. It is 1
 	// because each request is counted from its grant to its end, and requests that nodes start
 	// without the scheduler are counted in load reports.
 	DefaultSlotFraction = 1.0
@@ -82,7 +82,7 @@
 		items: map[uint64]Item{}, granted: map[uint64]activeGrant{}, rates: map[Item]*rates{}}
 }
 
-// Offer adds a request. Next decides about it.
+// Enqueue adds a request. Next decides about it.
 func (s *Scheduler) Enqueue(r Request) {
 	i := Item{r.Pick.Service, r.Pick.Model, r.Pick.Adapter}
 	g := s.groups[i]
@@ -99,7 +99,7 @@
 // Waiting returns the number of waiting requests.
 func (s *Scheduler) Waiting() int { return len(s.items) }
 
-// Lacking returns the number of waiting requests for each item that no server holds. If no server
+// WaitingByMissingItem returns the number of waiting requests for each item that no server holds. If no server
 // holds the model, the adapter is left empty.
 func (s *Scheduler) WaitingByMissingItem() map[Item]int {
 	out := map[Item]int{}
@@ -116,7 +116,7 @@
 	return out
 }
 
-// Begun records that the engine has read the prompt of a granted request. This frees its prompt
+// PrefillDone records that the engine has read the prompt of a granted request. This frees its prompt
 // tokens; the slot stays taken until Release.
 func (s *Scheduler) PrefillDone(now time.Time, id uint64) {
 	if h, ok := s.granted[id]; ok {
@@ -178,7 +178,7 @@
 	}
 }
 
-// Changed marks all groups for the next attempt, after servers or their residency changed.
+// Invalidate marks all groups for the next attempt, after servers or their residency changed.
 func (s *Scheduler) Invalidate() {
 	for _, g := range s.groups {
 		s.marked[g] = true
--- a/core/leader/doc.go
+++ b/core/leader/doc.go
@@ -30,14 +30,14 @@
 //
 // # Usage
 //
-//	k := &leader.Keeper{Self: leader.Lease{Node: "n1", Incarnation: "x"}, TTL: 3 * time.Second}
+//	k := &leader.Elector{Self: leader.Lease{Node: "n1", Incarnation: "x"}, TTL: 3 * time.Second}
 //	k.Observe(now, lease, version)
 //	if l, version, ok := k.Propose(now); ok {
 //		// write l on the condition that the row has that version
-//		k.Won(sent, l, newVersion)
+//		k.Acquired(sent, l, newVersion)
 //	}
 //	if epoch, ok := k.Epoch(now); ok { order(epoch) }
 //
 // Times are durations on a monotonic clock that also runs while the VM is
-// suspended. A Keeper is not safe for concurrent use.
+// suspended. An Elector is not safe for concurrent use.
 package leader
--- a/core/leader/elector.go
+++ b/core/leader/elector.go
@@ -31,15 +31,15 @@
 		Epoch       int64   `json:"epoch"`
 		Cores       float64 `json:"cores"` // processor cores of the leader
 		RecentLoads int     `json:"loads"` // recent loads from the weight store as of the write
-		// Late holds orders for loads from the weight store that an engine had not acknowledged
+		// UnackedOrders holds orders for loads from the weight store that an engine had not acknowledged
 		// when the row was written. The value is the number of orders that the engine must have
 		// accepted for such a load to still start.
 		UnackedOrders map[string]int64 `json:"late,omitempty"`
-		// Coming is the model that was being loaded on each engine when the row was written.
+		// Loading is the model that was being loaded on each engine when the row was written.
 		Loading map[string]string `json:"coming,omitempty"`
 	}
 
-	// Keeper tracks the lease for one node and decides when the node may take or renew it.
+	// Elector tracks the lease for one node and decides when the node may take or renew it.
 	Elector struct {
 		Self Lease // lease that this node proposes; its Epoch is ignored
 		TTL  time.Duration
@@ -73,7 +73,7 @@
 	}
 }
 
-// Mine reports whether the last observed row names this process.
+// IsLeader reports whether the last observed row names this process.
 func (e *Elector) IsLeader() bool {
 	return e.known && e.version != 0 && e.observed.Node == e.Self.Node && e.observed.Incarnation == e.Self.Incarnation
 }
@@ -116,19 +116,19 @@
 	}
 }
 
-// Settled reports whether another node has taken or renewed the lease so recently that reading the
+// RecentlyRenewed reports whether another node has taken or renewed the lease so recently that reading the
 // row again is pointless: at least half of the time to live remains.
 func (e *Elector) RecentlyRenewed(now time.Duration) bool {
 	return e.known && e.version != 0 && e.observed.Node != "" && e.observed.Node != e.Self.Node && now-e.observedAt < e.TTL/2
 }
 
-// Won records that a proposal sent at a given time was written.
+// Acquired records that a proposal sent at a given time was written.
 func (e *Elector) Acquired(sent time.Duration, l Lease, version int64) {
 	e.observed, e.version, e.observedAt, e.known = l, version, sent, true
 	e.leaseEnd = sent + e.TTL
 }
 
-// Fenced records that an engine has seen a higher epoch than the given one.
+// RecordFenced records that an engine has seen a higher epoch than the given one.
 func (e *Elector) RecordFenced(epoch int64) { e.fencedEpoch = max(e.fencedEpoch, epoch) }
 
 // Epoch returns the epoch under which this node may send orders now, and whether it may send any.
--- a/core/lease/bench_test.go
+++ b/core/lease/bench_test.go
@@ -14,25 +14,25 @@
 func BenchmarkRenew(b *testing.B) {
 	for _, n := range []int{1, 8, 64, 600} {
 		b.Run(fmt.Sprint("servers=", n), func(b *testing.B) {
-			book := lease.NewRegistry(lease.Settings{Node: "node-001", Incarnation: "1"})
+			registry := lease.NewRegistry(lease.Settings{Node: "node-001", Incarnation: "1"})
 			revision := uint64(1)
 			now := time.Duration(0)
-			book.Committed(now, book.Renew(now), revision)
+			registry.Committed(now, registry.Renew(now), revision)
 			for i := range n {
 				name := fmt.Sprintf("engine-%03d", i)
-				book.Observe(now, absentRow(lease.ServerKey(name)))
-				tx, ok := book.Acquire(now, name, 0)
+				registry.Observe(now, absentRow(lease.ServerKey(name)))
+				tx, ok := registry.Acquire(now, name, 0)
 				if !ok {
 					b.Fatal("server was not acquired")
 				}
 				revision++
-				book.Committed(now, tx, revision)
+				registry.Committed(now, tx, revision)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now += time.Second
 				revision++
-				book.Committed(now, book.Renew(now), revision)
+				registry.Committed(now, registry.Renew(now), revision)
 			}
 		})
 	}
--- a/core/lease/doc.go
+++ b/core/lease/doc.go
@@ -31,22 +31,22 @@
 //
 // # Usage
 //
-// A Book holds what one node knows. It returns transactions to commit and is
+// A Registry holds what one node knows. It returns transactions to commit and is
 // updated with the resulting rows:
 //
-//	tx := book.Renew(now)
+//	tx := registry.Renew(now)
 //	result, err := table.Transact(ctx, tx)
 //	switch {
 //	case err == nil && result.Committed:
-//		book.Committed(now, tx, result.Revision)
+//		registry.Committed(now, tx, result.Revision)
 //	case err == nil:
-//		book.Observe(now, result.Conflicts...)
+//		registry.Observe(now, result.Conflicts...)
 //	default: // the outcome is unknown: read back
-//		book.Observe(now, read(book.Keys(tx)...)...)
+//		registry.Observe(now, read(registry.WriteKeys(tx)...)...)
 //	}
-//	if epoch, ok := book.MaySend(now, server); ok { ... }
+//	if epoch, ok := registry.MaySend(now, server); ok { ... }
 //
 // All times are monotonic and relative to an arbitrary fixed moment in the
 // process.
-// A Book is not safe for concurrent use.
+// A Registry is not safe for concurrent use.
 package lease
--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -22,7 +22,7 @@
 )
 
 type (
-	// Settings configures a Book. Zero durations select the defaults.
+	// Settings configures a Registry. Zero durations select the defaults.
 	Settings struct {
 		Node        string
 		Incarnation string        // unique for each start of the node
@@ -31,7 +31,7 @@
 		MaxPause    time.Duration // longest allowed gap between ticks
 	}
 
-	// Book holds what one node knows of sessions and of the leases of servers.
+	// Registry holds what one node knows of sessions and of the leases of servers.
 	Registry struct {
 		settings     Settings
 		serial       uint64 // of the session within the incarnation
@@ -70,7 +70,7 @@
 	}
 )
 
-// NewBook returns a Book with a new session and no known rows.
+// NewRegistry returns a Registry with a new session and no known rows.
 func NewRegistry(s Settings) *Registry {
 	if s.TTL == 0 {
 		s.TTL = DefaultTTL
@@ -136,7 +136,7 @@
 	return row.Tx{}.When(key, b.own.revision).Put(key, value)
 }
 
-// Keys returns the keys to read back if the outcome of tx is unknown.
+// WriteKeys returns the keys to read back if the outcome of tx is unknown.
 func (b *Registry) WriteKeys(tx row.Tx) []string {
 	keys := make([]string, 0, len(tx.Writes))
 	for _, w := range tx.Writes {
@@ -282,7 +282,7 @@
 	return s.value, ok
 }
 
-// Watch returns the keys of the rows that determine when a server becomes free.
+// KeysToWatch returns the keys of the rows that determine when a server becomes free.
 func (b *Registry) KeysToWatch(name string) []string {
 	keys := []string{ServerKey(name)}
 	s := b.servers[name].value
@@ -292,7 +292,7 @@
 	return keys
 }
 
-// Free returns how long the node has to wait before it may acquire a server,
+// FreeIn returns how long the node has to wait before it may acquire a server,
 // and false if that can't be derived from the rows observed so far.
 func (b *Registry) FreeIn(now time.Duration, name string) (time.Duration, bool) {
 	s, ok := b.servers[name]
@@ -312,7 +312,7 @@
 	return max(0, other.since+other.ttl+b.settings.Margin-now), true
 }
 
-// Take returns the transaction that makes this node's session the owner of a
+// Acquire returns the transaction that makes this node's session the owner of a
 // server under the next epoch, and false if that is not allowed now. Orders in
 // the row are kept. A server that the session already holds also gets the next
 // epoch, which invalidates all orders under earlier epochs on a server that
@@ -333,7 +333,7 @@
 	return tx.Put(ServerKey(name), encode(v)), true
 }
 
-// Record returns the transaction that stores orders in the row of a held server,
+// RecordOrders returns the transaction that stores orders in the row of a held server,
 // for the next owner to inherit. The transaction is not committed if another
 // node has acquired the server.
 func (b *Registry) RecordOrders(name string, orders json.RawMessage) (row.Tx, bool) {
@@ -360,7 +360,7 @@
 	return row.Tx{}.When(ServerKey(name), s.revision).Put(ServerKey(name), encode(v)), true
 }
 
-// Drop marks a server as not held until it is acquired again, for example
+// Forget marks a server as not held until it is acquired again, for example
 // because a higher epoch was reported for it.
 func (b *Registry) Forget(name string) {
 	if s, ok := b.servers[name]; ok {
@@ -369,7 +369,7 @@
 	}
 }
 
-// End starts a new session and returns the transaction that ends the previous
+// EndSession starts a new session and returns the transaction that ends the previous
 // one, which frees all servers that it still owns. It returns false if the
 // session was not created.
 func (b *Registry) EndSession() (row.Tx, bool) {
--- a/core/lease/registry_test.go
+++ b/core/lease/registry_test.go
@@ -24,7 +24,7 @@
 	// contender is a node that competes for the server. Its transactions may be
 	// committed at any time after they were created, and replies may be lost.
 	contender struct {
-		book        *lease.Registry
+		registry    *lease.Registry
 		tx          *row.Tx // in transit
 		arrivesAt   time.Duration
 		pausedUntil time.Duration // the node is paused until then
@@ -62,11 +62,11 @@
 	return out
 }
 
-func newBook(name string) *lease.Registry {
+func newRegistry(name string) *lease.Registry {
 	return lease.NewRegistry(lease.Settings{Node: name, Incarnation: "1"})
 }
 
-// transact commits a transaction and updates the book with the result.
+// transact commits a transaction and updates the registry with the result.
 func (t *table) transact(now time.Duration, b *lease.Registry, tx row.Tx) {
 	if r := t.commit(tx); r.Committed {
 		b.Committed(now, tx, r.Revision)
@@ -85,7 +85,7 @@
 		tab := &table{rows: map[string]row.Row{}}
 		var nodes []*contender
 		for i := range 3 {
-			nodes = append(nodes, &contender{book: newBook(fmt.Sprint("n", i))})
+			nodes = append(nodes, &contender{registry: newRegistry(fmt.Sprint("n", i))})
 		}
 		now, epoch := time.Duration(0), uint64(0)
 		for range 1500 {
@@ -95,7 +95,7 @@
 			}
 			holders := 0
 			for _, v := range nodes {
-				if e, ok := v.book.MaySend(now, server); ok {
+				if e, ok := v.registry.MaySend(now, server); ok {
 					holders++
 					require.GreaterOrEqual(t, e, epoch)
 					epoch = e
@@ -119,21 +119,21 @@
 		}
 		return
 	}
-	v.book.Tick(now, time.Time{})
+	v.registry.Tick(now, time.Time{})
 	tx, ok := row.Tx{}, false
 	switch {
-	case v.book.RenewDue(now):
-		tx, ok = v.book.Renew(now), true
+	case v.registry.RenewDue(now):
+		tx, ok = v.registry.Renew(now), true
 	case r.IntN(60) == 0:
-		tx, ok = v.book.Release(server)
+		tx, ok = v.registry.Release(server)
 	case r.IntN(120) == 0:
-		tx, ok = v.book.EndSession()
+		tx, ok = v.registry.EndSession()
 	case r.IntN(60) == 0:
 		v.pausedUntil = now + time.Duration(r.Int64N(int64(15*time.Second)))
 	default:
-		v.book.Observe(now, t.read(v.book.KeysToWatch(server)...)...)
-		if _, held := v.book.Held(server); !held || r.IntN(20) == 0 {
-			tx, ok = v.book.Acquire(now, server, 0)
+		v.registry.Observe(now, t.read(v.registry.KeysToWatch(server)...)...)
+		if _, held := v.registry.Held(server); !held || r.IntN(20) == 0 {
+			tx, ok = v.registry.Acquire(now, server, 0)
 		}
 	}
 	if !ok {
@@ -152,22 +152,22 @@
 	v.tx = nil
 	switch r.IntN(8) {
 	case 0: // the transaction is lost
-		v.book.Observe(now, t.read(v.book.WriteKeys(tx)...)...)
+		v.registry.Observe(now, t.read(v.registry.WriteKeys(tx)...)...)
 	case 1: // the transaction is committed, its reply is lost
 		t.commit(tx)
-		v.book.Observe(now, t.read(v.book.WriteKeys(tx)...)...)
+		v.registry.Observe(now, t.read(v.registry.WriteKeys(tx)...)...)
 	case 2: // as before, and the table can't be read back
 		t.commit(tx)
 	default:
-		t.transact(now, v.book, tx)
+		t.transact(now, v.registry, tx)
 	}
 }
 
-// heldServer returns the book of a node that has held the server since second 1,
+// heldServer returns the registry of a node that has held the server since second 1,
 // and the table.
 func heldServer(t *testing.T) (*lease.Registry, *table) {
 	tab := &table{rows: map[string]row.Row{}}
-	b := newBook("n1")
+	b := newRegistry("n1")
 	tab.transact(time.Second, b, b.Renew(time.Second))
 	b.Observe(time.Second, tab.read(b.KeysToWatch(server)...)...)
 	tx, ok := b.Acquire(time.Second, server, 0)
@@ -218,7 +218,7 @@
 // the owner's session was renewed after the node last read its row.
 func TestTakeRequiresUnchangedSession(t *testing.T) {
 	b, tab := heldServer(t)
-	c := newBook("n2")
+	c := newRegistry("n2")
 	tab.transact(0, c, c.Renew(0))
 	for range 2 {
 		c.Observe(time.Second, tab.read(c.KeysToWatch(server)...)...)
--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -42,7 +42,7 @@
 //	order, err := l.Reserve(now, backend.Load, item, cost, nil)
 //	// on a server that doesn't check, first store l.Records() in the table
 //	l.Sending(now, order.OrderID)
-//	l.Answered(now, order.OrderID, ledger.Accepted)
+//	l.RecordResult(now, order.OrderID, ledger.Accepted)
 //	l.Observe(requestedAt, now, inventory)
 //
 // Times are monotonic and relative to an arbitrary fixed moment in the process.
--- a/core/ledger/entry.go
+++ b/core/ledger/entry.go
@@ -9,7 +9,7 @@
 // State is the state of an item.
 type State string
 
-// Answer is the result of a call that carried an order.
+// CallResult is the result of a call that carried an order.
 type CallResult string
 
 const (
@@ -67,7 +67,7 @@
 	}
 )
 
-// Held returns the bytes reserved for the entry. An unsettled load includes the
+// ReservedBytes returns the bytes reserved for the entry. An unsettled load includes the
 // peak even when the item is resident: after a restart the engine may execute
 // the order again.
 func (e Entry) ReservedBytes() int64 {
--- a/core/ledger/invariant_test.go
+++ b/core/ledger/invariant_test.go
@@ -57,8 +57,8 @@
 	w.advance(upTo(r, 500*time.Millisecond))
 	for _, n := range w.nodes {
 		if n.busyUntil <= w.now {
-			n.book.Tick(w.now, time.Time{})
-			if n.book.RenewDue(w.now) {
+			n.registry.Tick(w.now, time.Time{})
+			if n.registry.RenewDue(w.now) {
 				n.renew(tableFault(r))
 			}
 		}
@@ -119,7 +119,7 @@
 	if r.IntN(3) == 0 {
 		f.duplicateAfter = upTo(r, 7*time.Second)
 	}
-	if _, running := n.book.MaySend(w.now, server); running && r.IntN(4) == 0 {
+	if _, running := n.registry.MaySend(w.now, server); running && r.IntN(4) == 0 {
 		f.sendDelay = upTo(r, 900*time.Millisecond)
 		if !w.engine.checks {
 			f.sendDelay *= 9
@@ -380,10 +380,10 @@
 	w, a, b := newOwnedServer(t, true)
 	var late row.Tx
 	w.advance(time.Second)
-	late = a.book.Renew(w.now)
+	late = a.registry.Renew(w.now)
 	w.takeOver(t, b)
 	require.False(t, w.table.commit(late).Committed)
 	a.renew(fault{})
-	_, held := a.book.Held(server)
+	_, held := a.registry.Held(server)
 	require.False(t, held)
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -37,14 +37,14 @@
 	return &Ledger{settings: s, entries: map[backend.Item]*Entry{}}
 }
 
-// Set replaces the settings, for example after a configuration change. Memory
+// SetSettings replaces the settings, for example after a configuration change. Memory
 // that is reserved remains reserved.
 func (l *Ledger) SetSettings(s Settings) { l.settings = s }
 
 // Epoch returns the epoch of the last Adopt.
 func (l *Ledger) Epoch() uint64 { return l.epoch }
 
-// Boot returns the last observed boot id.
+// BootID returns the last observed boot id.
 func (l *Ledger) BootID() string { return l.bootID }
 
 // Adopt restarts the ledger under a new, higher epoch. The inventory must have
@@ -103,7 +103,7 @@
 	return out
 }
 
-// Coming returns the items that may become resident, sorted by name.
+// Loading returns the items that may become resident, sorted by name.
 func (l *Ledger) Loading() []backend.Item {
 	var out []backend.Item
 	for _, e := range l.Entries() {
@@ -148,7 +148,7 @@
 // Reserve decides whether an order is allowed and reserves its memory. For an
 // unload the cost is ignored: the entry has its own. IsLastCopy reports whether
 // an item is the last copy that serves anywhere; if it is nil, last copies may be
-// unloaded. The error is a *Refusal.
+// unloaded. The error is a *RefusalError.
 func (l *Ledger) Reserve(now time.Duration, op backend.Op, item backend.Item, cost Cost, isLastCopy func(backend.Item) bool) (backend.Order, error) {
 	refuse := func(r Reason) (backend.Order, error) {
 		return backend.Order{}, &RefusalError{Server: l.settings.Server, Item: item.String(), Reason: r, Need: cost.Bytes + cost.Peak, Free: l.Free()}
@@ -267,7 +267,7 @@
 	}
 }
 
-// Answered records the result of a call with the order.
+// RecordResult records the result of a call with the order.
 func (l *Ledger) RecordResult(now time.Duration, orderID string, a CallResult) {
 	e := l.entryByOrder(orderID)
 	if e == nil {
--- a/core/ledger/refusal.go
+++ b/core/ledger/refusal.go
@@ -24,7 +24,7 @@
 	LastCopy Reason = "last-copy"
 )
 
-// Refusal is the error for an order that was not allowed.
+// RefusalError is the error for an order that was not allowed.
 type RefusalError struct {
 	Server string
 	Item   string
--- a/core/ledger/simulation_test.go
+++ b/core/ledger/simulation_test.go
@@ -88,7 +88,7 @@
 		name      string
 		starts    int
 		busyUntil time.Duration // the node is paused or in a call until then
-		book      *lease.Registry
+		registry  *lease.Registry
 		ledger    *ledger.Ledger
 	}
 
@@ -252,7 +252,7 @@
 // start resets the node to its initial state, as after a crash.
 func (n *node) start() {
 	n.starts++
-	n.book = lease.NewRegistry(lease.Settings{Node: n.name, Incarnation: fmt.Sprint(n.starts)})
+	n.registry = lease.NewRegistry(lease.Settings{Node: n.name, Incarnation: fmt.Sprint(n.starts)})
 	n.reset()
 	n.busyUntil = 0
 }
@@ -274,7 +274,7 @@
 		n.pause(callTimeout)
 		n.w.schedule(callTimeout, n.whileRunning(func() {
 			if !t.down {
-				n.book.Observe(n.w.now, t.read(n.book.WriteKeys(tx)...)...)
+				n.registry.Observe(n.w.now, t.read(n.registry.WriteKeys(tx)...)...)
 			}
 		}))
 		return
@@ -282,11 +282,11 @@
 	r := t.commit(tx)
 	switch {
 	case f.answerLost:
-		n.book.Observe(n.w.now, t.read(n.book.WriteKeys(tx)...)...)
+		n.registry.Observe(n.w.now, t.read(n.registry.WriteKeys(tx)...)...)
 	case r.Committed:
-		n.book.Committed(n.w.now, tx, r.Revision)
+		n.registry.Committed(n.w.now, tx, r.Revision)
 	default:
-		n.book.Observe(n.w.now, r.Conflicts...)
+		n.registry.Observe(n.w.now, r.Conflicts...)
 	}
 }
 
@@ -302,28 +302,28 @@
 
 func (n *node) pause(d time.Duration) { n.busyUntil = max(n.busyUntil, n.w.now+d) }
 
-func (n *node) renew(f fault) { n.transact(n.book.Renew(n.w.now), f) }
+func (n *node) renew(f fault) { n.transact(n.registry.Renew(n.w.now), f) }
 
 func (n *node) take(f fault) {
 	if n.w.table.down {
 		return
 	}
-	n.book.Observe(n.w.now, n.w.table.read(n.book.KeysToWatch(server)...)...)
-	_, held := n.book.Held(server)
-	if tx, ok := n.book.Acquire(n.w.now, server, 0); ok && (!held || f.answerLost) { // sometimes moves to the next epoch
+	n.registry.Observe(n.w.now, n.w.table.read(n.registry.KeysToWatch(server)...)...)
+	_, held := n.registry.Held(server)
+	if tx, ok := n.registry.Acquire(n.w.now, server, 0); ok && (!held || f.answerLost) { // sometimes moves to the next epoch
 		n.transact(tx, f)
 	}
 }
 
 // poll adopts the server if the epoch is new, or else reads its inventory.
 func (n *node) poll() {
-	epoch, held := n.book.Held(server)
+	epoch, held := n.registry.Held(server)
 	if !held {
 		return
 	}
 	if n.ledger.Epoch() == epoch {
 		e := &n.w.engine
-		_, running := n.book.MaySend(n.w.now, server)
+		_, running := n.registry.MaySend(n.w.now, server)
 		if inv := e.inventory(); n.ledger.Observe(n.w.now, n.w.now, inv) && running {
 			e.raiseFence(epoch)
 		}
@@ -331,10 +331,10 @@
 	}
 	// The fence may be raised only under a valid lease: an engine that restarted
 	// no longer has the fence that another owner raised.
-	if _, running := n.book.MaySend(n.w.now, server); !running || epoch < n.ledger.Epoch() || !n.w.engine.raiseFence(epoch) {
+	if _, running := n.registry.MaySend(n.w.now, server); !running || epoch < n.ledger.Epoch() || !n.w.engine.raiseFence(epoch) {
 		return
 	}
-	r, _ := n.book.Row(server)
+	r, _ := n.registry.Row(server)
 	var records []ledger.Record
 	if len(r.Orders) > 0 && json.Unmarshal(r.Orders, &records) != nil {
 		panic("malformed orders in the server's row")
@@ -369,11 +369,11 @@
 // outage of the table the owner of a server that checks fencing numbers may
 // continue to send.
 func (n *node) maySend() bool {
-	epoch, running := n.book.MaySend(n.w.now, server)
+	epoch, running := n.registry.MaySend(n.w.now, server)
 	if running {
 		return epoch == n.ledger.Epoch()
 	}
-	epoch, held := n.book.Held(server)
+	epoch, held := n.registry.Held(server)
 	e := &n.w.engine
 	return n.w.table.down && e.checks && held && epoch == n.ledger.Epoch() && e.fence == epoch && e.inventory().BootID == n.ledger.BootID()
 }
@@ -383,13 +383,13 @@
 	if records := n.ledger.Records(); len(records) > 0 {
 		orders, _ = json.Marshal(records)
 	}
-	tx, ok := n.book.RecordOrders(server, orders)
+	tx, ok := n.registry.RecordOrders(server, orders)
 	if !ok || n.w.table.down {
 		return false
 	}
 	n.transact(tx, fault{})
-	r, _ := n.book.Row(server)
-	_, held := n.book.Held(server)
+	r, _ := n.registry.Row(server)
+	_, held := n.registry.Held(server)
 	return held && bytes.Equal(r.Orders, orders)
 }
 
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -9,10 +9,10 @@
 const (
 	// DefaultWindow is the time constant over which usage is measured.
 	DefaultWindow = 10 * time.Second
-	// DefaultNormalPart is the fraction of the capacity up to which normal work
+	// DefaultNormalFraction is the fraction of the capacity up to which normal work
 	// is admitted.
 	DefaultNormalFraction = 0.95
-	// DefaultDeferrablePart is the fraction of the capacity up to which
+	// DefaultDeferrableFraction is the fraction of the capacity up to which
 	// deferrable work is admitted.
 	DefaultDeferrableFraction = 0.8
 	// MinRetryAfter is the minimum retry delay of a refused request.
@@ -54,8 +54,8 @@
 	Settings struct {
 		Capacity           float64       // of this node, in units per second
 		Window             time.Duration // DefaultWindow if zero
-		NormalFraction     float64       // DefaultNormalPart if zero
-		DeferrableFraction float64       // DefaultDeferrablePart if zero
+		NormalFraction     float64       // DefaultNormalFraction if zero
+		DeferrableFraction float64       // DefaultDeferrableFraction if zero
 		Rules              []Rule
 	}
 )
--- a/core/limit/shares.go
+++ b/core/limit/shares.go
@@ -100,7 +100,7 @@
 // rules start from zero.
 func (c *ByCost) Reconfigure(s Settings) { c.settings = s }
 
-// Open returns the number of unsettled reservations.
+// Unsettled returns the number of unsettled reservations.
 func (c *ByCost) Unsettled() int { return len(c.open) }
 
 // Admit implements Policy.
@@ -115,7 +115,7 @@
 // rules start from zero.
 func (q *ByRequests) Reconfigure(s Settings) { q.shares.Reconfigure(s) }
 
-// Open returns the number of unsettled reservations.
+// Unsettled returns the number of unsettled reservations.
 func (q *ByRequests) Unsettled() int { return q.shares.Unsettled() }
 
 // withinShare reports whether estimate more units fit into the capacity or the
--- a/core/loads/budget.go
+++ b/core/loads/budget.go
@@ -46,17 +46,17 @@
 	}
 )
 
-// Most returns how many loads may start within a window at a rate in loads a second.
+// LoadsIn returns how many loads may start within a window at a rate in loads a second.
 func LoadsIn(rate float64, window time.Duration) int {
 	return max(1, int(rate*window.Seconds()))
 }
 
-// Borne returns how many loads within a window the weight store can serve.
+// MaxLoads returns how many loads within a window the weight store can serve.
 func MaxLoads(rate float64, window time.Duration) int {
 	return int(math.Floor(rate*window.Seconds()*(1+rateTolerance) + extraLoads))
 }
 
-// Left returns how many more loads may be planned at a rate in loads a second.
+// Remaining returns how many more loads may be planned at a rate in loads a second.
 func (b *Budget) Remaining(now time.Time, rate float64) int {
 	definite := 0
 	for _, l := range b.activeLoads(now) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Seen records how many orders an engine has accepted. Unacknowledged orders with a lower
+// Acknowledged records how many orders an engine has accepted. Unacknowledged orders with a lower
 // number have started by now or never will.
 func (b *Budget) Acknowledged(now time.Time, engine string, accepted int64) {
 	for i := range b.loads {
@@ -144,14 +144,14 @@
 	}
 }
 
-// Suppose adds n loads that other nodes may have started until now.
+// Assume adds n loads that other nodes may have started until now.
 func (b *Budget) Assume(now time.Time, n int) {
 	for range n {
 		b.loads = append(b.loads, load{phase: assumed, at: now})
 	}
 }
 
-// Tell returns the counts to hand over to another node: the number of recent loads and the
+// Handover returns the counts to hand over to another node: the number of recent loads and the
 // unacknowledged order number of each engine.
 func (b *Budget) Handover(now time.Time) (recent int, unacked map[string]int64) {
 	unacked = map[string]int64{}
--- a/core/loads/doc.go
+++ b/core/loads/doc.go
@@ -18,8 +18,8 @@
 //
 // # Usage
 //
-//	b := &loads.Budget{Window: 5 * time.Second, Late: 13 * time.Second}
-//	if b.Left(now, rate) > 0 {
+//	b := &loads.Budget{Window: 5 * time.Second, OrderLifetime: 13 * time.Second}
+//	if b.Remaining(now, rate) > 0 {
 //		b.Plan(now, "engine-1")
 //	}
 //	b.Send(now, "engine-1", 7)           // valid while the engine has accepted seven orders
--- a/core/losses/doc.go
+++ b/core/losses/doc.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	t := &losses.Table{Every: 2 * time.Second}
+//	t := &losses.Table{Interval: 2 * time.Second}
 //	for line := range lines { t.Add(line) }
 //	for _, r := range t.Reasons() { fmt.Println(r.Route, r.Reason, r.Count) }
 package losses
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -33,7 +33,7 @@
 		seeds         []string // configured addresses
 		sequence      uint64
 		next          schedule
-		lateAnswerers []string // addresses; see Late
+		lateAnswerers []string // addresses; see LateAnswerers
 	}
 
 	peer struct {
--- a/core/member/types.go
+++ b/core/member/types.go
@@ -80,7 +80,7 @@
 		Major uint64 `cbor:"2,keyasint"`
 		Minor uint64 `cbor:"3,keyasint"`
 		Value []byte `cbor:"4,keyasint"`
-		// Light marks a transient entry, which will soon be replaced. It is pushed three times,
+		// Transient marks a transient entry, which will soon be replaced. It is pushed three times,
 		// which reaches 95 of 100 nodes; the others learn of it later.
 		Transient bool `cbor:"5,keyasint,omitempty"`
 	}
@@ -104,7 +104,7 @@
 		Wanted   []string  `cbor:"8,keyasint,omitempty"`
 	}
 
-	// Send is a message with its destination.
+	// Envelope is a message with its destination.
 	Envelope struct {
 		Address string
 		Message Message
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -117,7 +117,7 @@
 	return &Error{Outcome: FailedAfterStart, Reason: r, Detail: detail}
 }
 
-// Unsure returns an Error with outcome Unknown.
+// Unconfirmed returns an Error with outcome Unknown.
 func Unconfirmed(r Reason, detail string) *Error {
 	return &Error{Outcome: Unknown, Reason: r, Detail: detail}
 }
--- a/core/place/gain.go
+++ b/core/place/gain.go
@@ -27,10 +27,10 @@
 	// Target is the maximum fraction of a server's slots that its load may occupy; default
 	// 0.95.
 	Target float64
-	// Spare is the fraction of an item's requests that a second copy is assumed to save when
+	// RedundancyShare is the fraction of an item's requests that a second copy is assumed to save when
 	// a server is lost; default 0.05. It halves with each further copy.
 	RedundancyShare float64
-	// Burst is the factor by which the request rate of an item may rise without warning;
+	// BurstFactor is the factor by which the request rate of an item may rise without warning;
 	// default 10.
 	BurstFactor float64
 	// BurstShare is the fraction of time that an item is assumed to be in a burst; default
@@ -44,7 +44,7 @@
 	Horizon time.Duration
 	// UrgentWeight is the extra weight of an urgent request; default 4.
 	UrgentWeight float64
-	// MaxMoves limits the number of concurrent loads for gain. The default is Input.Loads,
+	// MaxMoves limits the number of concurrent loads for gain. The default is Input.MaxParallelLoads,
 	// or 4 if that is zero. Required loads are not limited.
 	MaxMoves int
 }
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -8,7 +8,7 @@
 	"guavapaddle/core/view"
 )
 
-// Why is the reason for a load or an unload.
+// Reason is the reason for a load or an unload.
 type Reason string
 
 const (
@@ -23,15 +23,15 @@
 const (
 	// Unreachable means that no live server holds the item.
 	Unreachable Reason = "no-copy"
-	// TooFew means that the item has fewer than its minimum number of copies.
+	// BelowMinCopies means that the item has fewer than its minimum number of copies.
 	BelowMinCopies Reason = "min-copies"
 	// OneDataCentre means that all copies of the item are in one data centre.
 	OneDataCentre Reason = "one-data-centre"
 	// NeededByAdapter means that an adapter on the server needs the model.
 	NeededByAdapter Reason = "adapter"
-	// Gained means that the gain of the copy exceeds the price of a move.
+	// NetGain means that the gain of the copy exceeds the price of a move.
 	NetGain Reason = "gain"
-	// Demanded means that requests wait for the item or that it overloads its holders.
+	// OnDemand means that requests wait for the item or that it overloads its holders.
 	OnDemand Reason = "demand"
 	// Declared means that the configuration document alone requires the copy.
 	Declared Reason = "declared"
@@ -40,7 +40,7 @@
 	// Undeclared means that the configuration document no longer has the item. It is also
 	// used for an adapter whose model is gone and for what Static leaves out of its plan.
 	Undeclared Reason = "undeclared"
-	// GaveWay means that the copy was evicted for another one.
+	// Evicted means that the copy was evicted for another one.
 	Evicted Reason = "gave-way"
 	// NoRoom means that the item fits on no server.
 	NoRoom Reason = "no-room"
--- a/core/queue/doc.go
+++ b/core/queue/doc.go
@@ -4,7 +4,7 @@
 // Waiting requests are ordered by urgency, then by the value of their kind per
 // second of service time (Smith 1956), then by deadline. A request that has
 // waited for AgeAfter is promoted to the next higher urgency, and one dispatch
-// in AgedEvery goes to the promoted request that has waited longest, so that
+// in AgingInterval goes to the promoted request that has waited longest, so that
 // deferrable work makes progress under a constant stream of urgent work.
 //
 // A request is admitted only if it is estimated to complete before its deadline,
@@ -28,7 +28,7 @@
 // # Usage
 //
 //	q := queue.New(queue.Settings{Slots: 8})
-//	r := q.Offer(now, queue.Entry{ID: id, Urgency: config.Urgent, Deadline: d, Tokens: 200})
+//	r := q.Enqueue(now, queue.Entry{ID: id, Urgency: config.Urgent, Deadline: d, Tokens: 200})
 //	if !r.Admitted { refuse(r.Reason, r.RetryAfter) }
 //	for d, ok := q.Next(now); ok; d, ok = q.Next(now) { send(d.Entry) }
 //	q.Done(id, now, seconds)
--- a/core/queue/entry.go
+++ b/core/queue/entry.go
@@ -40,7 +40,7 @@
 		Preempts string // ID of the running entry to cancel, empty if none (see Settings.CancelToPreempt)
 	}
 
-	// Ended is a waiting entry that was removed from the queue without having run.
+	// Rejection is a waiting entry that was removed from the queue without having run.
 	Rejection struct {
 		Entry
 		Reason     outcome.Reason
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -60,7 +60,7 @@
 	q.settings = q.requested.withDefaults()
 }
 
-// Offer admits e to the queue or refuses it. An entry whose ID is already
+// Enqueue admits e to the queue or refuses it. An entry whose ID is already
 // waiting or running is refused with reason in-progress.
 func (q *Queue) Enqueue(now time.Time, e Entry) Result {
 	if q.contains(e.ID) {
@@ -281,7 +281,7 @@
 	}
 }
 
-// nextAged returns the promoted entry that has waited longest if AgedEvery-1
+// nextAged returns the promoted entry that has waited longest if AgingInterval-1
 // dispatches have passed since the last one of a promoted entry, or nil.
 func (q *Queue) nextAged() *waiting {
 	front := q.aged.Front()
--- a/core/queue/settings.go
+++ b/core/queue/settings.go
@@ -28,7 +28,7 @@
 	// AgeAfter is the wait after which an entry is promoted to the next higher
 	// urgency, default 20 s.
 	AgeAfter time.Duration
-	// AgedEvery is the aging ratio: one dispatch in AgedEvery goes to the
+	// AgingInterval is the number of dispatches of which one goes to the
 	// promoted entry that has waited longest, default 16.
 	AgingInterval int
 	// Seconds is the service time assumed until one has been learned, default
--- a/core/quota/account.go
+++ b/core/quota/account.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// Purse is a node's account: its shares of the teams' quotas and what it has spent of
+	// Account holds a node's shares of the teams' quotas and what it has spent of
 	// them. Its exported fields must be set before the first call. It is not safe for
 	// concurrent use.
 	Account struct {
@@ -51,7 +51,7 @@
 	}
 )
 
-// Told applies the granter's reply, with the number of nodes that report to it. A share
+// Update applies the granter's reply, with the number of nodes that report to it. A share
 // that is missing from the reply, as from a granter that has just taken over, stays valid
 // for 6 s.
 func (p *Account) Update(now time.Time, states map[string]State, nodes int) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Charged records what a granter has charged for a request of this node.
+// RecordCharge records what a granter has charged for a request of this node.
 func (p *Account) RecordCharge(team string, cost float64) { p.addUsage(team, cost, 0) }
 
 // Spend charges a request to this node's account; the granter charges it with the
@@ -169,7 +169,7 @@
 	return out
 }
 
-// Answered records that a granter has acknowledged the report of that number.
+// Acknowledge records that a granter has acknowledged the report of that number.
 func (p *Account) Acknowledge(reportNumber uint64) {
 	if reportNumber == p.reportNumber {
 		p.acknowledged = p.reported
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -1,7 +1,7 @@
 // Package quota enforces the quotas of teams across all nodes.
 //
 // A quota is a token bucket with a rate and a burst. The granter, the node that
-// grants slots, keeps a Ledger with one bucket per team; each node keeps a Purse.
+// grants slots, keeps a Ledger with one bucket per team; each node keeps an Account.
 //
 //   - A request to a model engine is charged in the granter's ledger when its slot
 //     is granted, so that charging needs no call of its own.
@@ -24,5 +24,5 @@
 //	l := &quota.Ledger{Tolerance: tolerance}
 //	l.Reset(now, teams)
 //	ok, after := l.Charge(now, "desk", 1460)
-//	l.Report(now, "node-1", "process-1", purse.Report())
+//	l.Report(now, "node-1", "process-1", account.Report())
 package quota
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -31,13 +31,13 @@
 )
 
 type (
-	// Sum is what a node has spent of a team's quota, in units since the node started.
+	// Usage is what a node has spent of a team's quota, in units since the node started.
 	Usage struct {
 		Spent float64 // total, from which the node's share is computed
 		Owed  float64 // charged by the node and not by a granter, less refunds
 	}
 
-	// Use is a node's report of what it has spent of one team's quota.
+	// TeamUsage is a node's report of what it has spent of one team's quota.
 	TeamUsage struct {
 		Team  string
 		Now   Usage
@@ -45,7 +45,7 @@
 		Share float64 // last share assigned to the node by any granter
 	}
 
-	// Uses is a node's usage report. The reports of a node are numbered, so that a
+	// UsageReport is a node's usage report. The reports of a node are numbered, so that a
 	// delayed or duplicate report is counted once.
 	UsageReport struct {
 		Number uint64
@@ -58,7 +58,7 @@
 		Scarce bool    // the bucket is low and the node must stay within its share
 	}
 
-	// Account is the state of a team's bucket, for operators.
+	// Balance is the state of a team's bucket, for operators.
 	Balance struct {
 		Team  string
 		Quota fleet.Quota
@@ -159,7 +159,7 @@
 	return true, 0
 }
 
-// Greedy reports whether a team's recent usage is so close to its quota that requests of
+// OverShare reports whether a team's recent usage is so close to its quota that requests of
 // other teams go first while capacity is short. Without this, a team that sends many times
 // its usual load would take the others' capacity even while it is below its quota.
 func (l *Ledger) OverShare(now time.Time, team string) bool {
@@ -323,7 +323,7 @@
 	}
 }
 
-// Accounts returns the bucket state of all teams that have a quota.
+// Balances returns the bucket state of all teams that have a quota.
 func (l *Ledger) Balances(now time.Time) []Balance {
 	out := make([]Balance, 0, len(l.teams))
 	for name, a := range l.teams {
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -23,7 +23,7 @@
 	return l
 }
 
-func newPurse(seed uint64) *quota.Account {
+func newAccount(seed uint64) *quota.Account {
 	return &quota.Account{Tolerance: tolerance, Rand: rand.New(rand.NewPCG(seed, 1))}
 }
 
@@ -64,7 +64,7 @@
 		ok, _ := l.Charge(start, "free", 1e6)
 		require.True(t, ok)
 	}
-	p := newPurse(1)
+	p := newAccount(1)
 	ok, _ := p.Spend(start, fleet.Team{Name: "free"}, 1e6, false)
 	require.True(t, ok)
 }
@@ -86,7 +86,7 @@
 func TestUnacknowledgedAndDuplicateReportsCountOnce(t *testing.T) {
 	l := newLedger()
 	left := func(l *quota.Ledger) float64 { return l.Balances(start)[0].Left }
-	p := newPurse(1)
+	p := newAccount(1)
 	spend(t, p, 200)
 	lost := p.Report()
 	l.Report(start, "n1", "a", lost) // the reply is lost
@@ -104,7 +104,7 @@
 	other.Report(start, "n1", "a", p.Report())
 	require.Equal(t, 950.0, left(other), "another granter must charge what none has acknowledged")
 
-	p = newPurse(2)
+	p = newAccount(2)
 	spend(t, p, 40)
 	l.Report(start, "n1", "b", p.Report())
 	require.Equal(t, 660.0, left(l), "the sums of the node's next process start at zero")
@@ -114,14 +114,14 @@
 // spend its share without the granter, and then report again.
 func TestSilentNodeShareIsWithheld(t *testing.T) {
 	l := newLedger()
-	purses := map[string]*quota.Account{"n1": newPurse(1), "n2": newPurse(2)}
+	accounts := map[string]*quota.Account{"n1": newAccount(1), "n2": newAccount(2)}
 	report := func(now time.Time, name string) {
-		r := purses[name].Report()
-		purses[name].Update(now, l.Report(now, name, name, r), 2)
-		purses[name].Acknowledge(r.Number)
+		r := accounts[name].Report()
+		accounts[name].Update(now, l.Report(now, name, name, r), 2)
+		accounts[name].Acknowledge(r.Number)
 	}
 	for _, name := range []string{"n1", "n2"} {
-		spend(t, purses[name], 400)
+		spend(t, accounts[name], 400)
 		report(start, name)
 	}
 	now := start
@@ -154,7 +154,7 @@
 // TestShareSurvivesGranterChange lets another granter take over, which has not assigned
 // shares yet, and then lets no granter reply.
 func TestShareSurvivesGranterChange(t *testing.T) {
-	p := newPurse(1)
+	p := newAccount(1)
 	p.Update(start, map[string]quota.State{"desk": {Share: 1}}, 1)
 	p.Update(start, map[string]quota.State{"desk": {Scarce: true}}, 1)
 	p.Update(start, nil, 1)
@@ -176,10 +176,10 @@
 		team.Quota.Burst = team.Quota.Rate
 		l := &quota.Ledger{Tolerance: tolerance}
 		l.Reset(start, []fleet.Team{team})
-		var purses []*quota.Account
+		var accounts []*quota.Account
 		disconnectedUntil := make([]time.Time, nodes) // end of the node's disconnection from the granter
 		for i := range nodes {
-			purses = append(purses, newPurse(seed*100+uint64(i)))
+			accounts = append(accounts, newAccount(seed*100+uint64(i)))
 		}
 		type admission struct {
 			at   time.Time
@@ -199,7 +199,7 @@
 					}
 				}
 			}
-			for i, p := range purses {
+			for i, p := range accounts {
 				if now.Before(disconnectedUntil[i]) || rnd.IntN(16) != 0 {
 					continue
 				}
@@ -214,7 +214,7 @@
 				}
 				spent += cost
 				var ok bool
-				switch p := purses[i]; {
+				switch p := accounts[i]; {
 				case now.Before(disconnectedUntil[i]), plain:
 					ok, _ = p.Spend(now, team, cost, !now.Before(disconnectedUntil[i]))
 				default:
--- a/core/quota/tolerance.go
+++ b/core/quota/tolerance.go
@@ -19,7 +19,7 @@
 type Tolerance struct {
 	Window time.Duration
 	Ratio  float64 // fraction of what the quota allows in a window
-	Slack  float64 // units, in addition to Over
+	Slack  float64 // units, in addition to Ratio
 }
 
 // Excess returns the units by which a team may exceed the quota q in a window.
--- a/core/residency/doc.go
+++ b/core/residency/doc.go
@@ -6,7 +6,7 @@
 // the models in use in proportion to their load, by the D'Hondt method of highest
 // averages: each place goes to the model with the highest load per copy after the
 // addition. The contents of the engines are moved towards that allocation one copy at a
-// time, and only where the new copy serves at least Gain times the cost of the eviction,
+// time, and only where the new copy serves at least MinGain times the cost of the eviction,
 // which is the resulting load per remaining copy of the evicted model. A model with
 // waiting requests and no copy goes first and need not reach that gain.
 //
@@ -18,7 +18,7 @@
 // completed streams (SlotTimes).
 //
 // Before there is any demand, the load of a model is assumed from its number of copies
-// (Prior), and copies of busy models that share an engine are spread over the engines.
+// (PriorLoad), and copies of busy models that share an engine are spread over the engines.
 //
 // Free memory is filled from host memory and disk first. A model is loaded where it is in
 // host memory or on disk if possible, since such a load takes a fifth of the time and uses
--- a/core/residency/plan.go
+++ b/core/residency/plan.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// Gain is the factor by which a move must increase the load that a copy serves, so that
+	// MinGain is the factor by which a move must increase the load that a copy serves, so that
 	// two busy models do not replace each other whenever their load fluctuates.
 	MinGain = 1.3
 	// minActiveLoad is the load, in slots, below which a model counts as not in use. One
@@ -28,11 +28,11 @@
 	serversPerMove = 2
 )
 
-// Why is the reason for a move.
+// Reason is the reason for a move.
 type Reason string
 
 const (
-	// Asked means that requests wait for a model without a copy.
+	// Requested means that requests wait for a model without a copy.
 	Requested Reason = "asked-for"
 	// Limited means that all copies of a model are on servers that accept no more requests.
 	Limited Reason = "limited"
@@ -40,7 +40,7 @@
 	Declared Reason = "declared"
 	// Busy means that the load per copy of the model is far higher than that of others.
 	Busy Reason = "busy"
-	// Room means that the copy is evicted to make room for another model.
+	// MakeRoom means that the copy is evicted to make room for another model.
 	MakeRoom Reason = "room"
 	// Spread means that the copy moves from an engine with several busy models to one with
 	// none.
@@ -56,7 +56,7 @@
 		Loading        string // model that is, or may be, loading
 		Unloading      string // model that is, or may be, unloading
 		ReservedFor    string // model that room is reserved, or being made, for
-		ReservedReason Reason // reason for the reservation: Room or Spread
+		ReservedReason Reason // reason for the reservation: MakeRoom or Spread
 		Evicted        string // model that was evicted to make the room
 		Blocked        bool   // cannot take orders now
 
@@ -73,7 +73,7 @@
 		Limited    map[string]bool          // models whose servers accept no more requests under the rate limits that they announce
 		StoreLoads int                      // number of loads from the weight store that may start now
 
-		LoadAssumed bool // there is no demand yet, and Load comes from Prior
+		LoadAssumed bool // there is no demand yet, and Load comes from PriorLoad
 	}
 
 	// Move is an order to load or unload a model.
@@ -264,7 +264,7 @@
 }
 
 // orderLoad orders a load on a server and reports whether it did; a load from the weight
-// store needs budget in Input.Stores.
+// store needs budget in Input.StoreLoads.
 func (p *planner) orderLoad(s *Server, model string, reason Reason) bool {
 	store := loadSource(s, model) == fromStore
 	if store && p.in.StoreLoads <= 0 {
--- a/core/residency/slots.go
+++ b/core/residency/slots.go
@@ -38,7 +38,7 @@
 // copies before there is demand.
 const priorLoadPerCopy = 2.0
 
-// Prior returns the load assumed before there is demand. Models with more than one copy are
+// PriorLoad returns the load assumed before there is demand. Models with more than one copy are
 // assumed to be busy in proportion to their copies; every model has one copy in any case, so
 // a single copy indicates no load.
 func PriorLoad(e fleet.Engine, servers []fleet.Server) map[string]float64 {
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -10,8 +10,8 @@
 // # Usage
 //
 //	v := policy.Decide(retry.Failure{Attempt: 1, Err: e, Repeatable: true, Remaining: left})
-//	if v.Action == retry.Again && !budget.Take(now) {
-//		v = retry.Spent()
+//	if v.Action == retry.Retry && !budget.Take(now) {
+//		v = retry.BudgetExhausted()
 //	}
 //	count(v.Reason)
 //
--- a/core/retry/policy.go
+++ b/core/retry/policy.go
@@ -16,7 +16,7 @@
 type Reason string
 
 const (
-	// Again means that the request is sent again, preferably to another server.
+	// Retry means that the request is sent again, preferably to another server.
 	Retry Action = "again"
 	// Resume means that the stream is resumed after the tokens already received.
 	Resume Action = "resume"
@@ -89,9 +89,9 @@
 	}
 )
 
-// Decide returns the decision on f. It does not consult the budget: after Again or
+// Decide returns the decision on f. It does not consult the budget: after Retry or
 // Resume the caller takes a token from it, and if there is none the verdict is
-// Spent.
+// BudgetExhausted.
 func (p Policy) Decide(f Failure) Verdict {
 	attempts, minRemaining := p.Attempts, p.MinRemaining
 	if attempts == 0 {
@@ -118,7 +118,7 @@
 	return Verdict{Action: Retry, Reason: NotRun}
 }
 
-// Spent returns the verdict for a request that gets no token from the budget.
+// BudgetExhausted returns the verdict for a request that gets no token from the budget.
 func BudgetExhausted() Verdict { return Verdict{Action: Stop, Reason: NoBudget} }
 
 // Backoff returns the wait before an attempt, 2 being the first retry. The
--- a/core/retry/service_budget.go
+++ b/core/retry/service_budget.go
@@ -21,7 +21,7 @@
 	UnknownNodes = 100
 )
 
-// Fleet limits the retries to one backend service over all nodes together. A
+// ServiceBudget limits the retries to one backend service over all nodes together. A
 // retry is any send of a request beyond the first. Zero fields select the
 // defaults.
 type ServiceBudget struct {
@@ -30,7 +30,7 @@
 	Window time.Duration // period to which Ratio and Extra apply
 }
 
-// Part sets the rates of b to one node's part of the service's budget and keeps
+// Apply sets the rates of b to one node's part of the service's budget and keeps
 // what b has spent. nodes is the number of nodes, or zero if it isn't known yet.
 // The parts depend on the number of nodes: with a fixed part per node, an eighth
 // of 56, 65 nodes with 100 requests per second send 510 retries in ten seconds to
--- a/core/roster/watcher.go
+++ b/core/roster/watcher.go
@@ -9,13 +9,13 @@
 	// Refresh is the interval at which a node rewrites its row. 350 nodes make
 	// 0.6 writes per second; the store handles several hundred.
 	Refresh = 10 * time.Minute
-	// Life is how long a row may stay unchanged before it expires. It allows two
+	// MaxAge is how long a row may stay unchanged before it expires. It allows two
 	// refreshes to fail.
 	MaxAge = 35 * time.Minute
 )
 
 type (
-	// Watch tracks the versions of rows over time. The zero value is ready to
+	// Watcher tracks the versions of rows over time. The zero value is ready to
 	// use and has seen no row.
 	Watcher struct {
 		seen map[string]observed
@@ -28,7 +28,7 @@
 	}
 )
 
-// Gone records the versions of all rows, by key, and returns the sorted keys of
+// Expired records the versions of all rows, by key, and returns the sorted keys of
 // the expired rows. now is the time of the read on a clock that never stops.
 func (w *Watcher) Expired(now time.Duration, versions map[string]int64) []string {
 	seen := make(map[string]observed, len(versions))
--- a/core/route/policy.go
+++ b/core/route/policy.go
@@ -67,7 +67,7 @@
 		OwnRecent      int  // own requests that the view can't include, see Tracker
 	}
 
-	// Choice is the result of a pick.
+	// Selection is the result of a pick.
 	Selection struct {
 		Index  int // of the candidate, -1 if none
 		Reason Reason
--- a/core/route/tracker.go
+++ b/core/route/tracker.go
@@ -9,7 +9,7 @@
 // Tracker counts the requests that a node has sent to each server and that the
 // last view of the server can't include yet.
 type Tracker struct {
-	// Settle is the maximum time before a view's arrival at which a request may
+	// ViewDelay is the maximum time before a view's arrival at which a request may
 	// have been sent without being included in the view. It is about one round
 	// trip to the owner, default 3 ms.
 	ViewDelay time.Duration
@@ -39,7 +39,7 @@
 	}
 }
 
-// Seen records that a newer view of the server arrived.
+// ViewUpdated records that a newer view of the server arrived.
 func (t *Tracker) ViewUpdated(server string, now time.Time) {
 	settle := t.ViewDelay
 	if settle == 0 {
--- a/core/status/doc.go
+++ b/core/status/doc.go
@@ -10,6 +10,6 @@
 //
 //	r := status.Report{Node: "n1", ConfigVersion: 7, Nodes: nodes}
 //
-// NotAt returns the live nodes that don't report a configuration version yet, and
+// Behind returns the live nodes that don't report a configuration version yet, and
 // Merge combines the explanations of one request from several nodes.
 package status
--- a/core/status/report.go
+++ b/core/status/report.go
@@ -47,7 +47,7 @@
 	}
 )
 
-// NotAt returns the live nodes of r whose configuration version is below version.
+// Behind returns the live nodes of r whose configuration version is below version.
 func (r Report) Behind(version uint64) []Node {
 	var behind []Node
 	for _, n := range r.Nodes {
--- a/core/suspect/copies.go
+++ b/core/suspect/copies.go
@@ -1,9 +1,9 @@
 package suspect
 
-// Copies records on which server unproven copies of a request run: copies that
+// UnprovenCopies records on which server unproven copies of a request run: copies that
 // have not yet shown that they run without a crash. A node sends a further copy
 // to the same server, so that concurrent copies can crash only that one. The zero
-// value is ready to use. Copies is not safe for concurrent use.
+// value is ready to use. UnprovenCopies is not safe for concurrent use.
 type UnprovenCopies struct {
 	running map[Fingerprint]location
 }
@@ -14,7 +14,7 @@
 	copies int
 }
 
-// Where returns the server on which unproven copies of fp run, and false if there
+// ServerOf returns the server on which unproven copies of fp run, and false if there
 // are none.
 func (c *UnprovenCopies) ServerOf(fp Fingerprint) (string, bool) {
 	p, found := c.running[fp]
@@ -22,7 +22,7 @@
 }
 
 // Begin records that a copy was sent to server. A copy that had to be sent to
-// another server than the one returned by Where is not counted.
+// another server than the one returned by ServerOf is not counted.
 func (c *UnprovenCopies) Begin(fp Fingerprint, server string) {
 	if c.running == nil {
 		c.running = map[Fingerprint]location{}
--- a/core/suspect/doc.go
+++ b/core/suspect/doc.go
@@ -7,7 +7,7 @@
 // request is treated:
 //
 //	none          Clear   it runs like any other request
-//	one           Alone   it runs on trial: at most one trial of it runs in the
+//	one           Isolate it runs on trial: at most one trial of it runs in the
 //	                      whole system, and on a server where no other marked
 //	                      request runs
 //	two or more   Refuse  it is refused
@@ -34,15 +34,15 @@
 // A fingerprint crashes at most two servers, provided that no second copy of the
 // request is sent before the first crash is known. A node that observes a crash
 // therefore broadcasts it, and waits for the acknowledgements for a limited time,
-// before it answers the caller. For the same reason Copies directs concurrent
+// before it answers the caller. For the same reason UnprovenCopies directs concurrent
 // copies to the same server.
 //
 // # Usage
 //
-//	changed := set.Crash(now, suspect.Incident{Server: "e7", BootID: boot}, inflight)
+//	changed := set.RecordCrash(now, suspect.Incident{Server: "e7", BootID: boot}, inflight)
 //	// broadcast changed; then, for a request to retry:
 //	p, err := set.Plan(now, fp, trial, until, markRow, slotRow)
-//	// if p.Verdict is Alone and p.Busy is false, commit p.Tx; once it is committed:
+//	// if p.Verdict is Isolate and p.Busy is false, commit p.Tx; once it is committed:
 //	set.Charged(now, fp, trial) // broadcast the result and send the request
-//	set.Success(now, fp)
+//	set.RecordSuccess(now, fp)
 package suspect
--- a/core/suspect/mark.go
+++ b/core/suspect/mark.go
@@ -30,7 +30,7 @@
 	}
 )
 
-// Of returns the fingerprint of a request.
+// FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(team, model string, body []byte) Fingerprint {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%d:%s%d:%s", len(team), team, len(model), model) // writes to a hash never fail
@@ -38,7 +38,7 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
-// Standing returns the number of incidents that are not cleared.
+// OpenIncidents returns the number of incidents that are not cleared.
 func (m Mark) OpenIncidents() int {
 	n := 0
 	for _, i := range m.Incidents {
@@ -49,7 +49,7 @@
 	return n
 }
 
-// Trying reports whether a trial is charged whose result is not known.
+// OnTrial reports whether a trial is charged whose result is not known.
 func (m Mark) OnTrial() bool {
 	for _, i := range m.Incidents {
 		if i.Trial != "" && !contains(m.Cleared, i) {
--- a/core/suspect/record.go
+++ b/core/suspect/record.go
@@ -68,7 +68,7 @@
 // and the current slot row of the trial's server. It merges the mark row into s.
 // If a trial is allowed, Tx charges it and reserves the slot until the time
 // until. The request may be sent once Tx is known to be committed; if the reply
-// was lost, Mine derives that from the mark row.
+// was lost, IsCharged derives that from the mark row.
 func (s *Set) Plan(now time.Time, fp Fingerprint, trial Incident, until time.Time, mark, slot row.Row) (Plan, error) {
 	m, err := s.mergeRow(now, fp, mark)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return row.Tx{}.When(Key(m.Fingerprint), r.Revision).Put(Key(m.Fingerprint), v)
 }
 
-// Mine reports whether the trial is charged in the mark row r.
+// IsCharged reports whether the trial is charged in the mark row r.
 func IsCharged(fp Fingerprint, trial Incident, r row.Row) (bool, error) {
 	m, err := Decode(fp, r)
 	return contains(m.Incidents, trial), err
--- a/core/suspect/set.go
+++ b/core/suspect/set.go
@@ -12,7 +12,7 @@
 const (
 	// Clear means that the request may run like any other.
 	Clear Verdict = "clear"
-	// Alone means that the request may run only on trial.
+	// Isolate means that the request may run only on trial.
 	Isolate Verdict = "alone"
 	// Refuse means that the request is refused.
 	Refuse Verdict = "refuse"
@@ -46,7 +46,7 @@
 	}
 )
 
-// Crash records that a server crashed with the given requests in flight. It
+// RecordCrash records that a server crashed with the given requests in flight. It
 // returns their marks, which must be broadcast to the other nodes immediately. An
 // incident that is recorded by several nodes counts once. The charge of a request
 // on trial remains, so that a crash during the trial counts even if the incident
@@ -68,7 +68,7 @@
 	return m
 }
 
-// Success records that a request completed, which clears all its known incidents.
+// RecordSuccess records that a request completed, which clears all its known incidents.
 // It returns the mark, and whether there were incidents to clear.
 func (s *Set) RecordSuccess(now time.Time, fp Fingerprint) (Mark, bool) {
 	m := s.mark(now, fp)
@@ -80,7 +80,7 @@
 	return m, true
 }
 
-// NotRun records that a trial provably did not run, which clears its charge, and
+// RecordNotRun records that a trial provably did not run, which clears its charge, and
 // returns the mark.
 func (s *Set) RecordNotRun(now time.Time, fp Fingerprint, trial Incident) Mark {
 	m := s.mark(now, fp).WithCleared(trial)
@@ -132,7 +132,7 @@
 // Len returns the number of marks, including expired ones.
 func (s *Set) Len() int { return len(s.marks) }
 
-// Dropped returns the number of marks that were removed to keep the limit.
+// Evicted returns the number of marks that were removed to keep the limit.
 func (s *Set) Evicted() uint64 { return s.dropped }
 
 // verdict returns the decision on the requests that m applies to.
--- a/core/throttle/doc.go
+++ b/core/throttle/doc.go
@@ -17,14 +17,14 @@
 // # Usage
 //
 //	t := throttle.New(rng.Float64())
-//	t.Learn(throttle.Named(now, 1.5))     // an answer with a rate
-//	t.Learn(throttle.Withdrawn(sent))     // an answer without a rate
+//	t.Learn(throttle.NewLimit(now, 1.5))  // an answer with a rate
+//	t.Learn(throttle.NoLimit(sent))           // an answer without a rate
 //
-//	if t.Free(now) == 0 {                 // in a scheduler
-//		t.Take(now)
+//	if t.GlobalWait(now) == 0 {        // in a scheduler
+//		t.Record(now)
 //	}
-//	share := throttle.Share{Nodes: 8, Part: 0.5}
-//	if t.Opens(now, share) == 0 {         // at a node that decides on its own
-//		t.Take(now)
+//	share := throttle.Share{Nodes: 8, Fraction: 0.5}
+//	if t.LocalWait(now, share) == 0 {  // at a node that decides on its own
+//		t.Record(now)
 //	}
 package throttle
--- a/core/throttle/limit.go
+++ b/core/throttle/limit.go
@@ -9,9 +9,9 @@
 	At     time.Time
 }
 
-// Named returns the limit of an answer that arrived at a time and named a rate.
+// NewLimit returns the limit of an answer that arrived at a time and named a rate.
 func NewLimit(at time.Time, rate float64) Limit { return Limit{Rate: rate, Active: true, At: at} }
 
-// Withdrawn returns the limit of an answer without a rate, by the time at which its request was
+// NoLimit returns the limit of an answer without a rate, by the time at which its request was
 // sent.
 func NoLimit(sent time.Time) Limit { return Limit{At: sent} }
--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -63,7 +63,7 @@
 // limit is active.
 func (t *Throttle) Rate() float64 { return max(t.limit.Rate, minRate) }
 
-// Free returns the time until a scheduler that decides for all nodes may send the server a request,
+// GlobalWait returns the time until a scheduler that decides for all nodes may send the server a request,
 // zero if it may send one now.
 func (t *Throttle) GlobalWait(now time.Time) time.Duration {
 	if t.bucket == nil {
@@ -72,7 +72,7 @@
 	return max(0, seconds((1-t.bucket.TokensAt(now))/t.Rate()))
 }
 
-// Opens returns the time until this node may send the server a request on its own, zero if it may
+// LocalWait returns the time until this node may send the server a request on its own, zero if it may
 // send one now.
 func (t *Throttle) LocalWait(now time.Time, s Share) time.Duration {
 	if !t.limit.Active {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Take records a request to the server.
+// Record records a request to the server.
 func (t *Throttle) Record(now time.Time) {
 	t.lastSent = now
 	if t.bucket != nil {
--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -22,7 +22,7 @@
 //	switch {
 //	case err != nil:        // tell the caller
 //	case g.Stored != nil:   // give the stored answer
-//	default:                // send, then Finish, Lose or Release g.Held
+//	default:                // send, then Finish, MarkUnknown or Release g.Held
 //	}
 //	s.Flush(ctx) // before the node stops
 package claims
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// Lose records that the call was sent and its answer lost for reason r. It
+// MarkUnknown records that the call was sent and its answer lost for reason r. It
 // returns at once.
 func (s *Store) MarkUnknown(h claim.Held, r outcome.Reason) {
 	s.once.Do(s.init)
--- a/internal/configsync/follower.go
+++ b/internal/configsync/follower.go
@@ -234,7 +234,7 @@
 	}
 	trust := f.mayTrust(now)
 	if trust {
-		f.state = f.state.WithAssumed(f.state.Ticket())
+		f.state = f.state.WithAssumed(f.state.QueryStamp())
 	}
 	version := f.state.Target().Version
 	f.mu.Unlock()
@@ -308,7 +308,7 @@
 	f.tick(f.Now())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.Ticket()
+	return f.state.QueryStamp()
 }
 
 func (f *Follower) readHead(ctx context.Context) error {
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -8,7 +8,7 @@
 //	g.Reset()                                   // when the lease is won
 //	d, place, err := g.Place(ctx, request, func() {})
 //	place.Begun()                               // with the first byte of the answer
-//	place.Done(balance.Good)                    // with the last
+//	place.Done(balance.Succeeded)               // with the last
 package granter
 
 import (
