--- a/core/balance/picker.go
+++ b/core/balance/picker.go
@@ -289,8 +289,8 @@
 // SetNodes sets how many nodes pick servers on their own and share the rates named by servers.
 func (p *Picker) SetNodes(nodes int) { p.nodes = nodes }
 
-// LocalCounts returns the counts of this node for each server where it has requests, with the number of
-// those that the current granter counts itself.
+// LocalCounts returns the counts of this node for each server where it has requests, with the
+// number of those that the current granter counts itself.
 func (p *Picker) LocalCounts(granter int64) map[string]Count {
 	out := map[string]Count{}
 	for id, s := range p.servers {
--- a/core/balance/ticket.go
+++ b/core/balance/ticket.go
@@ -57,8 +57,8 @@
 	Failed
 )
 
-// RecordSent records that a request is sent to a server. It returns nil if the server is no longer known;
-// the other methods accept a nil ticket.
+// RecordSent records that a request is sent to a server. It returns nil if the server is no longer
+// known; the other methods accept a nil ticket.
 func (p *Picker) RecordSent(now time.Time, id string, r Request) *Ticket {
 	s := p.servers[id]
 	if s == nil {
@@ -120,8 +120,8 @@
 	s.slowness = min(max(s.slowness, 0.5), maxSlowness)
 }
 
-// RelativePrefillTime returns how long an engine takes to read a model's prompts, relative to defaultPrefillRate.
-// It is 1 until it has been learned.
+// RelativePrefillTime returns how long an engine takes to read a model's prompts, relative to
+// defaultPrefillRate. It is 1 until it has been learned.
 func (p *Picker) RelativePrefillTime(model string) float64 {
 	if v, ok := p.prefillTime[model]; ok {
 		return v
--- a/core/claim/invariant_test.go
+++ b/core/claim/invariant_test.go
@@ -235,8 +235,8 @@
 				rapid.SampledFrom([]string{"b1", "b1", "b1", "b2"}).Draw(rt, "body"))
 		},
 		"write": func(rt *rapid.T) {
-			fate := rapid.SampledFrom([]string{"answered", "answered", "answered", "answer lost", "flies"}).Draw(rt, "fate")
-			w.write(rt, w.drawAttempt(rt, hasPendingWrite), fate)
+			callOutcome := rapid.SampledFrom([]string{"answered", "answered", "answered", "answer lost", "flies"}).Draw(rt, "fate")
+			w.write(rt, w.drawAttempt(rt, hasPendingWrite), callOutcome)
 		},
 		"arrive": func(rt *rapid.T) {
 			if len(w.inFlight) == 0 {
--- a/core/departure/set.go
+++ b/core/departure/set.go
@@ -47,7 +47,8 @@
 	return added
 }
 
-// MarkLeaving returns the servers with Leaving set for those in the set. The list itself isn't modified.
+// MarkLeaving returns the servers with Leaving set for those in the set. The list itself isn't
+// modified.
 func (s *Set) MarkLeaving(list []fleet.Server) []fleet.Server {
 	out := list
 	for i, v := range list {
--- a/core/deputy/selector.go
+++ b/core/deputy/selector.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxStoreAge is the maximum time since the store last answered a deputy. The deputy follows the store
-// with a wait of 0.6 s, and reports at least every 0.8 s.
+// MaxStoreAge is the maximum time since the store last answered a deputy. The deputy follows the
+// store with a wait of 0.6 s, and reports at least every 0.8 s.
 const MaxStoreAge = 2 * time.Second
 
 type (
--- a/core/grant/scheduler.go
+++ b/core/grant/scheduler.go
@@ -14,9 +14,9 @@
 const (
 	// DefaultTokens is the default limit of unread prompt tokens at an engine.
 	DefaultTokens = 2000
-	// DefaultSlotFraction is the default fraction of an engine's slots that granted requests may take. It is 1
-	// because each request is counted from its grant to its end, and requests that nodes start
-	// without the scheduler are counted in load reports.
+	// DefaultSlotFraction is the default fraction of an engine's slots that granted requests may
+	// take. It is 1 because each request is counted from its grant to its end, and requests that
+	// nodes start without the scheduler are counted in load reports.
 	DefaultSlotFraction = 1.0
 )
 
@@ -99,8 +99,8 @@
 // Waiting returns the number of waiting requests.
 func (s *Scheduler) Waiting() int { return len(s.items) }
 
-// WaitingByMissingItem returns the number of waiting requests for each item that no server holds. If no server
-// holds the model, the adapter is left empty.
+// WaitingByMissingItem returns the number of waiting requests for each item that no server holds.
+// If no server holds the model, the adapter is left empty.
 func (s *Scheduler) WaitingByMissingItem() map[Item]int {
 	out := map[Item]int{}
 	for _, g := range s.groups {
--- a/core/leader/elector.go
+++ b/core/leader/elector.go
@@ -31,9 +31,9 @@
 		Epoch       int64   `json:"epoch"`
 		Cores       float64 `json:"cores"` // processor cores of the leader
 		RecentLoads int     `json:"loads"` // recent loads from the weight store as of the write
-		// UnackedOrders holds orders for loads from the weight store that an engine had not acknowledged
-		// when the row was written. The value is the number of orders that the engine must have
-		// accepted for such a load to still start.
+		// UnackedOrders holds orders for loads from the weight store that an engine had not
+		// acknowledged when the row was written. The value is the number of orders that the engine
+		// must have accepted for such a load to still start.
 		UnackedOrders map[string]int64 `json:"late,omitempty"`
 		// Loading is the model that was being loaded on each engine when the row was written.
 		Loading map[string]string `json:"coming,omitempty"`
@@ -116,8 +116,8 @@
 	}
 }
 
-// RecentlyRenewed reports whether another node has taken or renewed the lease so recently that reading the
-// row again is pointless: at least half of the time to live remains.
+// RecentlyRenewed reports whether another node has taken or renewed the lease so recently that
+// reading the row again is pointless: at least half of the time to live remains.
 func (e *Elector) RecentlyRenewed(now time.Duration) bool {
 	return e.known && e.version != 0 && e.observed.Node != "" && e.observed.Node != e.Self.Node && now-e.observedAt < e.TTL/2
 }
--- a/core/loads/budget.go
+++ b/core/loads/budget.go
@@ -46,8 +46,8 @@
 	}
 )
 
-// LoadsIn returns how many loads may start within a window at a rate in loads a second.
-func LoadsIn(rate float64, window time.Duration) int {
+// PerWindow returns how many loads may start within a window at a rate in loads a second.
+func PerWindow(rate float64, window time.Duration) int {
 	return max(1, int(rate*window.Seconds()))
 }
 
@@ -64,7 +64,7 @@
 			definite++
 		}
 	}
-	return max(0, min(LoadsIn(rate, b.Window)-definite, MaxLoads(rate, b.Window)-len(b.loads)))
+	return max(0, min(PerWindow(rate, b.Window)-definite, MaxLoads(rate, b.Window)-len(b.loads)))
 }
 
 // Plan counts a load that is about to be ordered.
--- a/core/loads/budget_test.go
+++ b/core/loads/budget_test.go
@@ -125,7 +125,7 @@
 		rate        float64
 		most, borne int
 	}{{2.1, 10, 14}, {0.1, 1, 3}, {10, 50, 58}} {
-		require.Equal(t, c.most, loads.LoadsIn(c.rate, window))
+		require.Equal(t, c.most, loads.PerWindow(c.rate, window))
 		require.Equal(t, c.borne, loads.MaxLoads(c.rate, window))
 	}
 }
--- a/core/member/tick.go
+++ b/core/member/tick.go
@@ -159,9 +159,9 @@
 // refutes that if it is alive.
 func (s *State) Unreachable(now time.Time, name string) { s.suspect(now, name) }
 
-// LateAnswerers returns the addresses of the nodes whose answers have become late since the last call.
-// Connections to them may be dead although the nodes are alive, so the next messages to them should
-// use new connections.
+// LateAnswerers returns the addresses of the nodes whose answers have become late since the last
+// call. Connections to them may be dead although the nodes are alive, so the next messages to them
+// should use new connections.
 func (s *State) LateAnswerers() []string {
 	all := s.lateAnswerers
 	s.lateAnswerers = nil
--- a/core/place/gain.go
+++ b/core/place/gain.go
@@ -27,8 +27,8 @@
 	// Target is the maximum fraction of a server's slots that its load may occupy; default
 	// 0.95.
 	Target float64
-	// RedundancyShare is the fraction of an item's requests that a second copy is assumed to save when
-	// a server is lost; default 0.05. It halves with each further copy.
+	// RedundancyShare is the fraction of an item's requests that a second copy is assumed to save
+	// when a server is lost; default 0.05. It halves with each further copy.
 	RedundancyShare float64
 	// BurstFactor is the factor by which the request rate of an item may rise without warning;
 	// default 10.
--- a/core/throttle/doc.go
+++ b/core/throttle/doc.go
@@ -17,8 +17,8 @@
 // # Usage
 //
 //	t := throttle.New(rng.Float64())
-//	t.Learn(throttle.NewLimit(now, 1.5))  // an answer with a rate
-//	t.Learn(throttle.NoLimit(sent))           // an answer without a rate
+//	t.Learn(throttle.NewLimit(now, 1.5))    // an answer with a rate
+//	t.Learn(throttle.NoLimit(sent))         // an answer without a rate
 //
 //	if t.GlobalWait(now) == 0 {        // in a scheduler
 //		t.Record(now)
--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -63,8 +63,8 @@
 // limit is active.
 func (t *Throttle) Rate() float64 { return max(t.limit.Rate, minRate) }
 
-// GlobalWait returns the time until a scheduler that decides for all nodes may send the server a request,
-// zero if it may send one now.
+// GlobalWait returns the time until a scheduler that decides for all nodes may send the server a
+// request, zero if it may send one now.
 func (t *Throttle) GlobalWait(now time.Time) time.Duration {
 	if t.bucket == nil {
 		return 0
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -244,7 +244,7 @@
 func (p *Placer) stores(now time.Time, e fleet.Engine) int {
 	if p.silent {
 		p.silent = false
-		p.loads.Assume(p.tookOver, max(0, loads.LoadsIn(e.LoadsPerS, p.Window)-p.loads.Count(now)))
+		p.loads.Assume(p.tookOver, max(0, loads.PerWindow(e.LoadsPerS, p.Window)-p.loads.Count(now)))
 	}
 	if !p.loaded && p.loads.Count(now) < loads.MaxLoads(e.LoadsPerS, p.Window) {
 		return max(1, p.loads.Remaining(now, e.LoadsPerS))
