--- a/internal/testbed/standin/engine/answer.go
+++ b/internal/testbed/standin/engine/answer.go
@@ -9,13 +9,13 @@
 	"guavapaddle/core/backend"
 )
 
-// Token returns token i, from zero, of the answer of item to prompt.
+// Token returns token i, counted from zero, of the output of item for prompt.
 func Token(item backend.Item, prompt string, i int) string {
 	h := xxhash.Sum64String(item.String() + "\x00" + prompt + "\x00" + strconv.Itoa(i))
 	return " t" + fmt.Sprintf("%016x", h)[:6]
 }
 
-// Answer returns the first n tokens of the answer of item to prompt.
+// Answer returns the first n tokens of the output of item for prompt.
 func Answer(item backend.Item, prompt string, n int) []string {
 	out := make([]string, n)
 	for i := range out {
--- a/internal/testbed/standin/engine/batch.go
+++ b/internal/testbed/standin/engine/batch.go
@@ -13,53 +13,56 @@
 )
 
 type (
-	// request is a request that the engine knows.
+	// request is a request and the state of its generation.
 	request struct {
-		gen     backend.Generate
-		arrival uint64        // order of arrival
-		made    int           // tokens made
-		started bool          // has been in the batch
-		refused bool          // has left the queue without a start
-		finish  string        // set at the end
-		doneAt  time.Time     // time of the end
-		ready   time.Time     // end of the prefill
-		parked  bool          // imported and not yet resumed
-		changed chan struct{} // closed and replaced at each change
+		gen        backend.Generate
+		arrival    uint64        // position in the order of arrival
+		generated  int           // number of generated tokens
+		started    bool          // has been in the batch
+		displaced  bool          // was removed from the queue before it started
+		finish     string        // finish reason, empty until the request has finished
+		finishedAt time.Time     // when the request finished
+		prefillEnd time.Time     // when the prefill is complete
+		imported   bool          // imported from another engine and not yet resumed
+		changed    chan struct{} // closed and replaced on each change
 	}
 
-	// batch holds the requests that run and wait.
+	// batch holds the running and the waiting requests. The slots are the maximum
+	// batch size; bound is the maximum number of waiting requests that have not
+	// started.
 	batch struct {
 		slots, bound int
 		running      []*request
-		waiting      []*request // in the order in which they go next
+		waiting      []*request // in the order in which they are scheduled
 	}
 )
 
-// newRequest returns a request that has not been submitted.
+// newRequest returns a request that is not yet submitted.
 func newRequest(g backend.Generate, arrival uint64) *request {
 	return &request{gen: g, arrival: arrival, changed: make(chan struct{})}
 }
 
-// notify wakes all who watch the request.
+// notify wakes all goroutines that wait for a change of the request.
 func (r *request) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// before tells whether r goes before o: by priority, then by arrival.
-func (r *request) before(o *request) bool {
+// precedes reports whether r is scheduled before o: by higher priority, then by
+// earlier arrival.
+func (r *request) precedes(o *request) bool {
 	if r.gen.Priority != o.gen.Priority {
 		return r.gen.Priority > o.gen.Priority
 	}
 	return r.arrival < o.arrival
 }
 
-// submit queues a request. If batch and queue are full, it returns false, or
-// true and the request of lower priority that was pushed out of the queue
-// without having started.
-func (b *batch) submit(r *request) (pushed *request, ok bool) {
+// submit adds a request to the queue. If the batch and the queue are full, the last
+// unstarted request in the queue is removed: submit returns false if that is r
+// itself, and otherwise true and the removed request.
+func (b *batch) submit(r *request) (removed *request, ok bool) {
 	b.enqueue(r)
-	if b.unstarted() <= b.bound+max(b.slots-len(b.running), 0) {
+	if b.countUnstarted() <= b.bound+max(b.slots-len(b.running), 0) {
 		return nil, true
 	}
 	for i := len(b.waiting) - 1; i >= 0; i-- {
@@ -71,41 +74,41 @@
 	return nil, true
 }
 
-// fill moves requests into the batch: into free slots, and into those of
-// running requests of lower priority, which wait again and keep their tokens.
-// It returns the requests that came in and how many were put back.
-func (b *batch) fill() (in []*request, preempted int) {
+// fill moves waiting requests into free slots of the batch and into the slots of
+// running requests of lower priority. The preempted requests return to the queue and
+// keep their tokens. It returns the admitted requests and the number of preemptions.
+func (b *batch) fill() (admitted []*request, preempted int) {
 	for len(b.waiting) > 0 {
 		next := b.waiting[0]
 		if len(b.running) >= b.slots {
-			last := b.lowest()
-			if b.running[last].gen.Priority >= next.gen.Priority {
-				return in, preempted
+			victimIndex := b.lowestPriority()
+			if b.running[victimIndex].gen.Priority >= next.gen.Priority {
+				return admitted, preempted
 			}
-			back := b.running[last]
-			b.running = slices.Delete(b.running, last, last+1)
-			in = slices.DeleteFunc(in, func(r *request) bool { return r == back })
+			victim := b.running[victimIndex]
+			b.running = slices.Delete(b.running, victimIndex, victimIndex+1)
+			admitted = slices.DeleteFunc(admitted, func(r *request) bool { return r == victim })
 			b.waiting = b.waiting[1:]
-			b.enqueue(back)
+			b.enqueue(victim)
 			preempted++
 		} else {
 			b.waiting = b.waiting[1:]
 		}
 		b.running = append(b.running, next)
-		in = append(in, next)
+		admitted = append(admitted, next)
 	}
-	return in, preempted
+	return admitted, preempted
 }
 
-// step makes one token for each request whose prefill has ended by now and
-// returns those that are done with it.
+// step generates one token for each running request whose prefill is complete at now.
+// It removes the requests that have finished from the batch and returns them.
 func (b *batch) step(now time.Time) (done []*request) {
 	for _, r := range b.running {
-		if r.ready.After(now) {
+		if r.prefillEnd.After(now) {
 			continue
 		}
-		r.made++
-		if r.made >= r.gen.MaxTokens {
+		r.generated++
+		if r.generated >= r.gen.MaxTokens {
 			r.finish = finishStop
 			done = append(done, r)
 		}
@@ -115,17 +118,17 @@
 	return done
 }
 
-// remove takes a request out of batch or queue.
+// remove removes a request from the batch or the queue.
 func (b *batch) remove(r *request) {
 	same := func(o *request) bool { return o == r }
 	b.running = slices.DeleteFunc(b.running, same)
 	b.waiting = slices.DeleteFunc(b.waiting, same)
 }
 
-// enqueue puts a request in its place in the queue.
+// enqueue inserts a request into the queue in scheduling order.
 func (b *batch) enqueue(r *request) {
 	i, _ := slices.BinarySearchFunc(b.waiting, r, func(a, t *request) int {
-		if a.before(t) {
+		if a.precedes(t) {
 			return -1
 		}
 		return 1
@@ -133,8 +136,8 @@
 	b.waiting = slices.Insert(b.waiting, i, r)
 }
 
-// unstarted returns how many requests wait that have never run.
-func (b *batch) unstarted() int {
+// countUnstarted returns the number of waiting requests that have not started.
+func (b *batch) countUnstarted() int {
 	n := 0
 	for _, r := range b.waiting {
 		if !r.started {
@@ -144,14 +147,14 @@
 	return n
 }
 
-// lowest returns the index of the running request that goes first when room is
-// needed: the latest of the lowest priority.
-func (b *batch) lowest() int {
-	last := 0
+// lowestPriority returns the index of the running request that is preempted first: the
+// one of the lowest priority that arrived last.
+func (b *batch) lowestPriority() int {
+	lowest := 0
 	for i, r := range b.running {
-		if b.running[last].before(r) {
-			last = i
+		if b.running[lowest].precedes(r) {
+			lowest = i
 		}
 	}
-	return last
+	return lowest
 }
--- a/internal/testbed/standin/engine/calls.go
+++ b/internal/testbed/standin/engine/calls.go
@@ -18,14 +18,14 @@
 	maxKV          = 64 << 20
 )
 
-// kv is the KV cache of a request as it is exported.
+// kv is the exported form of the KV cache of a request.
 type kv struct {
 	Generate backend.Generate `json:"generate"`
 	Made     int              `json:"made"`
 }
 
-// calls returns the handler of the engine's calls.
-func (e *Engine) calls() http.Handler {
+// routes returns the handler of all calls of the engine.
+func (e *Engine) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /engine/v1/state", func(w http.ResponseWriter, _ *http.Request) {
 		fault.WriteJSON(w, http.StatusOK, e.State())
@@ -41,20 +41,20 @@
 	return mux
 }
 
-// serveGenerate takes a request and streams its answer.
+// serveGenerate submits a request and streams its output.
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	var g backend.Generate
 	if !fault.ReadJSON(w, r, &g) {
 		return
 	}
 	if g.RequestID == "" || g.MaxTokens < 0 {
-		refuse(w, http.StatusBadRequest, "request-id and max-tokens")
+		refuseNotRun(w, http.StatusBadRequest, "request-id must be set and max-tokens must not be negative")
 		return
 	}
 	g.MaxTokens = cmp.Or(g.MaxTokens, DefaultMaxTokens)
 	e.mu.Lock()
 	b := e.boot
-	e.expire(b, time.Now())
+	e.dropExpired(b, time.Now())
 	if _, known := b.requests[g.RequestID]; known {
 		e.mu.Unlock()
 		fault.WriteJSON(w, http.StatusConflict, ioengine.Refusal{Error: errorDuplicate})
@@ -65,13 +65,14 @@
 	status := e.submit(b, q)
 	e.mu.Unlock()
 	if status != http.StatusOK {
-		refuse(w, status, "not run")
+		refuseNotRun(w, status, "not run")
 		return
 	}
 	e.stream(w, r, b, q, 0)
 }
 
-// submit queues a request and returns the status of the answer.
+// submit adds a request to the queue and returns the status code of the response. The
+// caller holds the mutex.
 func (e *Engine) submit(b *boot, q *request) int {
 	switch {
 	case e.Faults.Faults().Leaving:
@@ -81,31 +82,31 @@
 		e.Faults.Counters.Add("refused-not-resident", 1)
 		return http.StatusNotFound
 	}
-	pushed, ok := b.batch.submit(q)
+	removed, ok := b.batch.submit(q)
 	if !ok {
 		e.Faults.Counters.Add("refused-full", 1)
 		return http.StatusTooManyRequests
 	}
 	b.requests[q.gen.RequestID] = q
 	b.memory.Items[q.gen.Item].Users++
-	if pushed != nil {
+	if removed != nil {
 		e.Faults.Counters.Add("refused-pushed-out", 1)
-		e.forget(b, pushed)
-		pushed.refused = true
-		pushed.notify()
+		e.removeUnstarted(b, removed)
+		removed.displaced = true
+		removed.notify()
 	}
-	b.poke()
+	b.notifyRun()
 	return http.StatusOK
 }
 
-// forget drops a request that never started.
-func (e *Engine) forget(b *boot, q *request) {
+// removeUnstarted removes a request that was displaced from the queue.
+func (e *Engine) removeUnstarted(b *boot, q *request) {
 	delete(b.requests, q.gen.RequestID)
 	b.memory.Items[q.gen.Item].Users--
-	e.release(b, q.gen.Item)
+	e.releaseUnused(b, q.gen.Item)
 }
 
-// serveResume streams the rest of an answer.
+// serveResume streams the output of a request from an offset on.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	var in backend.Resume
 	if !fault.ReadJSON(w, r, &in) {
@@ -113,7 +114,7 @@
 	}
 	e.mu.Lock()
 	b := e.boot
-	e.expire(b, time.Now())
+	e.dropExpired(b, time.Now())
 	q, ok := b.requests[in.RequestID]
 	status := http.StatusOK
 	switch {
@@ -121,37 +122,37 @@
 		status = http.StatusNotFound
 	case in.Offset < 0 || in.Offset > q.gen.MaxTokens:
 		status = http.StatusBadRequest
-	case q.parked:
+	case q.imported:
 		if status = e.submit(b, q); status == http.StatusOK {
-			q.parked = false
+			q.imported = false
 		}
 	}
 	e.mu.Unlock()
 	if status != http.StatusOK {
-		http.Error(w, "not resumed", status)
+		http.Error(w, "request cannot be resumed", status)
 		return
 	}
 	e.Faults.Counters.Add("resumed", 1)
 	e.stream(w, r, b, q, in.Offset)
 }
 
-// stream writes the events of a request from offset on as they come. The
-// header goes out when the request has started. The request goes on when the
-// caller has gone.
+// stream writes the events of a request from offset on as they are generated. It
+// sends the header when the request has started. The request continues if the client
+// disconnects.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, b *boot, q *request, offset int) {
 	after, cut := -1, false
 	control := http.NewResponseController(w)
 	lines := json.NewEncoder(w)
-	for begun := false; ; {
+	for headerWritten := false; ; {
 		e.mu.Lock()
-		made, started, refused, finish, changed := q.made, q.started, q.refused, q.finish, q.changed
+		generated, started, displaced, finish, changed := q.generated, q.started, q.displaced, q.finish, q.changed
 		e.mu.Unlock()
-		if refused {
-			refuse(w, http.StatusTooManyRequests, "not run")
+		if displaced {
+			refuseNotRun(w, http.StatusTooManyRequests, "not run")
 			return
 		}
-		if !begun && (started || finish != "") {
-			begun = true
+		if !headerWritten && (started || finish != "") {
+			headerWritten = true
 			w.Header().Set("Content-Type", "application/x-ndjson")
 			w.WriteHeader(http.StatusOK)
 			after, cut = e.Faults.TakeCut()
@@ -159,7 +160,7 @@
 				return
 			}
 		}
-		for ; offset < made; offset++ {
+		for ; offset < generated; offset++ {
 			if cut && after == 0 {
 				e.cut(control)
 			}
@@ -176,7 +177,7 @@
 			_ = lines.Encode(backend.Event{RequestID: q.gen.RequestID, Offset: offset, Finish: finish, Item: q.gen.Item})
 			return
 		}
-		if begun && control.Flush() != nil {
+		if headerWritten && control.Flush() != nil {
 			return
 		}
 		select {
@@ -189,14 +190,14 @@
 	}
 }
 
-// cut sends what was written and breaks the connection.
+// cut flushes the response and aborts the connection.
 func (e *Engine) cut(control *http.ResponseController) {
 	e.Faults.Counters.Add("streams-cut", 1)
 	_ = control.Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// serveCancel ends a request.
+// serveCancel cancels a request.
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var in ioengine.CancelRequest
 	if !fault.ReadJSON(w, r, &in) {
@@ -208,10 +209,10 @@
 		e.Faults.Counters.Add("cancelled", 1)
 		b.batch.remove(q)
 		q.finish = finishCancelled
-		if q.parked {
+		if q.imported {
 			delete(b.requests, in.RequestID)
 		} else {
-			e.finished(b, q, time.Now())
+			e.finishRequest(b, q, time.Now())
 		}
 		q.notify()
 	}
@@ -219,7 +220,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveCacheEvents answers with the cache events that are published.
+// serveCacheEvents responds with the published cache events.
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	e.mu.Lock()
@@ -228,13 +229,13 @@
 	fault.WriteJSON(w, http.StatusOK, out)
 }
 
-// serveExport answers with the KV cache of a request.
+// serveExport responds with the KV cache of a request.
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	q, ok := e.boot.requests[r.PathValue("id")]
 	var out kv
 	if ok {
-		out = kv{Generate: q.gen, Made: q.made}
+		out = kv{Generate: q.gen, Made: q.generated}
 	}
 	e.mu.Unlock()
 	if !ok {
@@ -244,12 +245,12 @@
 	fault.WriteJSON(w, http.StatusOK, out)
 }
 
-// serveImport takes the KV cache of a request, which waits to be resumed.
+// serveImport stores the KV cache of a request, which continues when it is resumed.
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var in kv
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKV))
 	if err != nil || json.Unmarshal(body, &in) != nil || in.Generate.RequestID != r.PathValue("id") || in.Generate.MaxTokens < 1 {
-		http.Error(w, "no KV cache of this request", http.StatusBadRequest)
+		http.Error(w, "body is not the KV cache of this request", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
@@ -257,15 +258,15 @@
 	if _, known := b.requests[in.Generate.RequestID]; !known {
 		b.arrivals++
 		q := newRequest(in.Generate, b.arrivals)
-		q.made, q.parked = min(in.Made, in.Generate.MaxTokens-1), true
+		q.generated, q.imported = min(in.Made, in.Generate.MaxTokens-1), true
 		b.requests[in.Generate.RequestID] = q
 	}
 	e.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// refuse answers with a status that affirms that the request did not run.
-func refuse(w http.ResponseWriter, status int, text string) {
+// refuseNotRun responds with an error that confirms that the request was not executed.
+func refuseNotRun(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(fault.NotRunHeader, "1")
 	http.Error(w, text, status)
 }
--- a/internal/testbed/standin/engine/doc.go
+++ b/internal/testbed/standin/engine/doc.go
@@ -1,15 +1,14 @@
-// Package engine is a stand-in for a model engine. It batches continuously:
-// every step yields one token for each request in the batch whose prompt has
-// been processed. It loads and unloads items in accelerator memory that it
-// measures itself, checks fencing numbers if told to, and obeys the faults of
-// package fault.
+// Package engine is a stand-in for a model engine. It uses continuous batching:
+// each step generates one token for every request in the batch whose prefill is
+// complete. It loads items into simulated accelerator memory and unloads them,
+// optionally checks fencing numbers, and applies the faults of package fault.
 //
-// The answer to a request is a function of item and prompt (Token), so that a
-// test can compute what a caller must see.
+// The output for a request is a function of the item and the prompt (see Token), so
+// that a test can compute the response that a client must receive.
 //
-// Memory, batch and prefix cache are state machines without clock and without
-// goroutine; the Engine drives them with one goroutine for the steps and one
-// for each load.
+// The memory, the batch and the prefix cache are state machines without clocks or
+// goroutines. The Engine drives them with one goroutine for the steps and one for
+// each load.
 //
 // # Usage
 //
--- a/internal/testbed/standin/engine/engine.go
+++ b/internal/testbed/standin/engine/engine.go
@@ -15,75 +15,75 @@
 )
 
 const (
-	// DefaultStep is the time of a step with one request.
+	// DefaultStep is the duration of a step with a batch of one request.
 	DefaultStep = 7 * time.Millisecond
-	// DefaultSlots is how many requests run at the same time.
+	// DefaultSlots is the maximum batch size.
 	DefaultSlots = 8
-	// DefaultQueueBound is how many requests wait.
+	// DefaultQueueBound is the maximum number of waiting requests.
 	DefaultQueueBound = 64
-	// DefaultMaxTokens is the length of an answer whose request sets none.
+	// DefaultMaxTokens is the output length of a request that sets none.
 	DefaultMaxTokens = 16
-	// DefaultRetention is how long a request can be resumed after its end.
+	// DefaultRetention is how long a request can be resumed after it finished.
 	DefaultRetention = 60 * time.Second
 )
 
 type (
-	// Engine is a stand-in for a model engine. Its exported fields are set
-	// before Start.
+	// Engine is a stand-in for a model engine. The exported fields must be set
+	// before Start or Handler.
 	Engine struct {
 		Name        string
-		Listen      string // IP:port, a free port of 127.0.0.1 if empty
-		MemoryBytes int64  // accelerator memory; an order's bytes have KV reserve and load peak in them
-		Slots       int    // requests in the batch, DefaultSlots if zero
-		QueueBound  int    // requests that wait, DefaultQueueBound if zero, none if negative
-
-		Step         time.Duration // of a batch of one, DefaultStep if zero
-		StepSlope    time.Duration // more for each further request in the batch
-		Prefill      time.Duration // for each prompt token that is not cached
-		CacheBlocks  int           // of the prefix cache, none if zero
-		CacheLag     time.Duration // after which cache events are published
-		CacheLoss    float64       // part of the cache events that is never published
+		Listen      string // IP:port; a free port of 127.0.0.1 if empty
+		MemoryBytes int64  // accelerator memory; the bytes of an order include KV reserve and load peak
+		Slots       int    // maximum batch size, DefaultSlots if zero
+		QueueBound  int    // maximum waiting requests, DefaultQueueBound if zero, none if negative
+
+		Step         time.Duration // step duration of a batch of one, DefaultStep if zero
+		StepSlope    time.Duration // additional step duration for each further request in the batch
+		Prefill      time.Duration // prefill duration per prompt token that is not cached
+		CacheBlocks  int           // capacity of the prefix cache, no cache if zero
+		CacheLag     time.Duration // delay until cache events are published
+		CacheLoss    float64       // fraction of the cache events that is never published
 		ReportLag    time.Duration // age of the load report
-		Retention    time.Duration // after a request's end, DefaultRetention if zero
-		Seed         uint64        // of the lost cache events
-		ChecksOrders bool          // refuses old fencing numbers
-
-		LoadBase      time.Duration // of each load
-		ColdStart     time.Duration // of each load, besides LoadBase, without a weight store
-		WeightAddress string        // IP:port of the weight store, none if empty
-		RestartAfter  time.Duration // time that a crashed engine is away
-		OnCrash       func()        // called at a crash in place of a restart, if set
+		Retention    time.Duration // how long a finished request can be resumed, DefaultRetention if zero
+		Seed         uint64        // seed that selects the lost cache events
+		ChecksOrders bool          // refuse orders with outdated fencing numbers
+
+		LoadBase      time.Duration // fixed duration of each load
+		ColdStart     time.Duration // additional duration of each load if there is no weight store
+		WeightAddress string        // IP:port of the weight store; no weight store if empty
+		RestartAfter  time.Duration // how long a crashed engine is unavailable
+		OnCrash       func()        // if set, called on a crash instead of restarting
 		Faults        fault.Set
 
-		mu     sync.Mutex
-		boot   *boot
-		boots  int
-		away   time.Time // until when a crashed engine is away
-		server *fault.Server
+		mu          sync.Mutex
+		boot        *boot
+		boots       int
+		unavailable time.Time // end of the restart after a crash
+		server      *fault.Server
 	}
 
-	// boot is all that an engine holds from its start to its end. The engine's
-	// mutex guards it.
+	// boot is the state of one run of the engine process, from a start to the next
+	// crash or to Close. It is guarded by the engine's mutex.
 	boot struct {
-		id       string
-		ctx      context.Context
-		cancel   context.CancelFunc
-		fence    uint64
-		memory   *memory.Memory
-		batch    batch
-		cache    *prefix.Cache
-		orders   map[string]bool // order ids; true if done
-		requests map[string]*request
-		ended    []*request // in order of their end
-		arrivals uint64
-		prefill  time.Time // until when the prefill unit is taken
-		loads    []sample  // recent load reports
-		wake     chan struct{}
+		id           string
+		ctx          context.Context
+		cancel       context.CancelFunc
+		fence        uint64
+		memory       *memory.Memory
+		batch        batch
+		cache        *prefix.Cache
+		orders       map[string]bool // by order id; true if completed
+		requests     map[string]*request
+		finished     []*request // in the order in which they finished
+		arrivals     uint64
+		prefillUntil time.Time    // when the prefills scheduled so far are complete
+		loadHistory  []loadSample // recent load reports, oldest first
+		wake         chan struct{}
 	}
 )
 
-// Start begins to serve and returns the address. After Close it may be called
-// again: the engine then has a new boot id and nothing loaded.
+// Start starts the engine and its server and returns the address. It may be called
+// again after Close: the engine then has a new boot id and no loaded items.
 func (e *Engine) Start() (string, error) {
 	mux := http.NewServeMux()
 	mux.Handle("/engine/v1/", e.Handler())
@@ -92,8 +92,8 @@
 	return address, err
 }
 
-// Handler starts the engine without a listener and returns its calls under its
-// faults. Close ends it.
+// Handler starts the engine without a server and returns its HTTP handler, with its
+// faults applied. Close stops the engine.
 func (e *Engine) Handler() http.Handler {
 	if e.Faults.Counters == nil {
 		e.Faults.Counters = &fault.Counters{}
@@ -104,10 +104,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.restart()
-	return e.present(e.Faults.Wrap(e.calls()))
+	return e.unavailableAfterCrash(e.Faults.Wrap(e.routes()))
 }
 
-// Close stops serving, at once: streams break.
+// Close stops the server and the engine immediately. Open streams are interrupted.
 func (e *Engine) Close() {
 	if e.server != nil {
 		e.server.Close()
@@ -117,16 +117,17 @@
 	e.boot.cancel()
 }
 
-// Crash loses all that the engine holds and breaks all connections; it is back
-// after RestartAfter with a new boot id.
+// Crash discards all state of the engine and closes all connections. The engine is
+// available again after RestartAfter, with a new boot id. If OnCrash is set, Crash
+// only calls that.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	e.crash()
 	e.mu.Unlock()
 }
 
-// Preload makes an item resident at once, for tests. It returns false if it
-// does not fit.
+// Preload makes an item resident immediately, for tests. It returns false if the
+// item is already present or does not fit.
 func (e *Engine) Preload(i backend.Item, bytes int64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,26 +136,27 @@
 		return false
 	}
 	m.Items[i].State, m.Items[i].Pending = backend.Resident, false
-	e.measure()
+	e.updateMemoryCounters()
 	return true
 }
 
-// State returns inventory and load as the state call does.
+// State returns the inventory and the load report, like the state call.
 func (e *Engine) State() backend.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return backend.State{Inventory: e.inventory(), Load: e.boot.reported(time.Now().Add(-e.ReportLag)), Leaving: e.Faults.Faults().Leaving}
+	return backend.State{Inventory: e.inventory(), Load: e.boot.loadAt(time.Now().Add(-e.ReportLag)), Leaving: e.Faults.Faults().Leaving}
 }
 
-// inventory returns the engine's truth about itself.
+// inventory returns the current items, memory and fencing number of the engine. The
+// caller holds the mutex.
 func (e *Engine) inventory() backend.Inventory {
 	return backend.Inventory{Server: e.Name, BootID: e.boot.id, Fence: e.boot.fence,
 		MemoryBytes: e.MemoryBytes, Items: e.boot.memory.Status()}
 }
 
-// measure enters the memory in use in the counters. It counts a violation if
-// the engine has taken on more than it has, which would be its own fault.
-func (e *Engine) measure() {
+// updateMemoryCounters records the peak memory use. It counts a violation if more
+// memory is in use than the engine has, which would be a bug in the stand-in.
+func (e *Engine) updateMemoryCounters() {
 	m := e.boot.memory
 	e.Faults.Counters.Max("peak-memory-bytes", m.Peak)
 	if m.Used > m.Total {
@@ -162,7 +164,8 @@
 	}
 }
 
-// crash ends the present boot and begins the next. The caller holds the mutex.
+// crash ends the current boot and starts the next one, unless OnCrash is set. The
+// caller holds the mutex.
 func (e *Engine) crash() {
 	e.Faults.Counters.Add("crashes", 1)
 	if e.OnCrash != nil {
@@ -170,14 +173,14 @@
 		return
 	}
 	e.boot.cancel()
-	e.away = time.Now().Add(e.RestartAfter)
+	e.unavailable = time.Now().Add(e.RestartAfter)
 	if e.server != nil {
 		e.server.Break(nil)
 	}
 	e.restart()
 }
 
-// restart begins a boot. The caller holds the mutex.
+// restart starts a new boot. The caller holds the mutex.
 func (e *Engine) restart() {
 	e.boots++
 	ctx, cancel := context.WithCancel(context.Background())
@@ -194,13 +197,14 @@
 	go e.run(e.boot)
 }
 
-// present answers nothing while a crashed engine is away.
-func (e *Engine) present(h http.Handler) http.Handler {
+// unavailableAfterCrash returns a handler that aborts every call until the engine has
+// restarted after a crash.
+func (e *Engine) unavailableAfterCrash(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
-		away := time.Now().Before(e.away)
+		unavailable := time.Now().Before(e.unavailable)
 		e.mu.Unlock()
-		if away {
+		if unavailable {
 			panic(http.ErrAbortHandler)
 		}
 		h.ServeHTTP(w, r)
--- a/internal/testbed/standin/engine/engine_test.go
+++ b/internal/testbed/standin/engine/engine_test.go
@@ -23,13 +23,13 @@
 )
 
 var (
-	model   = backend.Item{Name: "m", Version: "1"}
-	newer   = backend.Item{Name: "m", Version: "2"}
-	adapter = backend.Item{Name: "a", Version: "1", Base: "m"}
+	model       = backend.Item{Name: "m", Version: "1"}
+	nextVersion = backend.Item{Name: "m", Version: "2"}
+	adapter     = backend.Item{Name: "a", Version: "1", Base: "m"}
 )
 
-// bench runs f with an engine on fake time.
-func bench(t *testing.T, e *engine.Engine, f func(t *testing.T, h http.Handler)) {
+// runSimulated runs f with an engine in simulated time.
+func runSimulated(t *testing.T, e *engine.Engine, f func(t *testing.T, h http.Handler)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		h := e.Handler()
@@ -38,7 +38,7 @@
 	})
 }
 
-// call makes a call and returns its answer.
+// call makes a call and returns the recorded response.
 func call(h http.Handler, method, path string, in any) *httptest.ResponseRecorder {
 	body, _ := json.Marshal(in)
 	w := httptest.NewRecorder()
@@ -46,19 +46,19 @@
 	return w
 }
 
-// order gives an order and returns the status.
+// order sends an order and returns the status code.
 func order(h http.Handler, o backend.Order) int {
 	return call(h, http.MethodPost, "/engine/v1/order", o).Code
 }
 
-// generate makes a request and returns its events.
+// generate sends a request and returns the status code and the events.
 func generate(t *testing.T, h http.Handler, g backend.Generate) (int, []backend.Event) {
 	t.Helper()
 	w := call(h, http.MethodPost, "/engine/v1/generate", g)
 	return w.Code, events(t, w.Body)
 }
 
-// events decodes a stream; a refusal has none.
+// events decodes the events of a stream. An error response has none.
 func events(t *testing.T, r io.Reader) []backend.Event {
 	t.Helper()
 	var out []backend.Event
@@ -71,7 +71,7 @@
 	}
 }
 
-// state returns an item's state, empty if it is absent.
+// state returns the state of an item, empty if the item is not present.
 func state(e *engine.Engine, i backend.Item) backend.ItemState {
 	for _, s := range e.State().Inventory.Items {
 		if s.Item == i {
@@ -81,20 +81,20 @@
 	return ""
 }
 
-// TestStaleOrderRefused checks that an engine which checks orders refuses an
-// old fencing number, also of an order that it accepted before the fence was
-// raised, and that one which does not check obeys.
+// TestStaleOrderRefused checks that an engine with ChecksOrders refuses an outdated
+// fencing number, also for a delayed order that it accepted before the fence was
+// raised, and that an engine without it executes both orders.
 func TestStaleOrderRefused(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks-%t", checks), func(t *testing.T) {
 			e := &engine.Engine{MemoryBytes: 100, ChecksOrders: checks}
-			bench(t, e, func(t *testing.T, h http.Handler) {
+			runSimulated(t, e, func(t *testing.T, h http.Handler) {
 				e.Faults.Put(fault.Faults{OrderDelayMS: 1000})
 				require.Equal(t, http.StatusAccepted, order(h, backend.Order{OrderID: "late", Fence: 3, Op: backend.Load, Item: model, Bytes: 10}))
 				require.Equal(t, http.StatusOK, call(h, http.MethodPost, "/engine/v1/fence", ioengine.FenceRequest{Fence: 7}).Code)
 				e.Faults.Put(fault.Faults{})
 				time.Sleep(2 * time.Second)
-				got := order(h, backend.Order{OrderID: "old", Fence: 6, Op: backend.Load, Item: newer, Bytes: 10})
+				got := order(h, backend.Order{OrderID: "old", Fence: 6, Op: backend.Load, Item: nextVersion, Bytes: 10})
 				synctest.Wait()
 				if checks {
 					require.Equal(t, http.StatusConflict, got)
@@ -109,11 +109,11 @@
 	}
 }
 
-// TestOrderIDTakesEffectOnce checks that an order given again after its effect
-// was undone does nothing.
-func TestOrderIDTakesEffectOnce(t *testing.T) {
+// TestOrderIsIdempotent checks that an order which is sent again has no further
+// effect, also if its effect was undone in between.
+func TestOrderIsIdempotent(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, ColdStart: time.Second}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		load := backend.Order{OrderID: "1", Op: backend.Load, Item: model, Bytes: 10}
 		require.Equal(t, http.StatusAccepted, order(h, load))
 		require.Equal(t, http.StatusAccepted, order(h, load))
@@ -132,13 +132,14 @@
 	})
 }
 
-// TestLoadMustFit checks that bytes count from the order to the end of the
-// unload and that what does not fit is refused and changes nothing.
-func TestLoadMustFit(t *testing.T) {
+// TestLoadThatDoesNotFitIsRefused checks that memory is in use from the load order to
+// the end of the unload, and that an item which does not fit is refused without
+// changing anything.
+func TestLoadThatDoesNotFitIsRefused(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, ColdStart: time.Second, Step: time.Second}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.Equal(t, http.StatusAccepted, order(h, backend.Order{OrderID: "1", Op: backend.Load, Item: model, Bytes: 60}))
-		big := backend.Order{OrderID: "2", Op: backend.Load, Item: newer, Bytes: 41}
+		big := backend.Order{OrderID: "2", Op: backend.Load, Item: nextVersion, Bytes: 41}
 		require.Equal(t, http.StatusInsufficientStorage, order(h, big))
 		time.Sleep(2 * time.Second)
 		var wg sync.WaitGroup
@@ -156,26 +157,27 @@
 	})
 }
 
-// TestAdapterNeedsBase checks the order of loading and unloading of a model and
-// its adapter.
-func TestAdapterNeedsBase(t *testing.T) {
+// TestAdapterRequiresBase checks that an adapter can be loaded only after its model,
+// and that the last version of a model can't be unloaded before its adapters.
+func TestAdapterRequiresBase(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		load := backend.Order{OrderID: "1", Op: backend.Load, Item: adapter, Bytes: 10}
 		require.Equal(t, http.StatusConflict, order(h, load))
 		require.True(t, e.Preload(model, 10))
 		require.Equal(t, http.StatusAccepted, order(h, load))
 		synctest.Wait()
 		require.Equal(t, http.StatusConflict, order(h, backend.Order{OrderID: "2", Op: backend.Unload, Item: model}))
-		require.True(t, e.Preload(newer, 10))
+		require.True(t, e.Preload(nextVersion, 10))
 		require.Equal(t, http.StatusOK, order(h, backend.Order{OrderID: "3", Op: backend.Unload, Item: model}))
 	})
 }
 
-// TestOrderFaults checks lost orders.
-func TestOrderFaults(t *testing.T) {
+// TestLostOrder checks that a lost order is accepted but not executed, and that the
+// same order is executed when it is sent again.
+func TestLostOrder(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		e.Faults.Put(fault.Faults{LoseOrders: 1})
 		load := backend.Order{OrderID: "1", Op: backend.Load, Item: model, Bytes: 10}
 		require.Equal(t, http.StatusAccepted, order(h, load))
@@ -187,11 +189,11 @@
 	})
 }
 
-// TestContinuousBatching checks that a batch yields a token for each request in
-// a step whose time grows with the batch.
+// TestContinuousBatching checks that each step generates one token per request in the
+// batch, and that the step duration grows with the batch size.
 func TestContinuousBatching(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Slots: 4, Step: 10 * time.Millisecond, StepSlope: 2 * time.Millisecond}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		start := time.Now()
 		var wg sync.WaitGroup
@@ -212,22 +214,23 @@
 	})
 }
 
-// TestPriority checks that urgent work preempts other work, that what is pushed
-// out of the queue is affirmed as not run, and that preempted work ends whole.
+// TestPriority checks that a request of higher priority preempts a running one, that
+// requests displaced from the queue are confirmed as not executed, and that the
+// preempted request is completed.
 func TestPriority(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Slots: 1, QueueBound: 1, Step: 10 * time.Millisecond}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		start := time.Now()
 		var mu sync.Mutex
-		ends := map[string]string{}
+		results := map[string]string{}
 		var wg sync.WaitGroup
 		submit := func(id string, priority int) {
 			wg.Go(func() {
 				w := call(h, http.MethodPost, "/engine/v1/generate", backend.Generate{RequestID: id, Item: model, Prompt: id, MaxTokens: 10, Priority: priority})
 				mu.Lock()
 				defer mu.Unlock()
-				ends[id] = fmt.Sprintf("%d %s %d %v", w.Code, w.Header().Get(fault.NotRunHeader), len(events(t, w.Body)), time.Since(start))
+				results[id] = fmt.Sprintf("%d %s %d %v", w.Code, w.Header().Get(fault.NotRunHeader), len(events(t, w.Body)), time.Since(start))
 			})
 			time.Sleep(15 * time.Millisecond)
 		}
@@ -241,30 +244,30 @@
 			"waiting": "429 1 0 45ms",
 			"refused": "429 1 0 30ms",
 			"urgent":  "200  11 150ms",
-		}, ends)
+		}, results)
 		require.EqualValues(t, 1, e.Faults.Counters.Get("preemptions"))
 	})
 }
 
-// TestPrefixCache checks that a cached prefix shortens the prefill, that the
-// cache is bounded, and that its events come late and with gaps.
+// TestPrefixCache checks that a cached prefix shortens the prefill, that the cache has
+// a limited capacity, and that its events are published late and with gaps.
 func TestPrefixCache(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Step: time.Millisecond, Prefill: time.Millisecond, CacheBlocks: 4, CacheLag: time.Hour, CacheLoss: 0.3, Seed: 5}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		prompt := strings.Repeat("x", 4*prefix.BlockBytes)
 		n := 0
-		took := func(prompt string) time.Duration {
+		requestTime := func(prompt string) time.Duration {
 			n++
 			start := time.Now()
 			generate(t, h, backend.Generate{RequestID: fmt.Sprint(n), Item: model, Prompt: prompt, MaxTokens: 1})
 			return time.Since(start)
 		}
-		require.Equal(t, 64*time.Millisecond, took(prompt))
-		require.Equal(t, time.Millisecond, took(prompt))
-		require.Equal(t, 16*time.Millisecond, took(prompt[:192]+strings.Repeat("y", 64)))
-		took(strings.Repeat("z", 4*prefix.BlockBytes))
-		require.Equal(t, 64*time.Millisecond, took(prompt))
+		require.Equal(t, 64*time.Millisecond, requestTime(prompt))
+		require.Equal(t, time.Millisecond, requestTime(prompt))
+		require.Equal(t, 16*time.Millisecond, requestTime(prompt[:192]+strings.Repeat("y", 64)))
+		requestTime(strings.Repeat("z", 4*prefix.BlockBytes))
+		require.Equal(t, 64*time.Millisecond, requestTime(prompt))
 		read := func() ioengine.CacheEvents {
 			var out ioengine.CacheEvents
 			require.NoError(t, json.Unmarshal(call(h, http.MethodGet, "/engine/v1/cache-events?since=2", nil).Body.Bytes(), &out))
@@ -278,11 +281,11 @@
 	})
 }
 
-// TestResume checks that a request goes on without a reader and can be resumed
-// from any offset until its retention is over.
+// TestResume checks that a request continues after its stream is interrupted, and that
+// it can be resumed from any offset until its retention has passed.
 func TestResume(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Step: 10 * time.Millisecond}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		e.Faults.Put(fault.Faults{CutStreams: 1, CutAfter: 3})
 		w := httptest.NewRecorder()
@@ -292,8 +295,8 @@
 		})
 		got := events(t, w.Body)
 		require.Len(t, got, 3)
-		rest := call(h, http.MethodPost, "/engine/v1/resume", backend.Resume{RequestID: "r", Offset: 3})
-		got = append(got, events(t, rest.Body)...)
+		resumed := call(h, http.MethodPost, "/engine/v1/resume", backend.Resume{RequestID: "r", Offset: 3})
+		got = append(got, events(t, resumed.Body)...)
 		require.Len(t, got, 9)
 		for i, want := range engine.Answer(model, "p", 8) {
 			require.Equal(t, want, got[i].Token)
@@ -307,11 +310,12 @@
 	})
 }
 
-// TestKVMoves checks that a request goes on at another engine from its KV cache.
-func TestKVMoves(t *testing.T) {
+// TestKVCacheTransfer checks that a request can be resumed on another engine from its
+// exported KV cache.
+func TestKVCacheTransfer(t *testing.T) {
 	from := &engine.Engine{Name: "from", MemoryBytes: 100}
 	to := &engine.Engine{Name: "to", MemoryBytes: 100}
-	bench(t, from, func(t *testing.T, h http.Handler) {
+	runSimulated(t, from, func(t *testing.T, h http.Handler) {
 		other := to.Handler()
 		defer to.Close()
 		require.True(t, from.Preload(model, 10))
@@ -327,10 +331,10 @@
 	})
 }
 
-// TestCancel checks that a cancelled request ends and frees its slot.
+// TestCancel checks that a cancelled request finishes and frees its slot.
 func TestCancel(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Slots: 1, Step: 10 * time.Millisecond}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		var wg sync.WaitGroup
 		wg.Go(func() {
@@ -345,10 +349,11 @@
 	})
 }
 
-// TestCrash checks that a request which crashes the engine takes all with it.
+// TestCrash checks that a request which crashes the engine makes it unavailable until
+// it has restarted, and that the engine then has a new boot id and no items.
 func TestCrash(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Slots: 2, Step: 10 * time.Millisecond, RestartAfter: time.Second}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		boot := e.State().Inventory.BootID
 		e.Faults.Put(fault.Faults{CrashOn: "poison"})
@@ -369,10 +374,10 @@
 	})
 }
 
-// TestLoadReportLags checks that the load report is as old as it should be.
-func TestLoadReportLags(t *testing.T) {
+// TestLoadReportLag checks that the load report has the age set by ReportLag.
+func TestLoadReportLag(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Step: 10 * time.Millisecond, ReportLag: 500 * time.Millisecond}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		var wg sync.WaitGroup
 		wg.Go(func() {
@@ -389,11 +394,11 @@
 	})
 }
 
-// TestLeaving checks that a leaving engine takes nothing new and ends what it
-// has.
+// TestLeaving checks that a leaving engine refuses new requests and orders and
+// completes the requests that it has.
 func TestLeaving(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Step: 10 * time.Millisecond}
-	bench(t, e, func(t *testing.T, h http.Handler) {
+	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		var wg sync.WaitGroup
 		wg.Go(func() {
@@ -406,7 +411,7 @@
 		w := call(h, http.MethodPost, "/engine/v1/generate", backend.Generate{RequestID: "s", Item: model, Prompt: "p"})
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 		require.Equal(t, "1", w.Header().Get(fault.NotRunHeader))
-		require.Equal(t, http.StatusServiceUnavailable, order(h, backend.Order{OrderID: "1", Op: backend.Load, Item: newer}))
+		require.Equal(t, http.StatusServiceUnavailable, order(h, backend.Order{OrderID: "1", Op: backend.Load, Item: nextVersion}))
 		wg.Wait()
 	})
 }
--- a/internal/testbed/standin/engine/memory/memory.go
+++ b/internal/testbed/standin/engine/memory/memory.go
@@ -1,12 +1,12 @@
-// Package memory keeps account of the accelerator memory of the engine
-// stand-in: which items hold bytes and since when an item's bytes are free. It
-// knows no clock; the engine guards it.
+// Package memory accounts for the accelerator memory of the engine stand-in: which
+// items occupy memory, and when the memory of an item can be released. It does not
+// read a clock and is not safe for concurrent use; the engine's mutex guards it.
 //
 // # Usage
 //
 //	m := memory.New(100)
 //	if !m.Reserve(item, 40) {
-//		// It does not fit; nothing was changed.
+//		// The item does not fit; nothing was changed.
 //	}
 //	m.Items[item].State = backend.Resident
 package memory
@@ -20,27 +20,27 @@
 )
 
 type (
-	// Entry is an item that holds bytes.
+	// Entry is the state of an item that occupies memory.
 	Entry struct {
 		State   backend.ItemState
 		Bytes   int64
-		Users   int    // requests of the item that are not done
-		Pending bool   // its load still runs
-		Order   string // id of the order under way, empty if none
+		Users   int    // unfinished requests that use the item
+		Pending bool   // the load is still running
+		Order   string // id of the order being executed, empty if none
 	}
 
-	// Memory is the accelerator memory of an engine, in bytes.
+	// Memory is the accelerator memory of an engine. Sizes are in bytes.
 	Memory struct {
 		Total, Used, Peak int64
 		Items             map[backend.Item]*Entry
 	}
 )
 
-// New returns an empty memory of total bytes.
+// New returns an empty memory of the given size.
 func New(total int64) *Memory { return &Memory{Total: total, Items: map[backend.Item]*Entry{}} }
 
-// Reserve takes bytes for an item that is absent. It returns false and changes
-// nothing if they don't fit.
+// Reserve reserves memory for an item that is not present. It returns false and
+// changes nothing if the item does not fit.
 func (m *Memory) Reserve(i backend.Item, bytes int64) bool {
 	if bytes < 0 || bytes > m.Total-m.Used {
 		return false
@@ -51,41 +51,40 @@
 	return true
 }
 
-// Release frees an item's bytes if it is unloading and nothing uses it, and
-// tells whether it did.
+// Release frees the memory of an item that is unloading and neither used by a request
+// nor still being loaded. It reports whether it did.
 func (m *Memory) Release(i backend.Item) bool {
 	e, ok := m.Items[i]
 	if !ok || e.State != backend.Unloading || e.Users > 0 || e.Pending {
 		return false
 	}
-	m.drop(i)
+	m.remove(i)
 	return true
 }
 
-// drop frees an item's bytes.
-func (m *Memory) drop(i backend.Item) {
+// remove frees the memory of an item.
+func (m *Memory) remove(i backend.Item) {
 	m.Used -= m.Items[i].Bytes
 	delete(m.Items, i)
 }
 
-// Resident tells whether an item serves.
+// Resident reports whether an item is resident.
 func (m *Memory) Resident(i backend.Item) bool {
 	e, ok := m.Items[i]
 	return ok && e.State == backend.Resident
 }
 
-// Base tells whether any version of a model other than not serves.
-func (m *Memory) Base(model string, not backend.Item) bool {
+// Base reports whether a version of a model other than except is resident.
+func (m *Memory) Base(model string, except backend.Item) bool {
 	for i, e := range m.Items {
-		if i.Base == "" && i.Name == model && i != not && e.State == backend.Resident {
+		if i.Base == "" && i.Name == model && i != except && e.State == backend.Resident {
 			return true
 		}
 	}
 	return false
 }
 
-// Adapters tells whether an adapter of a model holds bytes and is not about to
-// free them.
+// Adapters reports whether an adapter of a model is present and not unloading.
 func (m *Memory) Adapters(model string) bool {
 	for i, e := range m.Items {
 		if i.Base == model && e.State != backend.Unloading {
@@ -95,7 +94,7 @@
 	return false
 }
 
-// Status returns all items in order of name.
+// Status returns the status of all items, sorted by name.
 func (m *Memory) Status() []backend.ItemStatus {
 	keys := slices.SortedFunc(maps.Keys(m.Items), func(a, b backend.Item) int {
 		return strings.Compare(a.String(), b.String())
--- a/internal/testbed/standin/engine/orders.go
+++ b/internal/testbed/standin/engine/orders.go
@@ -19,13 +19,13 @@
 	errorInUse  = "in-use"
 )
 
-// verdict is the answer to an order.
-type verdict struct {
+// orderReply is the response to an order.
+type orderReply struct {
 	status  int
 	refusal ioengine.Refusal
 }
 
-// serveFence raises the fencing number.
+// serveFence handles a call that raises the fencing number.
 func (e *Engine) serveFence(w http.ResponseWriter, r *http.Request) {
 	var in ioengine.FenceRequest
 	if !fault.ReadJSON(w, r, &in) {
@@ -33,16 +33,16 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.raise(in.Fence) {
+	if !e.raiseFence(in.Fence) {
 		fault.WriteJSON(w, http.StatusConflict, ioengine.Refusal{Fence: e.boot.fence})
 		return
 	}
 	fault.WriteJSON(w, http.StatusOK, e.inventory())
 }
 
-// raise raises the fencing number, and returns false if the engine checks it
-// and has seen a higher one.
-func (e *Engine) raise(fence uint64) bool {
+// raiseFence raises the fencing number. It returns false if the engine checks fencing
+// numbers and has seen a higher one.
+func (e *Engine) raiseFence(fence uint64) bool {
 	if !e.ChecksOrders {
 		return true
 	}
@@ -53,17 +53,17 @@
 	return true
 }
 
-// serveOrder takes an order.
+// serveOrder handles an order.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o backend.Order
 	if !fault.ReadJSON(w, r, &o) {
 		return
 	}
 	if o.Op != backend.Load && o.Op != backend.Unload || o.OrderID == "" || o.Bytes < 0 {
-		http.Error(w, "order-id, op and bytes have to be set", http.StatusBadRequest)
+		http.Error(w, "order-id must be set, op must be load or unload, and bytes must not be negative", http.StatusBadRequest)
 		return
 	}
-	v := e.take(o)
+	v := e.acceptOrder(o)
 	if v.status == http.StatusConflict {
 		fault.WriteJSON(w, v.status, v.refusal)
 		return
@@ -71,8 +71,9 @@
 	fault.WriteJSON(w, v.status, struct{}{})
 }
 
-// take answers an order and does it, now or later.
-func (e *Engine) take(o backend.Order) verdict {
+// acceptOrder checks an order, executes it immediately or schedules it, and returns
+// the response.
+func (e *Engine) acceptOrder(o backend.Order) orderReply {
 	f := e.Faults.Faults()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,28 +81,29 @@
 	b := e.boot
 	switch done, known := b.orders[o.OrderID]; {
 	case known && (done || e.satisfied(b, o)):
-		return verdict{status: http.StatusOK}
+		return orderReply{status: http.StatusOK}
 	case known:
-		return verdict{status: http.StatusAccepted}
+		return orderReply{status: http.StatusAccepted}
 	case f.Leaving:
-		return verdict{status: http.StatusServiceUnavailable}
-	case !e.raise(o.Fence):
+		return orderReply{status: http.StatusServiceUnavailable}
+	case !e.raiseFence(o.Fence):
 		e.Faults.Counters.Add("stale-orders-refused", 1)
-		return verdict{status: http.StatusConflict, refusal: ioengine.Refusal{Fence: b.fence}}
+		return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Fence: b.fence}}
 	case e.Faults.TakeLostOrder():
 		e.Faults.Counters.Add("orders-lost", 1)
-		return verdict{status: http.StatusAccepted}
+		return orderReply{status: http.StatusAccepted}
 	}
 	if f.OrderDelayMS > 0 {
 		b.orders[o.OrderID] = false
-		go e.doLate(b, o, time.Duration(f.OrderDelayMS)*time.Millisecond)
-		return verdict{status: http.StatusAccepted}
+		go e.executeDelayed(b, o, time.Duration(f.OrderDelayMS)*time.Millisecond)
+		return orderReply{status: http.StatusAccepted}
 	}
-	return e.do(b, o)
+	return e.execute(b, o)
 }
 
-// doLate does an order after a delay, if its fencing number still holds.
-func (e *Engine) doLate(b *boot, o backend.Order, delay time.Duration) {
+// executeDelayed executes an order after a delay, unless its fencing number is
+// outdated by then.
+func (e *Engine) executeDelayed(b *boot, o backend.Order, delay time.Duration) {
 	t := time.NewTimer(delay)
 	defer t.Stop()
 	select {
@@ -114,20 +116,20 @@
 	if b.ctx.Err() != nil {
 		return
 	}
-	if !e.raise(o.Fence) {
+	if !e.raiseFence(o.Fence) {
 		e.Faults.Counters.Add("stale-orders-refused", 1)
 		return
 	}
-	e.do(b, o)
+	e.execute(b, o)
 }
 
-// do does an order and answers it.
-func (e *Engine) do(b *boot, o backend.Order) verdict {
-	var v verdict
+// execute executes an order and returns the response.
+func (e *Engine) execute(b *boot, o backend.Order) orderReply {
+	var v orderReply
 	if o.Op == backend.Load {
-		v = e.load(b, o)
+		v = e.beginLoad(b, o)
 	} else {
-		v = e.unload(b, o)
+		v = e.beginUnload(b, o)
 	}
 	if v.status == http.StatusOK || v.status == http.StatusAccepted {
 		b.orders[o.OrderID] = v.status == http.StatusOK
@@ -135,7 +137,7 @@
 	return v
 }
 
-// satisfied tells whether what an order asks is so.
+// satisfied reports whether the item is in the state that the order requests.
 func (e *Engine) satisfied(b *boot, o backend.Order) bool {
 	if o.Op == backend.Load {
 		return b.memory.Resident(o.Item)
@@ -144,51 +146,52 @@
 	return !ok
 }
 
-// load begins to load an item.
-func (e *Engine) load(b *boot, o backend.Order) verdict {
+// beginLoad reserves memory for an item and starts to load it.
+func (e *Engine) beginLoad(b *boot, o backend.Order) orderReply {
 	if u, ok := b.memory.Items[o.Item]; ok {
 		switch u.State {
 		case backend.Resident:
-			return verdict{status: http.StatusOK}
+			return orderReply{status: http.StatusOK}
 		case backend.Loading:
-			return verdict{status: http.StatusAccepted}
+			return orderReply{status: http.StatusAccepted}
 		default:
-			return verdict{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorInUse}}
+			return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorInUse}}
 		}
 	}
 	if o.Item.Base != "" && !b.memory.Base(o.Item.Base, backend.Item{}) {
-		return verdict{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorNoBase}}
+		return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorNoBase}}
 	}
 	if !b.memory.Reserve(o.Item, o.Bytes) {
 		e.Faults.Counters.Add("overcommit-refused", 1)
-		return verdict{status: http.StatusInsufficientStorage}
+		return orderReply{status: http.StatusInsufficientStorage}
 	}
 	b.memory.Items[o.Item].Order = o.OrderID
-	e.measure()
-	go e.fetch(b, o)
-	return verdict{status: http.StatusAccepted}
+	e.updateMemoryCounters()
+	go e.finishLoad(b, o)
+	return orderReply{status: http.StatusAccepted}
 }
 
-// unload begins to unload an item, or does it if nothing uses it.
-func (e *Engine) unload(b *boot, o backend.Order) verdict {
+// beginUnload unloads an item. If requests still use the item or it is still loading,
+// the unload completes later.
+func (e *Engine) beginUnload(b *boot, o backend.Order) orderReply {
 	u, ok := b.memory.Items[o.Item]
 	if !ok {
-		return verdict{status: http.StatusOK}
+		return orderReply{status: http.StatusOK}
 	}
 	if o.Item.Base == "" && b.memory.Adapters(o.Item.Name) && !b.memory.Base(o.Item.Name, o.Item) {
-		return verdict{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorInUse}}
+		return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorInUse}}
 	}
 	u.State, u.Order = backend.Unloading, o.OrderID
-	if e.release(b, o.Item) {
-		return verdict{status: http.StatusOK}
+	if e.releaseUnused(b, o.Item) {
+		return orderReply{status: http.StatusOK}
 	}
-	return verdict{status: http.StatusAccepted}
+	return orderReply{status: http.StatusAccepted}
 }
 
-// fetch takes the time of a load and makes the item resident, or drops it if
-// the weight store fails.
-func (e *Engine) fetch(b *boot, o backend.Order) {
-	err := e.wait(b.ctx, o)
+// finishLoad waits until a load is complete and makes the item resident, or removes
+// it if the weight store failed.
+func (e *Engine) finishLoad(b *boot, o backend.Order) {
+	err := e.waitForWeights(b.ctx, o)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if b.ctx.Err() != nil {
@@ -206,12 +209,12 @@
 		u.State = backend.Resident
 		b.orders[o.OrderID] = true
 	}
-	e.release(b, o.Item)
+	e.releaseUnused(b, o.Item)
 }
 
-// release frees an item's bytes if nothing holds them any more, which ends its
-// unload, and tells whether it did.
-func (e *Engine) release(b *boot, i backend.Item) bool {
+// releaseUnused completes the unload of an item that is no longer in use and reports
+// whether it did.
+func (e *Engine) releaseUnused(b *boot, i backend.Item) bool {
 	u, ok := b.memory.Items[i]
 	if !ok || !b.memory.Release(i) {
 		return false
@@ -222,8 +225,9 @@
 	return true
 }
 
-// wait takes the time of a load.
-func (e *Engine) wait(ctx context.Context, o backend.Order) error {
+// waitForWeights waits for the duration of a load, including the call of the weight
+// store if there is one.
+func (e *Engine) waitForWeights(ctx context.Context, o backend.Order) error {
 	d := e.LoadBase
 	if e.WeightAddress == "" {
 		d += e.ColdStart
@@ -241,7 +245,7 @@
 	c := &jsonhttp.Client{Address: e.WeightAddress, Fresh: true}
 	a, err := c.JSON(ctx, http.MethodPost, weights.LoadPath, weights.LoadRequest{Item: o.Item.String(), Bytes: o.Bytes}, nil)
 	if err == nil && a.Status != http.StatusOK {
-		return eris.Errorf("weight store answered %d", a.Status)
+		return eris.Errorf("weight store responded with status %d", a.Status)
 	}
 	return err
 }
--- a/internal/testbed/standin/engine/prefix/prefix.go
+++ b/internal/testbed/standin/engine/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix is the prompt prefix cache of the engine stand-in. It keeps
-// hashes of prompt prefixes in bounded space, the least recently used go first,
-// and publishes what it stores and evicts with gaps. Time is an argument.
+// Package prefix implements the prompt prefix cache of the engine stand-in. It is an
+// LRU cache of hashes of prompt prefixes, and it publishes events for what it stores
+// and evicts, a fraction of which is lost. Times are passed as arguments.
 //
 // # Usage
 //
@@ -20,44 +20,44 @@
 )
 
 const (
-	// BlockBytes is the length of prompt that one block of the prefix cache
-	// covers.
+	// BlockBytes is the length of the part of a prompt that one cache block covers.
 	BlockBytes = 64
-	// BytesPerToken is how much of a prompt makes a token.
+	// BytesPerToken is the length of a prompt token.
 	BytesPerToken = 4
 
 	maxEvents = 1 << 14
 )
 
 type (
-	// Cache holds the prompt prefixes whose processing can be saved, the least
-	// recently used go first.
+	// Cache is an LRU cache of the prompt prefixes that need no prefill. It is not
+	// safe for concurrent use.
 	Cache struct {
-		blocks int     // capacity
-		loss   float64 // part of the events that is never published
-		random *rand.Rand
+		blocks int     // capacity in blocks
+		loss   float64 // fraction of the events that is never published
+		rng    *rand.Rand
 
-		order    *list.List // of uint64, the most recently used in front
-		index    map[uint64]*list.Element
+		lru      *list.List // of uint64 hashes, most recently used first
+		elements map[uint64]*list.Element
 		sequence uint64
 		events   []event
 	}
 
-	// event is a cache event and when it happened.
+	// event is a cache event and the time at which it happened.
 	event struct {
 		at time.Time
 		ioengine.CacheEvent
 	}
 )
 
-// New returns an empty cache.
+// New returns an empty cache of the given capacity in blocks. The fraction loss of
+// its events, selected by seed, is never published.
 func New(blocks int, loss float64, seed uint64) *Cache {
-	return &Cache{blocks: blocks, loss: loss, random: rand.New(rand.NewPCG(seed, 1)),
-		order: list.New(), index: map[uint64]*list.Element{}}
+	return &Cache{blocks: blocks, loss: loss, rng: rand.New(rand.NewPCG(seed, 1)),
+		lru: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-// Hashes returns the hashes of the prefixes of a prompt that a cache
-// keeps: one for each whole block.
+// Hashes returns the hashes of the cacheable prefixes of a prompt: one for each whole
+// block.
 func Hashes(item, prompt string) []uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(item + "\x00")
@@ -70,16 +70,17 @@
 	return out
 }
 
-// Use returns how many tokens of a prompt are in the cache and stores it all.
+// Use returns the number of tokens at the start of a prompt that are cached, and
+// stores all whole blocks of the prompt.
 func (c *Cache) Use(item, prompt string, now time.Time) (cached int) {
 	hit := true
 	for _, h := range Hashes(item, prompt) {
-		e, ok := c.index[h]
+		e, ok := c.elements[h]
 		if hit = hit && ok; hit {
 			cached += BlockBytes / BytesPerToken
 		}
 		if ok {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 			continue
 		}
 		c.store(h, now)
@@ -87,25 +88,25 @@
 	return cached
 }
 
-// store puts a prefix in and evicts others for it.
+// store adds a prefix and evicts the least recently used ones to make room.
 func (c *Cache) store(h uint64, now time.Time) {
 	if c.blocks <= 0 {
 		return
 	}
-	for c.order.Len() >= c.blocks {
-		last := c.order.Back()
-		old := c.order.Remove(last).(uint64)
-		delete(c.index, old)
+	for c.lru.Len() >= c.blocks {
+		last := c.lru.Back()
+		old := c.lru.Remove(last).(uint64)
+		delete(c.elements, old)
 		c.publish(old, false, now)
 	}
-	c.index[h] = c.order.PushFront(h)
+	c.elements[h] = c.lru.PushFront(h)
 	c.publish(h, true, now)
 }
 
-// publish notes an event, or loses it.
+// publish records an event, or drops it with probability loss.
 func (c *Cache) publish(h uint64, stored bool, now time.Time) {
 	c.sequence++
-	if c.random.Float64() < c.loss {
+	if c.rng.Float64() < c.loss {
 		return
 	}
 	c.events = append(c.events, event{at: now, CacheEvent: ioengine.CacheEvent{Sequence: c.sequence, PrefixHash: h, Stored: stored}})
@@ -114,7 +115,8 @@
 	}
 }
 
-// Since returns the events after sequence n that happened by until.
+// Since returns the events with a sequence number above n that happened no later than
+// until.
 func (c *Cache) Since(n uint64, until time.Time) ioengine.CacheEvents {
 	out := ioengine.CacheEvents{Events: []ioengine.CacheEvent{}, Last: n}
 	for _, e := range c.events {
--- a/internal/testbed/standin/engine/steps.go
+++ b/internal/testbed/standin/engine/steps.go
@@ -9,21 +9,22 @@
 	"guavapaddle/internal/testbed/standin/engine/prefix"
 )
 
-const maxSamples = 4096
+const maxLoadSamples = 4096
 
-// sample is a load report and when it was true.
-type sample struct {
+// loadSample is a load report and the time from which it applies.
+type loadSample struct {
 	at   time.Time
 	load backend.LoadReport
 }
 
-// run makes steps as long as there is something to do, until the boot ends.
+// run executes steps while there are requests and waits for new ones otherwise, until
+// the boot ends.
 func (e *Engine) run(b *boot) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	next := time.Now()
 	for {
-		step, busy := e.begin(b)
+		step, busy := e.beginStep(b)
 		if !busy {
 			select {
 			case <-b.wake:
@@ -33,30 +34,30 @@
 				return
 			}
 		}
-		next = later(next.Add(step), time.Now())
+		next = latest(next.Add(step), time.Now())
 		timer.Reset(time.Until(next))
 		select {
 		case <-timer.C:
 		case <-b.ctx.Done():
 			return
 		}
-		e.end(b, time.Now())
+		e.endStep(b, time.Now())
 	}
 }
 
-// begin fills the batch for one step and returns how long the step takes;
-// false if there is nothing to do.
-func (e *Engine) begin(b *boot) (step time.Duration, busy bool) {
+// beginStep fills the batch and returns the duration of the next step, and false if
+// the batch is empty or the boot has ended.
+func (e *Engine) beginStep(b *boot) (step time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if b.ctx.Err() != nil {
 		return 0, false
 	}
 	now := time.Now()
-	in, preempted := b.batch.fill()
+	admitted, preempted := b.batch.fill()
 	e.Faults.Counters.Add("preemptions", int64(preempted))
 	crashOn := e.Faults.Faults().CrashOn
-	for _, r := range in {
+	for _, r := range admitted {
 		if crashOn != "" && strings.Contains(r.gen.Prompt, crashOn) {
 			e.crash()
 			return 0, false
@@ -65,12 +66,12 @@
 	}
 	n := len(b.batch.running)
 	step = cmp.Or(e.Step, DefaultStep) + time.Duration(max(n-1, 0))*e.StepSlope
-	b.report(now, step)
+	b.recordLoad(now, step)
 	return step, n > 0
 }
 
-// admit starts a request in the batch with its prefill; prefills go one after
-// the other.
+// admit schedules the prefill of a request that entered the batch. Prefills run one
+// after the other.
 func (e *Engine) admit(b *boot, r *request, now time.Time) {
 	if !r.started {
 		r.started = true
@@ -80,60 +81,61 @@
 	cached := b.cache.Use(r.gen.Item.String(), r.gen.Prompt, now)
 	e.Faults.Counters.Add("prompt-tokens", int64(tokens))
 	e.Faults.Counters.Add("prompt-tokens-cached", int64(cached))
-	b.prefill = later(b.prefill, now).Add(time.Duration(tokens-cached) * e.Prefill)
-	r.ready = b.prefill
+	b.prefillUntil = latest(b.prefillUntil, now).Add(time.Duration(tokens-cached) * e.Prefill)
+	r.prefillEnd = b.prefillUntil
 	r.notify()
 }
 
-// end makes the tokens of one step.
-func (e *Engine) end(b *boot, now time.Time) {
+// endStep generates the tokens of one step.
+func (e *Engine) endStep(b *boot, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if b.ctx.Err() != nil {
 		return
 	}
 	for _, r := range b.batch.step(now) {
-		e.finished(b, r, now)
+		e.finishRequest(b, r, now)
 	}
 }
 
-// finished notes the end of a request and frees what waited for it.
-func (e *Engine) finished(b *boot, r *request, now time.Time) {
-	r.doneAt = now
-	b.ended = append(b.ended, r)
+// finishRequest records that a request has finished and completes an unload that
+// waited for it.
+func (e *Engine) finishRequest(b *boot, r *request, now time.Time) {
+	r.finishedAt = now
+	b.finished = append(b.finished, r)
 	if u, ok := b.memory.Items[r.gen.Item]; ok {
 		u.Users--
-		e.release(b, r.gen.Item)
+		e.releaseUnused(b, r.gen.Item)
 	}
-	e.expire(b, now)
+	e.dropExpired(b, now)
 }
 
-// expire forgets requests that can't be resumed any more.
-func (e *Engine) expire(b *boot, now time.Time) {
-	keep := cmp.Or(e.Retention, DefaultRetention)
-	for len(b.ended) > 0 && now.Sub(b.ended[0].doneAt) > keep {
-		delete(b.requests, b.ended[0].gen.RequestID)
-		b.ended = b.ended[1:]
+// dropExpired removes finished requests whose retention has passed.
+func (e *Engine) dropExpired(b *boot, now time.Time) {
+	retention := cmp.Or(e.Retention, DefaultRetention)
+	for len(b.finished) > 0 && now.Sub(b.finished[0].finishedAt) > retention {
+		delete(b.requests, b.finished[0].gen.RequestID)
+		b.finished = b.finished[1:]
 	}
 }
 
-// report notes the load for later reports.
-func (b *boot) report(now time.Time, step time.Duration) {
+// recordLoad records the current load for later load reports.
+func (b *boot) recordLoad(now time.Time, step time.Duration) {
 	l := backend.LoadReport{Running: len(b.batch.running), Waiting: len(b.batch.waiting),
 		StepMS: float64(step) / float64(time.Millisecond)}
-	if n := len(b.loads); n > 0 && b.loads[n-1].load == l {
+	if n := len(b.loadHistory); n > 0 && b.loadHistory[n-1].load == l {
 		return
 	}
-	b.loads = append(b.loads, sample{at: now, load: l})
-	if len(b.loads) > maxSamples {
-		b.loads = b.loads[maxSamples/2:]
+	b.loadHistory = append(b.loadHistory, loadSample{at: now, load: l})
+	if len(b.loadHistory) > maxLoadSamples {
+		b.loadHistory = b.loadHistory[maxLoadSamples/2:]
 	}
 }
 
-// reported returns the load at a time.
-func (b *boot) reported(at time.Time) backend.LoadReport {
+// loadAt returns the load that applied at the given time.
+func (b *boot) loadAt(at time.Time) backend.LoadReport {
 	var l backend.LoadReport
-	for _, s := range b.loads {
+	for _, s := range b.loadHistory {
 		if s.at.After(at) {
 			break
 		}
@@ -142,16 +144,16 @@
 	return l
 }
 
-// poke makes run look for work.
-func (b *boot) poke() {
+// notifyRun wakes run after a request was submitted.
+func (b *boot) notifyRun() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// later returns the later of two times.
-func later(a, b time.Time) time.Time {
+// latest returns the later of a and b.
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/testbed/standin/fault/counters.go
+++ b/internal/testbed/standin/fault/counters.go
@@ -7,13 +7,14 @@
 	"sync"
 )
 
-// Counters are named figures. The zero value is ready.
+// Counters is a set of named counters. It is safe for concurrent use, and its zero
+// value is ready to use.
 type Counters struct {
 	mu     sync.Mutex
 	values map[string]int64
 }
 
-// Add adds n to a counter.
+// Add adds n to the named counter.
 func (c *Counters) Add(name string, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -21,7 +22,7 @@
 	c.values[name] += n
 }
 
-// Max raises a counter to n if it is lower.
+// Max sets the named counter to n if its value is lower.
 func (c *Counters) Max(name string, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,7 +30,7 @@
 	c.values[name] = max(c.values[name], n)
 }
 
-// Get returns a counter, zero if it was never set.
+// Get returns the value of the named counter, zero if it was never set.
 func (c *Counters) Get(name string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,27 +45,27 @@
 	return maps.Clone(c.values)
 }
 
-// ServeHTTP answers with all counters.
+// ServeHTTP writes all counters as one JSON object.
 func (c *Counters) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	WriteJSON(w, http.StatusOK, c.All())
 }
 
-// init makes the map.
+// init allocates the map on first use. The caller holds the mutex.
 func (c *Counters) init() {
 	if c.values == nil {
 		c.values = map[string]int64{}
 	}
 }
 
-// WriteJSON answers with a status and a JSON body.
+// WriteJSON writes a response with the given status and v as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// ReadJSON decodes the body of a request of at most 64 MB into v. If it can't
-// it answers 400 and returns false.
+// ReadJSON decodes the JSON body of a request, of at most 64 MiB, into v. On an
+// error it responds with status 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(v)
 	if err != nil {
--- a/internal/testbed/standin/fault/doc.go
+++ b/internal/testbed/standin/fault/doc.go
@@ -1,13 +1,14 @@
-// Package fault serves a stand-in over HTTP with faults in force.
+// Package fault provides fault injection for the HTTP servers of the stand-ins.
 //
-// A Server listens and knows its connections, so that they can be closed or
-// silenced. A Set holds the faults of one stand-in and wraps its handler; a
-// Server may carry several. The calls /fault and /counters stay outside all
-// faults, so that a test can always clear them.
+// A Server listens and tracks its open connections, so that they can be closed or
+// silenced. A Set holds the active faults of one stand-in and wraps its handler;
+// one Server can serve several stand-ins. The paths /fault and /counters are not
+// subject to faults, so that a test can always clear them.
 //
-// The package stands on net/http and not on nbhttp: a silenced connection has
-// to swallow bytes below the HTTP server, and streams block their handler for
-// as long as they last, which nbhttp's bounded pool is not made for.
+// The package uses net/http instead of nbhttp for two reasons: a silenced
+// connection has to discard bytes below the HTTP server, and a stream blocks its
+// handler for its whole duration, for which the bounded worker pool of nbhttp is
+// not designed.
 //
 // # Usage
 //
--- a/internal/testbed/standin/fault/fault.go
+++ b/internal/testbed/standin/fault/fault.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// NotRunHeader is set to "1" on answers that affirm that a call did not run.
+// NotRunHeader is set to "1" on responses which confirm that a call was not
+// executed.
 const NotRunHeader = "Guavapaddle-Not-Run"
 
 type (
-	// Faults are the faults in force. The zero value is none.
+	// Faults describes the active faults of a stand-in. The zero value has none.
 	Faults struct {
-		Down         bool   `json:"down,omitempty"`           // calls break at once, unread
-		Refuse       bool   `json:"refuse,omitempty"`         // 503 to every call
-		DelayMS      int64  `json:"delay-ms,omitempty"`       // every answer is late by so much
-		Silent       bool   `json:"silent,omitempty"`         // connections open now go silent for good
-		BlackHole    bool   `json:"black-hole,omitempty"`     // everything goes unanswered
-		DropAnswers  int    `json:"drop-answers,omitempty"`   // next calls that run and break unanswered
-		CutStreams   int    `json:"cut-streams,omitempty"`    // next streams that break
-		CutAfter     int    `json:"cut-after,omitempty"`      // tokens before a stream breaks
-		CloseReused  bool   `json:"close-reused,omitempty"`   // a second call on a connection runs and breaks unanswered
-		OrderDelayMS int64  `json:"order-delay-ms,omitempty"` // orders take effect so much later
-		LoseOrders   int    `json:"lose-orders,omitempty"`    // next orders that are accepted and never done
-		CrashOn      string `json:"crash-on,omitempty"`       // text in a prompt that crashes the engine
-		Leaving      bool   `json:"leaving,omitempty"`        // 503 to new work
+		Down         bool   `json:"down,omitempty"`           // the connection of each call is closed before the call is processed
+		Refuse       bool   `json:"refuse,omitempty"`         // every call is answered with 503
+		DelayMS      int64  `json:"delay-ms,omitempty"`       // delay of every response
+		Silent       bool   `json:"silent,omitempty"`         // connections that are open now go silent permanently
+		BlackHole    bool   `json:"black-hole,omitempty"`     // no call gets a response
+		DropAnswers  int    `json:"drop-answers,omitempty"`   // number of next calls that are executed, with the connection closed instead of a response
+		CutStreams   int    `json:"cut-streams,omitempty"`    // number of next streams that are interrupted
+		CutAfter     int    `json:"cut-after,omitempty"`      // tokens sent before a stream is interrupted
+		CloseReused  bool   `json:"close-reused,omitempty"`   // calls on a reused connection are executed, with the connection closed instead of a response
+		OrderDelayMS int64  `json:"order-delay-ms,omitempty"` // delay until an order takes effect
+		LoseOrders   int    `json:"lose-orders,omitempty"`    // number of next orders that are accepted and never executed
+		CrashOn      string `json:"crash-on,omitempty"`       // text in a prompt that crashes the engine when the prompt is processed
+		Leaving      bool   `json:"leaving,omitempty"`        // new work is answered with 503
 	}
 
-	// Set holds the faults of one stand-in. Its exported fields are set before
-	// use.
+	// Set holds the active faults of one stand-in. The exported fields must be set
+	// before the Set is used.
 	Set struct {
 		Counters *Counters
 		Server   *Server
@@ -38,8 +39,8 @@
 	}
 )
 
-// Put sets the faults in force. Down and BlackHole also meet the connections
-// that are open.
+// Put replaces the active faults. Down closes the open connections of the
+// stand-in; Silent and BlackHole silence them.
 func (s *Set) Put(f Faults) {
 	s.mu.Lock()
 	s.faults = f
@@ -55,31 +56,32 @@
 	}
 }
 
-// Faults returns the faults in force, with what is left of those that count
-// down.
+// Faults returns the active faults, with the remaining counts of those that apply
+// to a number of calls.
 func (s *Set) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// TakeLostOrder tells whether the next order is lost.
+// TakeLostOrder reports whether the next order is lost, and counts it.
 func (s *Set) TakeLostOrder() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return take(&s.faults.LoseOrders)
+	return decrement(&s.faults.LoseOrders)
 }
 
-// TakeCut tells whether the next stream breaks, and after how many tokens.
+// TakeCut reports whether the next stream is interrupted and after how many tokens,
+// and counts it.
 func (s *Set) TakeCut() (after int, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults.CutAfter, take(&s.faults.CutStreams)
+	return s.faults.CutAfter, decrement(&s.faults.CutStreams)
 }
 
-// Serve starts to serve a stand-in's calls, beside those that set its faults and read
-// its counters, on an address, a free port of 127.0.0.1 if that is empty. It returns the
-// address.
+// Serve starts a server for the calls of a stand-in, to which it adds the calls that
+// set its faults and read its counters. It listens on the given address, or on a free
+// port of 127.0.0.1 if that is empty, and returns the address.
 func (s *Set) Serve(listen string, calls *http.ServeMux) (string, error) {
 	calls.HandleFunc("POST /fault", s.ServeFault)
 	calls.Handle("GET /counters", s.Counters)
@@ -87,8 +89,8 @@
 	return s.Server.Start()
 }
 
-// ServeFault sets the faults in force from the body of the request. They do not
-// meet the connection that the request came on.
+// ServeFault replaces the active faults by those in the body of the request. They do
+// not affect the connection on which the request arrived.
 func (s *Set) ServeFault(w http.ResponseWriter, r *http.Request) {
 	Spare(r)
 	var f Faults
@@ -98,17 +100,18 @@
 	}
 }
 
-// Spare keeps faults that meet open connections off the one that r came on,
-// until a further call comes on it.
+// Spare exempts the connection of r from faults that affect open connections, until
+// a further call arrives on it.
 func Spare(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-		c.use(nil)
+		c.recordCall(nil)
 	}
 }
 
-// Wrap returns h under the faults in force. It counts the calls that were read
-// and those that h has ended with, and keeps the longest time between the two:
-// for a call that failed on the way they tell whether the stand-in had it.
+// Wrap returns a handler that applies the active faults to the calls of h. It counts
+// the calls that were received and those that have ended, and records the longest
+// duration of a call. For a call that failed in transit, these counters show whether
+// the stand-in received it.
 func (s *Set) Wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		read := time.Now()
@@ -117,11 +120,11 @@
 			s.Counters.Add("calls-ended", 1)
 			s.Counters.Max("longest-call-ms", time.Since(read).Milliseconds())
 		}()
-		f, drop := s.begin()
-		before := 0
+		f, drop := s.takeCallFaults()
+		earlierCalls := 0
 		c, ok := r.Context().Value(connKey{}).(*conn)
 		if ok {
-			before = c.use(s)
+			earlierCalls = c.recordCall(s)
 		}
 		switch {
 		case f.BlackHole && ok:
@@ -131,31 +134,32 @@
 		case f.Refuse:
 			w.Header().Set(NotRunHeader, "1")
 			http.Error(w, "refused", http.StatusServiceUnavailable)
-		case drop || f.CloseReused && before > 0:
+		case drop || f.CloseReused && earlierCalls > 0:
 			s.Counters.Add("answers-dropped", 1)
-			h.ServeHTTP(&deafWriter{header: http.Header{}}, r)
+			h.ServeHTTP(&discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		case f.DelayMS > 0:
-			h.ServeHTTP(&lateWriter{ResponseWriter: w, request: r, delay: time.Duration(f.DelayMS) * time.Millisecond}, r)
+			h.ServeHTTP(&delayedWriter{ResponseWriter: w, request: r, delay: time.Duration(f.DelayMS) * time.Millisecond}, r)
 		default:
 			h.ServeHTTP(w, r)
 		}
 	})
 }
 
-// begin returns the faults for one call and whether its answer is dropped.
-func (s *Set) begin() (f Faults, drop bool) {
+// takeCallFaults returns the faults that apply to one call and reports whether the
+// response to it is dropped.
+func (s *Set) takeCallFaults() (f Faults, drop bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f = s.faults
 	if f.BlackHole || f.Down || f.Refuse {
 		return f, false
 	}
-	return f, take(&s.faults.DropAnswers)
+	return f, decrement(&s.faults.DropAnswers)
 }
 
-// take counts n down and tells whether there was something left.
-func take(n *int) bool {
+// decrement decrements n if it is positive and reports whether it did.
+func decrement(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
--- a/internal/testbed/standin/fault/server.go
+++ b/internal/testbed/standin/fault/server.go
@@ -11,13 +11,14 @@
 
 const maxBody = 64 << 20
 
-// connKey is the context key of a request's connection.
+// connKey is the context key of the connection of a request.
 type connKey struct{}
 
 type (
-	// Server listens for a stand-in. Its exported fields are set before Start.
+	// Server is an HTTP server whose connections can be closed or silenced. The
+	// exported fields must be set before Start.
 	Server struct {
-		Listen  string // IP:port, a free port of 127.0.0.1 if empty
+		Listen  string // IP:port; a free port of 127.0.0.1 if empty
 		Handler http.Handler
 
 		http  *http.Server
@@ -25,24 +26,25 @@
 		conns map[*conn]struct{}
 	}
 
-	// conn is a connection that can be silenced.
+	// conn is a connection that can be silenced: it then discards what it receives
+	// and what is written to it.
 	conn struct {
 		net.Conn
-		server   *Server
-		mu       sync.Mutex
-		silent   bool
-		requests int  // calls that came on it
-		user     *Set // of the last call
+		server *Server
+		mu     sync.Mutex
+		silent bool
+		calls  int  // calls received on it
+		set    *Set // faults of the stand-in that received the last call
 	}
 
-	// listener wraps each connection that it accepts.
+	// listener wraps each accepted connection in a conn.
 	listener struct {
 		net.Listener
 		server *Server
 	}
 )
 
-// Start begins to serve and returns the address.
+// Start starts the server and returns its address.
 func (s *Server) Start() (string, error) {
 	address := s.Listen
 	if address == "" {
@@ -64,48 +66,50 @@
 	return l.Addr().String(), nil
 }
 
-// Close stops listening and closes all connections.
+// Close stops the server and closes all connections.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	s.Break(nil)
 }
 
-// Break closes all connections whose last call was for user, or all if user is
-// nil.
-func (s *Server) Break(user *Set) {
-	for _, c := range s.open(user) {
+// Break closes the connections whose last call was for the stand-in of set, or all
+// connections if set is nil.
+func (s *Server) Break(set *Set) {
+	for _, c := range s.connsOf(set) {
 		_ = c.Conn.Close()
 	}
 }
 
-// silence makes the connections of user go silent for good.
-func (s *Server) silence(user *Set) {
-	for _, c := range s.open(user) {
+// silence permanently silences the connections whose last call was for the
+// stand-in of set.
+func (s *Server) silence(set *Set) {
+	for _, c := range s.connsOf(set) {
 		c.silence()
 	}
 }
 
-// open returns the open connections of user.
-func (s *Server) open(user *Set) []*conn {
+// connsOf returns the open connections whose last call was for the stand-in of set,
+// or all open connections if set is nil.
+func (s *Server) connsOf(set *Set) []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*conn
 	for c := range s.conns {
-		if c.usedBy(user) {
+		if c.lastCalledFor(set) {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// forget drops a closed connection.
-func (s *Server) forget(c *conn) {
+// remove removes a closed connection.
+func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// Accept waits for a connection.
+// Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -118,7 +122,7 @@
 	return c, nil
 }
 
-// Read reads from the connection. What comes on a silent one is lost.
+// Read reads from the connection. If it is silent, the data is discarded.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -128,7 +132,7 @@
 	}
 }
 
-// Write writes to the connection. What is written to a silent one is lost.
+// Write writes to the connection. If it is silent, the data is discarded.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.isSilent() {
 		return len(b), nil
@@ -136,47 +140,49 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection. The peer of a silent one does not notice; it is
-// closed when the peer closes its end.
+// Close closes the connection. A silent connection stays open, so that the peer
+// does not notice, until the peer closes its end.
 func (c *conn) Close() error {
 	if !c.isSilent() {
-		c.server.forget(c)
+		c.server.remove(c)
 		return c.Conn.Close()
 	}
 	go func() {
 		_, _ = io.Copy(io.Discard, c.Conn)
 		_ = c.Conn.Close()
-		c.server.forget(c)
+		c.server.remove(c)
 	}()
 	return nil
 }
 
-// silence makes the connection go silent for good.
+// silence permanently silences the connection.
 func (c *conn) silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = true
 }
 
-// isSilent tells whether the connection has gone silent.
+// isSilent reports whether the connection was silenced.
 func (c *conn) isSilent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.silent
 }
 
-// use notes a call for user and returns how many calls came before it.
-func (c *conn) use(user *Set) int {
+// recordCall records a call for the stand-in of set and returns the number of
+// earlier calls on the connection.
+func (c *conn) recordCall(set *Set) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests++
-	c.user = user
-	return c.requests - 1
+	c.calls++
+	c.set = set
+	return c.calls - 1
 }
 
-// usedBy tells whether the last call was for user; any user if that is nil.
-func (c *conn) usedBy(user *Set) bool {
+// lastCalledFor reports whether the last call was for the stand-in of set. It
+// returns true if set is nil.
+func (c *conn) lastCalledFor(set *Set) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return user == nil || c.user == user
+	return set == nil || c.set == set
 }
--- a/internal/testbed/standin/fault/writer.go
+++ b/internal/testbed/standin/fault/writer.go
@@ -6,13 +6,13 @@
 )
 
 type (
-	// deafWriter takes an answer and loses it.
-	deafWriter struct {
+	// discardWriter discards the response.
+	discardWriter struct {
 		header http.Header
 	}
 
-	// lateWriter holds an answer back.
-	lateWriter struct {
+	// delayedWriter delays the start of the response.
+	delayedWriter struct {
 		http.ResponseWriter
 		request *http.Request
 		delay   time.Duration
@@ -20,32 +20,32 @@
 	}
 )
 
-// Header returns a header that goes nowhere.
-func (w *deafWriter) Header() http.Header { return w.header }
+// Header returns a header that is never sent.
+func (w *discardWriter) Header() http.Header { return w.header }
 
 // WriteHeader does nothing.
-func (w *deafWriter) WriteHeader(int) {}
+func (w *discardWriter) WriteHeader(int) {}
 
-// Write fails, so that streams end.
-func (w *deafWriter) Write([]byte) (int, error) { return 0, http.ErrAbortHandler }
+// Write returns an error, so that handlers of streams return.
+func (w *discardWriter) Write([]byte) (int, error) { return 0, http.ErrAbortHandler }
 
-// WriteHeader writes the status after the delay.
-func (w *lateWriter) WriteHeader(status int) {
+// WriteHeader writes the status code after the delay.
+func (w *delayedWriter) WriteHeader(status int) {
 	w.wait()
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes after the delay.
-func (w *lateWriter) Write(b []byte) (int, error) {
+// Write writes the data after the delay.
+func (w *delayedWriter) Write(b []byte) (int, error) {
 	w.wait()
 	return w.ResponseWriter.Write(b)
 }
 
-// Unwrap returns the writer below, for http.ResponseController.
-func (w *lateWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns the underlying writer, for http.ResponseController.
+func (w *delayedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// wait waits once for the delay.
-func (w *lateWriter) wait() {
+// wait waits for the delay on its first call, or until the request is cancelled.
+func (w *delayedWriter) wait() {
 	if w.waited {
 		return
 	}
--- a/internal/testbed/standin/object/object.go
+++ b/internal/testbed/standin/object/object.go
@@ -1,4 +1,4 @@
-// Package object is a stand-in for the platform's object store, in memory.
+// Package object is an in-memory stand-in for the platform's object store.
 //
 // # Usage
 //
@@ -21,12 +21,12 @@
 
 const maxBody = 64 << 20
 
-// Store is a stand-in for the object store. Its exported fields are set before
+// Store is a stand-in for the object store. The exported fields must be set before
 // Start or Handler.
 type Store struct {
-	Listen    string  // IP:port, a free port of 127.0.0.1 if empty
-	WriteRate float64 // writes a second, capacity.DefaultWrites if zero; what is over waits
-	ReadRate  float64 // reads a second, capacity.DefaultReads if zero; what is over waits
+	Listen    string  // IP:port; a free port of 127.0.0.1 if empty
+	WriteRate float64 // maximum writes per second, capacity.DefaultWrites if zero; excess calls wait
+	ReadRate  float64 // maximum reads per second, capacity.DefaultReads if zero; excess calls wait
 	Faults    fault.Set
 
 	mu      sync.Mutex
@@ -35,17 +35,17 @@
 	reads   *rate.Limiter
 }
 
-// Start begins to serve and returns the address.
+// Start starts the server and returns its address.
 func (s *Store) Start() (string, error) {
 	mux := http.NewServeMux()
 	mux.Handle("/object/v1/", s.Handler())
 	return s.Faults.Serve(s.Listen, mux)
 }
 
-// Close stops serving. The objects stay, and Start may be called again.
+// Close stops the server. The objects are kept, and Start may be called again.
 func (s *Store) Close() { s.Faults.Server.Close() }
 
-// Handler returns the calls of the store under its faults.
+// Handler returns the HTTP handler of the store, with its faults applied.
 func (s *Store) Handler() http.Handler {
 	if s.Faults.Counters == nil {
 		s.Faults.Counters = &fault.Counters{}
@@ -58,11 +58,11 @@
 	return s.Faults.Wrap(mux)
 }
 
-// put serves a write.
+// put handles a write.
 func (s *Store) put(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil || s.writes.Wait(r.Context()) != nil {
-		http.Error(w, "body not read", http.StatusBadRequest)
+		http.Error(w, "request body could not be read", http.StatusBadRequest)
 		return
 	}
 	s.Faults.Counters.Add("puts", 1)
@@ -75,7 +75,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// get serves a read.
+// get handles a read.
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	if s.reads.Wait(r.Context()) != nil {
 		return
--- a/internal/testbed/standin/platform/platform.go
+++ b/internal/testbed/standin/platform/platform.go
@@ -1,8 +1,9 @@
-// Package platform mounts the stand-ins for table, object store, weight store
-// and VM list on one address.
+// Package platform serves the stand-ins for the table service, the object store,
+// the weight store and the VM list on one address.
 //
-// POST /fault sets the faults of all four, POST /fault/NAME those of one, where
-// NAME is table, object, weights or vms. GET /counters gives all counters.
+// POST /fault sets the faults of all four stand-ins. POST /fault/NAME sets those of
+// one, where NAME is table, object, weights or vms. GET /counters returns all
+// counters.
 //
 // # Usage
 //
@@ -22,10 +23,11 @@
 	"guavapaddle/internal/testbed/standin/weights"
 )
 
-// Platform is the stand-in for the platform. Its exported fields are set
-// before Start, which overwrites the Listen fields of the parts.
+// Platform combines the stand-ins of the platform's services. The exported fields
+// must be set before Start. Platform listens on its own Listen address; those of the
+// stand-ins are not used.
 type Platform struct {
-	Listen   string // IP:port, a free port of 127.0.0.1 if empty
+	Listen   string // IP:port; a free port of 127.0.0.1 if empty
 	Table    table.Table
 	Objects  object.Store
 	Weights  weights.Store
@@ -35,12 +37,12 @@
 	server *fault.Server
 }
 
-// Start begins to serve and returns the address.
+// Start starts the server and returns its address.
 func (p *Platform) Start() (string, error) {
 	mux := http.NewServeMux()
 	p.server = &fault.Server{Listen: p.Listen, Handler: mux}
-	parts := p.parts()
-	for name, set := range parts {
+	faultSets := p.faultSets()
+	for name, set := range faultSets {
 		set.Counters, set.Server = &p.Counters, p.server
 		mux.HandleFunc("POST /fault/"+name, set.ServeFault)
 	}
@@ -60,21 +62,21 @@
 	return p.server.Start()
 }
 
-// Put sets the faults of all parts.
+// Put replaces the active faults of all stand-ins.
 func (p *Platform) Put(f fault.Faults) {
-	for _, set := range p.parts() {
+	for _, set := range p.faultSets() {
 		set.Put(f)
 	}
 }
 
-// Close stops serving. What was stored stays, and Start may be called again.
+// Close stops the server. Stored data is kept, and Start may be called again.
 func (p *Platform) Close() {
 	p.server.Close()
 	p.Weights.Stop()
 }
 
-// parts returns the faults of each part by name.
-func (p *Platform) parts() map[string]*fault.Set {
+// faultSets returns the faults of each stand-in by name.
+func (p *Platform) faultSets() map[string]*fault.Set {
 	return map[string]*fault.Set{
 		"table": &p.Table.Faults, "object": &p.Objects.Faults,
 		"weights": &p.Weights.Faults, "vms": &p.VMs.Faults,
--- a/internal/testbed/standin/service/service.go
+++ b/internal/testbed/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in for a backend server of a plain service, with
-// the bookings and records calls of the users' workloads. It keeps a journal
-// of each run, so that a test can see what ran and how often.
+// Package service is a stand-in for a backend server of a plain service, with the
+// calls for bookings and records of the users' workloads. It keeps a journal of the
+// executed calls, so that a test can check what was executed and how often.
 //
 // # Usage
 //
@@ -28,22 +28,22 @@
 const maxBody = 16 << 20
 
 type (
-	// Service is a stand-in for a plain service. Its exported fields are set
-	// before Start.
+	// Service is a stand-in for a server of a plain service. The exported fields
+	// must be set before Start.
 	Service struct {
-		Name   string        // of the server
-		Listen string        // IP:port, a free port of 127.0.0.1 if empty
-		Work   time.Duration // that a call takes
-		Slots  int           // calls at the same time, any number if zero; more get an affirmed 503
+		Name   string        // name of the server
+		Listen string        // IP:port; a free port of 127.0.0.1 if empty
+		Work   time.Duration // duration of a call
+		Slots  int           // maximum concurrent calls, unlimited if zero; excess calls get a 503 that confirms that they were not executed
 		Faults fault.Set
 
 		mu      sync.Mutex
 		running int
 		runs    []*Run
-		index   map[Run]*Run // by the run with count zero
+		index   map[Run]*Run // by the run with Count zero
 	}
 
-	// Run is an entry of the journal: what ran and how often.
+	// Run is an entry of the journal: a call and how often it was executed.
 	Run struct {
 		RequestID string `json:"request-id"`
 		Method    string `json:"method"`
@@ -52,12 +52,12 @@
 		Count     int    `json:"count"`
 	}
 
-	// Journal is the answer to a call that reads the journal.
+	// Journal is the response to a call that reads the journal.
 	Journal struct {
 		Runs []Run `json:"runs"`
 	}
 
-	// Reply is the body of a booking's or record's answer.
+	// Reply is the body of the response to a bookings or records call.
 	Reply struct {
 		Server    string `json:"server"`
 		RequestID string `json:"request-id"`
@@ -67,17 +67,17 @@
 	}
 )
 
-// Start begins to serve and returns the address.
+// Start starts the server and returns its address.
 func (s *Service) Start() (string, error) {
 	if s.Faults.Counters == nil {
 		s.Faults.Counters = &fault.Counters{}
 	}
 	calls := http.NewServeMux()
-	calls.HandleFunc("GET "+ioservice.LoadPath, s.load)
-	calls.HandleFunc("POST /bookings/confirm", s.write)
-	calls.HandleFunc("POST /bookings/cancel", s.write)
-	calls.HandleFunc("POST /records/", s.write)
-	calls.HandleFunc("GET /records/", s.call)
+	calls.HandleFunc("GET "+ioservice.LoadPath, s.serveLoad)
+	calls.HandleFunc("POST /bookings/confirm", s.serveWrite)
+	calls.HandleFunc("POST /bookings/cancel", s.serveWrite)
+	calls.HandleFunc("POST /records/", s.serveWrite)
+	calls.HandleFunc("GET /records/", s.serveRead)
 	mux := http.NewServeMux()
 	mux.Handle("/", s.Faults.Wrap(calls))
 	mux.HandleFunc("GET /journal", func(w http.ResponseWriter, _ *http.Request) {
@@ -86,10 +86,10 @@
 	return s.Faults.Serve(s.Listen, mux)
 }
 
-// Close stops serving. The journal stays, and Start may be called again.
+// Close stops the server. The journal is kept, and Start may be called again.
 func (s *Service) Close() { s.Faults.Server.Close() }
 
-// Journal returns what ran, in order of the first run.
+// Journal returns the executed calls, in the order of their first execution.
 func (s *Service) Journal() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,54 +100,54 @@
 	return out
 }
 
-// BodyHash returns the hash of a body as the journal has it.
+// BodyHash returns the hash of a body as it is recorded in the journal.
 func BodyHash(body []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(body)) }
 
-// load serves the report of the load.
-func (s *Service) load(w http.ResponseWriter, _ *http.Request) {
+// serveLoad responds with the load report.
+func (s *Service) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	n := s.running
 	s.mu.Unlock()
 	fault.WriteJSON(w, http.StatusOK, backend.LoadReport{Running: n, StepMS: float64(s.Work) / float64(time.Millisecond)})
 }
 
-// write serves a call with a JSON body.
-func (s *Service) write(w http.ResponseWriter, r *http.Request) {
+// serveWrite handles a call with a JSON body.
+func (s *Service) serveWrite(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	w.Header().Set(ioservice.RequestIDHeader, r.Header.Get(ioservice.RequestIDHeader))
 	if err != nil || !json.Valid(body) {
-		http.Error(w, "body is not JSON", http.StatusBadRequest)
+		http.Error(w, "request body is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	s.run(w, r, body)
 }
 
-// call serves a call without a body.
-func (s *Service) call(w http.ResponseWriter, r *http.Request) { s.run(w, r, nil) }
+// serveRead handles a call without a body.
+func (s *Service) serveRead(w http.ResponseWriter, r *http.Request) { s.run(w, r, nil) }
 
-// run runs a call and enters it in the journal before it answers.
+// run executes a call. It records the call in the journal before it responds.
 func (s *Service) run(w http.ResponseWriter, r *http.Request, body []byte) {
-	if s.Faults.Faults().Leaving || !s.enter() {
+	if s.Faults.Faults().Leaving || !s.acquireSlot() {
 		s.Faults.Counters.Add("refused", 1)
 		w.Header().Set(fault.NotRunHeader, "1")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	id := r.Header.Get(ioservice.RequestIDHeader)
 	hash := BodyHash(body)
-	s.enterJournal(Run{RequestID: id, Method: r.Method, Path: r.URL.Path, BodyHash: hash})
+	s.recordRun(Run{RequestID: id, Method: r.Method, Path: r.URL.Path, BodyHash: hash})
 	if s.Work > 0 {
 		t := time.NewTimer(s.Work)
 		defer t.Stop()
-		<-t.C // goes on when the caller has gone
+		<-t.C // continues if the client disconnects
 	}
 	w.Header().Set(ioservice.RequestIDHeader, id)
 	fault.WriteJSON(w, http.StatusOK, Reply{Server: s.Name, RequestID: id, Method: r.Method, Path: r.URL.Path, BodyHash: hash})
 }
 
-// enter takes a slot if one is free.
-func (s *Service) enter() bool {
+// acquireSlot acquires a slot and reports whether one was free.
+func (s *Service) acquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Slots > 0 && s.running >= s.Slots {
@@ -157,15 +157,15 @@
 	return true
 }
 
-// leave gives a slot back.
-func (s *Service) leave() {
+// releaseSlot releases a slot.
+func (s *Service) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-// enterJournal counts one run.
-func (s *Service) enterJournal(r Run) {
+// recordRun adds an execution to the journal.
+func (s *Service) recordRun(r Run) {
 	s.Faults.Counters.Add("runs", 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/standin/table/doc.go
+++ b/internal/testbed/standin/table/doc.go
@@ -1,5 +1,5 @@
 // Package table is a stand-in for the platform's transactional table service.
-// It keeps its rows in memory and commits one transaction after the other.
+// It keeps its rows in memory and commits transactions serially.
 //
 // # Usage
 //
--- a/internal/testbed/standin/table/store.go
+++ b/internal/testbed/standin/table/store.go
@@ -16,7 +16,8 @@
 		Tx       row.Tx
 	}
 
-	// store holds the rows. It knows no time. The zero value is ready.
+	// store holds the rows and the history of transactions. It is safe for
+	// concurrent use, and the zero value is ready to use.
 	store struct {
 		mu       sync.Mutex
 		revision uint64
@@ -25,7 +26,8 @@
 	}
 )
 
-// transact commits tx if its conditions hold.
+// transact commits tx if all its conditions hold, and adds it to the history if
+// keep is true. Otherwise it returns the rows that conflict.
 func (s *store) transact(tx row.Tx, keep bool) row.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +51,8 @@
 	return row.Result{Committed: true, Revision: s.revision}
 }
 
-// conflicts returns the rows that fail their condition.
+// conflicts returns the current rows whose revision differs from that of their
+// condition. The caller holds the mutex.
 func (s *store) conflicts(tx row.Tx) []row.Row {
 	var out []row.Row
 	for _, c := range tx.Conditions {
@@ -60,7 +63,7 @@
 	return out
 }
 
-// read returns the rows of keys in their order.
+// read returns the rows of the given keys, in the same order.
 func (s *store) read(keys []string) []row.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +74,7 @@
 	return out
 }
 
-// scan returns the rows whose key begins with prefix in key order.
+// scan returns the rows whose key has the given prefix, sorted by key.
 func (s *store) scan(prefix string) []row.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +87,8 @@
 	return out
 }
 
-// get returns a row, with revision zero if it is absent.
+// get returns the row of a key, with revision zero if it does not exist. The caller
+// holds the mutex.
 func (s *store) get(key string) row.Row {
 	if r, ok := s.rows[key]; ok {
 		return r
--- a/internal/testbed/standin/table/table.go
+++ b/internal/testbed/standin/table/table.go
@@ -13,13 +13,13 @@
 	iotable "guavapaddle/io/table"
 )
 
-// Table is a stand-in for the table service. Its exported fields are set
-// before Start or Handler.
+// Table is a stand-in for the table service. The exported fields must be set before
+// Start or Handler.
 type Table struct {
-	Listen      string  // IP:port, a free port of 127.0.0.1 if empty
-	WriteRate   float64 // transactions a second, capacity.DefaultWrites if zero; what is over waits
-	ReadRate    float64 // reads and scans a second, capacity.DefaultReads if zero; what is over waits
-	KeepHistory bool    // History returns all committed transactions
+	Listen      string  // IP:port; a free port of 127.0.0.1 if empty
+	WriteRate   float64 // maximum transactions per second, capacity.DefaultWrites if zero; excess calls wait
+	ReadRate    float64 // maximum reads and scans per second, capacity.DefaultReads if zero; excess calls wait
+	KeepHistory bool    // record committed transactions for History
 	Faults      fault.Set
 
 	store  store
@@ -27,17 +27,17 @@
 	reads  *rate.Limiter
 }
 
-// Start begins to serve and returns the address.
+// Start starts the server and returns its address.
 func (t *Table) Start() (string, error) {
 	mux := http.NewServeMux()
 	mux.Handle("/table/v1/", t.Handler())
 	return t.Faults.Serve(t.Listen, mux)
 }
 
-// Close stops serving. The rows stay, and Start may be called again.
+// Close stops the server. The rows are kept, and Start may be called again.
 func (t *Table) Close() { t.Faults.Server.Close() }
 
-// Handler returns the calls of the table under its faults.
+// Handler returns the HTTP handler of the table, with its faults applied.
 func (t *Table) Handler() http.Handler {
 	if t.Faults.Counters == nil {
 		t.Faults.Counters = &fault.Counters{}
@@ -51,20 +51,21 @@
 	return t.Faults.Wrap(mux)
 }
 
-// History returns all committed transactions in order, if KeepHistory is set.
+// History returns all committed transactions in commit order, if KeepHistory is set.
 func (t *Table) History() []Commit {
 	t.store.mu.Lock()
 	defer t.store.mu.Unlock()
 	return slices.Clone(t.store.history)
 }
 
-// Transact commits tx without a call, for tests.
+// Transact executes tx directly, without an HTTP call, for tests.
 func (t *Table) Transact(tx row.Tx) row.Result { return t.store.transact(tx, t.KeepHistory) }
 
-// Rows returns the rows whose key begins with prefix without a call, for tests.
+// Rows returns the rows whose key has the given prefix directly, without an HTTP
+// call, for tests.
 func (t *Table) Rows(prefix string) []row.Row { return t.store.scan(prefix) }
 
-// transact serves a transaction.
+// transact handles a transaction.
 func (t *Table) transact(w http.ResponseWriter, r *http.Request) {
 	var tx row.Tx
 	if !fault.ReadJSON(w, r, &tx) || t.writes.Wait(r.Context()) != nil {
@@ -78,7 +79,7 @@
 	fault.WriteJSON(w, http.StatusOK, res)
 }
 
-// read serves a read.
+// read handles a read.
 func (t *Table) read(w http.ResponseWriter, r *http.Request) {
 	var in iotable.ReadRequest
 	if !fault.ReadJSON(w, r, &in) || t.reads.Wait(r.Context()) != nil {
@@ -88,7 +89,7 @@
 	fault.WriteJSON(w, http.StatusOK, iotable.Rows{Rows: t.store.read(in.Keys)})
 }
 
-// scan serves a scan.
+// scan handles a scan.
 func (t *Table) scan(w http.ResponseWriter, r *http.Request) {
 	var in iotable.ScanRequest
 	if !fault.ReadJSON(w, r, &in) || t.reads.Wait(r.Context()) != nil {
--- a/internal/testbed/standin/table/table_test.go
+++ b/internal/testbed/standin/table/table_test.go
@@ -15,7 +15,7 @@
 	"guavapaddle/internal/testbed/standin/table"
 )
 
-// TestCapacity checks that calls over the capacity wait.
+// TestCapacity checks that calls above the configured rate wait.
 func TestCapacity(t *testing.T) {
 	for _, c := range []struct {
 		path string
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestFaultsOverHTTP checks that faults which meet open connections spare the
-// call that sets them, and that they can always be cleared.
+// TestFaultsOverHTTP checks that faults which affect open connections exempt the
+// connection of the call that sets them, and that faults can always be cleared.
 func TestFaultsOverHTTP(t *testing.T) {
 	s := &table.Table{}
 	address, err := s.Start()
@@ -51,7 +51,7 @@
 		if err != nil {
 			return 0
 		}
-		_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is used again
+		_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is reused
 		_ = resp.Body.Close()
 		return resp.StatusCode
 	}
--- a/internal/testbed/standin/vmlist/vmlist.go
+++ b/internal/testbed/standin/vmlist/vmlist.go
@@ -1,4 +1,5 @@
-// Package vmlist is a stand-in for the platform's list of VMs, which lags.
+// Package vmlist is a stand-in for the platform's list of VMs, in which changes
+// appear after a lag.
 //
 // # Usage
 //
@@ -20,11 +21,11 @@
 )
 
 type (
-	// List is a stand-in for the VM list. Its exported fields are set before
+	// List is a stand-in for the VM list. The exported fields must be set before
 	// Start or Handler.
 	List struct {
-		Listen string        // IP:port, a free port of 127.0.0.1 if empty
-		Lag    time.Duration // after which a change is listed
+		Listen string        // IP:port; a free port of 127.0.0.1 if empty
+		Lag    time.Duration // delay until a change is listed
 		Faults fault.Set
 
 		mu      sync.Mutex
@@ -32,24 +33,24 @@
 		pending []change
 	}
 
-	// change is an entry that is not listed yet.
+	// change is an update of one entry that is listed from the time at.
 	change struct {
 		at time.Time
 		vm iovmlist.VM
 	}
 )
 
-// Start begins to serve and returns the address.
+// Start starts the server and returns its address.
 func (l *List) Start() (string, error) {
 	mux := http.NewServeMux()
 	mux.Handle("/vms/v1/", l.Handler())
 	return l.Faults.Serve(l.Listen, mux)
 }
 
-// Close stops serving. The entries stay, and Start may be called again.
+// Close stops the server. The entries are kept, and Start may be called again.
 func (l *List) Close() { l.Faults.Server.Close() }
 
-// Handler returns the calls of the list under its faults.
+// Handler returns the HTTP handler of the list, with its faults applied.
 func (l *List) Handler() http.Handler {
 	if l.Faults.Counters == nil {
 		l.Faults.Counters = &fault.Counters{}
@@ -68,14 +69,15 @@
 	return l.Faults.Wrap(mux)
 }
 
-// Set changes one entry, which is listed after the lag.
+// Set updates one entry. The change is listed after the lag.
 func (l *List) Set(vm iovmlist.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pending = append(l.pending, change{at: time.Now().Add(l.Lag), vm: vm})
 }
 
-// listed returns the entries that are listed at now, in order of name.
+// listed applies the changes that are due at now and returns the entries, sorted by
+// name.
 func (l *List) listed(now time.Time) []iovmlist.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/standin/vmlist/vmlist_test.go
+++ b/internal/testbed/standin/vmlist/vmlist_test.go
@@ -14,8 +14,8 @@
 	iovmlist "guavapaddle/io/vmlist"
 )
 
-// TestLag checks that a change is listed after the lag and that gone VMs
-// vanish.
+// TestLag checks that a change is listed only after the lag, and that VMs in state
+// Gone are removed from the list.
 func TestLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &vmlist.List{Lag: 2 * time.Second}
@@ -30,7 +30,7 @@
 	})
 }
 
-// list reads the list.
+// list returns the listed VMs.
 func list(t *testing.T, h http.Handler) []iovmlist.VM {
 	t.Helper()
 	w := httptest.NewRecorder()
--- a/internal/testbed/standin/weights/weights_test.go
+++ b/internal/testbed/standin/weights/weights_test.go
@@ -15,14 +15,14 @@
 	"guavapaddle/internal/testbed/standin/weights"
 )
 
-// TestLoadTimes checks when loads that are asked for at once are done: the rate
-// spaces their starts, and more than FullSpeed of them share the speed.
+// TestLoadTimes checks when loads that are requested concurrently complete: the rate
+// limit spaces their starts, and more than FullSpeed concurrent loads share the speed.
 func TestLoadTimes(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		store *weights.Store
 		loads int
-		want  []time.Duration // of each load in order of its end
+		want  []time.Duration // durations, in order of completion
 	}{
 		{"alone", &weights.Store{Rate: 1000, LoadTime: time.Second}, 1, []time.Duration{time.Second}},
 		{"spaced", &weights.Store{Rate: 2, FullSpeed: 7, LoadTime: 100 * time.Millisecond}, 3,
@@ -57,7 +57,7 @@
 	}
 }
 
-// load asks for a load and returns the status of the answer.
+// load requests a load of n bytes and returns the status code of the response.
 func load(h http.Handler, n int64) int {
 	body, _ := json.Marshal(weights.LoadRequest{Item: "m@1", Bytes: n})
 	w := httptest.NewRecorder()
