--- a/internal/testbed/workload/deployment.go
+++ b/internal/testbed/workload/deployment.go
@@ -10,14 +10,15 @@
 const gigabyte = int64(1) << 30
 
 type (
-	// Mix is a kind of work with its part of the requests and its size.
+	// Mix is a kind of requests with its share of all requests and its output length.
 	Mix struct {
 		config.Kind
-		Share  float64 // of all requests
-		Tokens int     // mean length of an answer
+		Share  float64 // fraction of all requests
+		Tokens int     // mean output length
 	}
 
-	// Deployment is what an operator runs. Times are those of the engines.
+	// Deployment describes the systems of an operator and their load. Durations are
+	// those of the engines unless stated otherwise.
 	Deployment struct {
 		Name        string
 		Engines     int
@@ -25,22 +26,22 @@
 		Adapters    int
 		Teams       int
 		DataCentres int
-		Delay       time.Duration // one way between data centres
-		ClientDelay time.Duration // one way between clients and nodes
+		Delay       time.Duration // one-way delay between data centres
+		ClientDelay time.Duration // one-way delay between clients and nodes
 
 		Slots     int
-		Step      time.Duration // of a batch of one
-		StepSlope time.Duration // more for each further request in the batch
-		Prefill   time.Duration // for each token of a prompt that no cache has
-		ReportLag time.Duration // age of load reports
-
-		ColdStart      time.Duration // of a load at full speed, the largest model's
-		LoadsPerSecond float64       // of the weight store
-		FullSpeed      int           // loads at once at full speed
-
-		MemoryBytes    int64 // of an engine
-		KVReserveBytes int64 // of an engine
-		ModelBytes     int64 // of the largest model; the smallest has half
+		Step      time.Duration // step duration of a batch of one
+		StepSlope time.Duration // additional step duration for each further request in the batch
+		Prefill   time.Duration // prefill duration per prompt token that is not cached
+		ReportLag time.Duration // age of the load reports
+
+		ColdStart      time.Duration // duration of loading the largest model at full speed
+		LoadsPerSecond float64       // maximum load starts per second at the weight store
+		FullSpeed      int           // concurrent loads at full speed
+
+		MemoryBytes    int64 // per engine
+		KVReserveBytes int64 // per engine
+		ModelBytes     int64 // size of the largest model; the smallest is half as large
 		AdapterBytes   int64
 
 		Mixes     []Mix
@@ -48,9 +49,9 @@
 	}
 )
 
-// Corella returns the booking platform of today: 12 drafting workers in four
-// data centres, about 20 models and 80 adapters. Slots, memory, kinds and
-// report lag are ours; the brief gives the rest.
+// Corella returns the booking platform at its present size: 12 drafting workers in
+// four data centres, about 20 models and 80 adapters. Slots, memory, kinds and report
+// lag are assumptions; the other values are those of the requirements.
 func Corella() Deployment {
 	return Deployment{
 		Name: "corella", Engines: 12, Models: 20, Adapters: 80, Teams: 40,
@@ -68,9 +69,9 @@
 	}
 }
 
-// Kabinaki returns the records platform of today: 20 assistant workers in
-// three data centres, about 30 models and 110 adapters. Slots, memory, kinds
-// and report lag are ours; the brief gives the rest.
+// Kabinaki returns the records platform at its present size: 20 assistant workers in
+// three data centres, about 30 models and 110 adapters. Slots, memory, kinds and
+// report lag are assumptions; the other values are those of the requirements.
 func Kabinaki() Deployment {
 	return Deployment{
 		Name: "kabinaki", Engines: 20, Models: 30, Adapters: 110, Teams: 60,
@@ -89,8 +90,8 @@
 	}
 }
 
-// Scaled returns d with its engines, models, adapters and teams times f,
-// at least one of each that it has.
+// Scaled returns d with the numbers of engines, models, adapters and teams multiplied
+// by f. Numbers that are not zero stay at least one.
 func (d Deployment) Scaled(f float64) Deployment {
 	scale := func(n int) int {
 		if n == 0 {
@@ -103,19 +104,19 @@
 	return d
 }
 
-// FullStep returns the time of a step with a full batch.
+// FullStep returns the duration of a step with a full batch.
 func (d Deployment) FullStep() time.Duration {
 	return d.Step + time.Duration(max(0, d.Slots-1))*d.StepSlope
 }
 
-// Service returns the time an answer takes in a full batch, in seconds, with
-// the given part of the prompt processed.
+// Service returns the service time, in seconds, of a request with the given numbers of
+// output tokens and uncached prompt tokens in a full batch.
 func (d Deployment) Service(tokens, uncached int) float64 {
 	return (time.Duration(tokens)*d.FullStep() + time.Duration(uncached)*d.Prefill).Seconds()
 }
 
-// Capacity returns the requests a second that the accelerators can do with the
-// deployment's mix.
+// Capacity returns the maximum throughput of the accelerators for the mix of the
+// deployment, in requests per second. The shared prefixes of prompts count as cached.
 func (d Deployment) Capacity() float64 {
 	var seconds, shares float64
 	for _, m := range d.Mixes {
--- a/internal/testbed/workload/doc.go
+++ b/internal/testbed/workload/doc.go
@@ -1,17 +1,18 @@
-// Package workload makes the load that experiments run: what a deployment has
-// and serves, and which requests arrive when.
+// Package workload generates the load of experiments: the configuration of a
+// deployment and the arrivals of its requests.
 //
 // # Method
 //
-// Each model and adapter has a popularity by Zipf's law and is on or off in
-// turns of exponential length; on, it is asked for BurstFactor times as often
-// as off. All rates together are scaled so that the mean work that arrives is
-// Load of what the accelerators can do. Arrivals are a Poisson process of the
-// resulting rates, open loop: they don't wait for answers. Prompts begin with
-// one of a few prefixes of their item. Teams' shares follow Zipf's law too.
+// The popularity of the models and adapters follows Zipf's law. Each item alternates
+// between on and off phases of exponentially distributed length; its request rate is
+// BurstFactor times as high in an on phase. All rates are scaled so that the mean
+// arriving work is the fraction Load of the capacity of the accelerators. Arrivals are
+// an open-loop Poisson process with these rates: they don't wait for responses. Each
+// prompt starts with one of a few prefixes of its item. The shares of the teams follow
+// Zipf's law as well.
 //
-// The capacity is that of full batches: slots / step(slots) tokens a second
-// for each engine, less the processing of prompts that no cache has.
+// The capacity is that of full batches: slots / step(slots) tokens per second for each
+// engine, less the prefill of uncached prompt tokens.
 //
 // # Usage
 //
--- a/internal/testbed/workload/document.go
+++ b/internal/testbed/workload/document.go
@@ -7,11 +7,11 @@
 	"guavapaddle/core/config"
 )
 
-// Key returns the key that a team calls with.
+// Key returns the API key of a team.
 func Key(team string) string { return "key-of-" + team }
 
-// Document returns the configuration of the deployment with its engines at the
-// given addresses, as many as it has.
+// Document returns the configuration of the deployment. The number of addresses must
+// be that of its engines.
 func (d Deployment) Document(engines []string) config.Document {
 	doc := config.Document{Deployment: d.Name, Placement: d.Placement, Limits: config.Limits{
 		BodyBytes: 1 << 20, HeaderBytes: 1 << 14, StreamsPerNode: 4096, IdleMS: 60000,
@@ -27,7 +27,7 @@
 		sum := sha256.Sum256([]byte(Key(name)))
 		doc.Teams = append(doc.Teams, config.Team{
 			Name: name, KeyHashes: []string{"sha256:" + hex.EncodeToString(sum[:])},
-			Models: []string{"*"}, Kinds: kinds, DefaultKind: kinds[0], Weight: zipf(i, teamExponent),
+			Models: []string{"*"}, Kinds: kinds, DefaultKind: kinds[0], Weight: zipfWeight(i, teamExponent),
 		})
 	}
 	for i := range d.Models {
--- a/internal/testbed/workload/generate.go
+++ b/internal/testbed/workload/generate.go
@@ -23,48 +23,48 @@
 	prefixBytes        = 1024
 	tailBytes          = 96
 	bytesPerToken      = 4
-	teamsOfItem        = 3
-	adapterPart        = 0.5 // of the requests that name an adapter
-	lengthSpread       = 0.5 // answers are between this part less and more than their mean
+	teamsPerItem       = 3
+	adapterShare       = 0.5 // fraction of the requests that name an adapter
+	lengthSpread       = 0.5 // output lengths are uniform within this fraction below and above their mean
 	maxTokens          = 4096
 )
 
 type (
-	// Settings sets up the load. The zero value of a field stands for its
-	// default; Deployment and Duration have none.
+	// Settings configures the load. A field with its zero value has its default;
+	// Deployment and Duration have no default.
 	Settings struct {
 		Deployment  Deployment
-		Load        float64       // mean work as a part of the capacity, default 0.8
-		Duration    time.Duration // of the arrivals
-		BurstFactor float64       // rate of an item that is on over one that is off, default 10
-		On          time.Duration // mean turn on, default 5 s
-		Off         time.Duration // mean turn off, default 20 s
-		Prefixes    int           // shared prefixes an item, default 4
-		Shift       time.Duration // when popularity moves to other items, zero for never
+		Load        float64       // mean work as a fraction of the capacity, default 0.8
+		Duration    time.Duration // duration of the arrivals
+		BurstFactor float64       // ratio of an item's rates in on and off phases, default 10
+		On          time.Duration // mean length of an on phase, default 5 s
+		Off         time.Duration // mean length of an off phase, default 20 s
+		Prefixes    int           // shared prefixes per item, default 4
+		Shift       time.Duration // when the popularity moves to other items, zero for never
 	}
 
-	// Arrival is a request that arrives.
+	// Arrival is a request and its arrival time.
 	Arrival struct {
 		At     time.Duration // since the start
-		Model  string        // name of the model or adapter asked for
+		Model  string        // name of the requested model or adapter
 		Team   string
 		Mix    Mix // kind of work, with its deadline
-		Tokens int // of the answer
-		Prefix int // which shared prefix
-		Number int // place in the arrivals
+		Tokens int // output length
+		Prefix int // index of the shared prefix of the prompt
+		Number int // index in the arrivals
 	}
 
-	// turn is a time in which an item's rate doesn't change.
-	turn struct {
+	// phase is a period with a constant request rate of an item.
+	phase struct {
 		from, to time.Duration
 		rate     float64 // before scaling
 	}
 
-	// item is a model or an adapter with its turns.
+	// item is a model or an adapter with the teams that request it and its phases.
 	item struct {
-		name  string
-		teams []int
-		turns []turn
+		name   string
+		teams  []int
+		phases []phase
 	}
 )
 
@@ -77,27 +77,27 @@
 	return s
 }
 
-// Generate returns the arrivals in the order of their time.
+// Generate returns the arrivals, sorted by time.
 func Generate(s Settings, seed uint64) []Arrival {
 	s = s.withDefaults()
 	random := rand.New(rand.NewPCG(seed, 0x6775617661))
 	items := s.items(random)
-	scale := s.scale(items)
+	rateScale := s.rateScale(items)
 	var out []Arrival
 	kinds := distuv.NewCategorical(s.kindShares(), random)
-	prefixes := distuv.NewCategorical(zipfs(s.Prefixes, prefixExponent), random)
+	prefixes := distuv.NewCategorical(zipfWeights(s.Prefixes, prefixExponent), random)
 	for i := range items {
 		it := &items[i]
 		weights := make([]float64, len(it.teams))
-		for k, c := range it.teams {
-			weights[k] = zipf(c, teamExponent)
+		for k, team := range it.teams {
+			weights[k] = zipfWeight(team, teamExponent)
 		}
 		teams := distuv.NewCategorical(weights, random)
-		for _, at := range it.arrivals(scale, random) {
+		for _, at := range it.arrivals(rateScale, random) {
 			mix := s.Deployment.Mixes[int(kinds.Rand())]
 			out = append(out, Arrival{
 				At: at, Model: it.name, Team: s.Deployment.TeamName(it.teams[int(teams.Rand())]),
-				Mix: mix, Tokens: length(mix.Tokens, random), Prefix: int(prefixes.Rand()),
+				Mix: mix, Tokens: outputLength(mix.Tokens, random), Prefix: int(prefixes.Rand()),
 			})
 		}
 	}
@@ -108,7 +108,7 @@
 	return out
 }
 
-// Prompt returns the prompt: the shared prefix, then a part of its own.
+// Prompt returns the prompt: the shared prefix followed by a unique part.
 func (a Arrival) Prompt() string {
 	head := fmt.Sprintf("%s prefix %d. ", a.Model, a.Prefix)
 	prefix := strings.Repeat(head, prefixBytes/len(head)+1)[:prefixBytes]
@@ -116,41 +116,41 @@
 	return prefix + (tail + strings.Repeat(".", tailBytes))[:tailBytes]
 }
 
-// items draws each item's popularity, teams and turns.
+// items draws the popularity, the teams and the phases of each item.
 func (s Settings) items(random *rand.Rand) []item {
 	d := s.Deployment
-	out := append(s.group(d.Models, d.ModelName, 1-adapterPart, random), s.group(d.Adapters, d.AdapterName, adapterPart, random)...)
+	out := append(s.drawItems(d.Models, d.ModelName, 1-adapterShare, random), s.drawItems(d.Adapters, d.AdapterName, adapterShare, random)...)
 	return out
 }
 
-// group draws n items that together have the given part of the requests.
-func (s Settings) group(n int, name func(int) string, part float64, random *rand.Rand) []item {
-	weights := zipfs(n, popularityExponent)
-	before, after := random.Perm(n), random.Perm(n)
+// drawItems draws n items that together receive the given share of the requests.
+func (s Settings) drawItems(n int, name func(int) string, share float64, random *rand.Rand) []item {
+	weights := zipfWeights(n, popularityExponent)
+	rankBefore, rankAfter := random.Perm(n), random.Perm(n)
 	out := make([]item, n)
 	for i := range out {
 		out[i] = item{name: name(i), teams: s.teams(random)}
-		out[i].turns = s.turns(part*weights[before[i]], part*weights[after[i]], random)
+		out[i].phases = s.phases(share*weights[rankBefore[i]], share*weights[rankAfter[i]], random)
 	}
 	return out
 }
 
-// teams draws who asks for an item, large teams more often.
+// teams draws the teams that request an item. Large teams are drawn more often.
 func (s Settings) teams(random *rand.Rand) []int {
-	draw := distuv.NewCategorical(zipfs(s.Deployment.Teams, teamExponent), random)
+	draw := distuv.NewCategorical(zipfWeights(s.Deployment.Teams, teamExponent), random)
 	var out []int
-	for range teamsOfItem {
-		if c := int(draw.Rand()); !slices.Contains(out, c) {
-			out = append(out, c)
+	for range teamsPerItem {
+		if team := int(draw.Rand()); !slices.Contains(out, team) {
+			out = append(out, team)
 		}
 	}
 	return out
 }
 
-// turns draws when an item is on and off, with its rate before and after the
-// shift.
-func (s Settings) turns(before, after float64, random *rand.Rand) []turn {
-	var out []turn
+// phases draws the on and off phases of an item. The arguments before and after are
+// its rates in off phases before and after the shift.
+func (s Settings) phases(before, after float64, random *rand.Rand) []phase {
+	var out []phase
 	on := random.Float64() < s.On.Seconds()/(s.On+s.Off).Seconds()
 	for at := time.Duration(0); at < s.Duration; on = !on {
 		mean, factor := s.Off, 1.0
@@ -159,24 +159,25 @@
 		}
 		to := min(s.Duration, at+time.Duration(random.ExpFloat64()*float64(mean))+time.Millisecond)
 		if s.Shift > at && s.Shift < to {
-			out = append(out, turn{at, s.Shift, before * factor})
+			out = append(out, phase{at, s.Shift, before * factor})
 			at = s.Shift
 		}
 		rate := before
 		if s.Shift > 0 && at >= s.Shift {
 			rate = after
 		}
-		out = append(out, turn{at, to, rate * factor})
+		out = append(out, phase{at, to, rate * factor})
 		at = to
 	}
 	return out
 }
 
-// scale returns the requests a second that a rate of one stands for.
-func (s Settings) scale(items []item) float64 {
+// rateScale returns the factor that converts the rates of the phases to requests per
+// second.
+func (s Settings) rateScale(items []item) float64 {
 	var work float64
 	for _, it := range items {
-		for _, t := range it.turns {
+		for _, t := range it.phases {
 			work += t.rate * (t.to - t.from).Seconds()
 		}
 	}
@@ -186,10 +187,10 @@
 	return s.Load * s.Deployment.Capacity() * s.Duration.Seconds() / work
 }
 
-// arrivals draws the times at which an item is asked for.
+// arrivals draws the arrival times of the requests for an item.
 func (it *item) arrivals(scale float64, random *rand.Rand) []time.Duration {
 	var out []time.Duration
-	for _, t := range it.turns {
+	for _, t := range it.phases {
 		rate := t.rate * scale
 		if rate <= 0 {
 			continue
@@ -213,21 +214,22 @@
 	return out
 }
 
-// length draws the length of an answer.
-func length(mean int, random *rand.Rand) int {
+// outputLength draws the output length of a request.
+func outputLength(mean int, random *rand.Rand) int {
 	n := float64(mean) * (1 - lengthSpread + 2*lengthSpread*random.Float64())
 	return min(max(1, int(n)), maxTokens)
 }
 
-// zipf returns the weight of the i-th of a Zipf distribution, i from zero.
-func zipf(i int, exponent float64) float64 { return math.Pow(float64(i+1), -exponent) }
+// zipfWeight returns the unnormalized weight of rank i, counted from zero, of a Zipf
+// distribution.
+func zipfWeight(i int, exponent float64) float64 { return math.Pow(float64(i+1), -exponent) }
 
-// zipfs returns the first n weights, normalized to a sum of one.
-func zipfs(n int, exponent float64) []float64 {
+// zipfWeights returns the weights of the first n ranks, normalized to a sum of one.
+func zipfWeights(n int, exponent float64) []float64 {
 	out := make([]float64, n)
 	var sum float64
 	for i := range out {
-		out[i] = zipf(i, exponent)
+		out[i] = zipfWeight(i, exponent)
 		sum += out[i]
 	}
 	for i := range out {
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -15,32 +15,36 @@
 	return workload.Settings{Deployment: d, Load: 0.8, Duration: 200 * time.Second}
 }
 
+// TestGenerate checks that arrivals are reproducible from their seed, sorted, and match
+// the requested load and the shares of the kinds.
 func TestGenerate(t *testing.T) {
 	for _, d := range []workload.Deployment{workload.Corella(), workload.Kabinaki()} {
 		t.Run(d.Name, func(t *testing.T) {
-			as := workload.Generate(settings(d), 7)
-			require.Equal(t, as, workload.Generate(settings(d), 7))
-			require.NotEqual(t, as, workload.Generate(settings(d), 8))
+			arrivals := workload.Generate(settings(d), 7)
+			require.Equal(t, arrivals, workload.Generate(settings(d), 7))
+			require.NotEqual(t, arrivals, workload.Generate(settings(d), 8))
 			var work float64
 			kinds := map[string]int{}
-			for i, a := range as {
+			for i, a := range arrivals {
 				work += d.Service(a.Tokens, 24)
 				kinds[a.Mix.Name]++
 				require.Equal(t, i, a.Number)
 				require.Less(t, a.At, 200*time.Second)
 				if i > 0 {
-					require.GreaterOrEqual(t, a.At, as[i-1].At)
+					require.GreaterOrEqual(t, a.At, arrivals[i-1].At)
 				}
 			}
 			require.InDelta(t, 0.8, work/200/float64(d.Engines*d.Slots), 0.03)
 			for _, m := range d.Mixes {
-				require.InDelta(t, m.Share, float64(kinds[m.Name])/float64(len(as)), 0.02)
+				require.InDelta(t, m.Share, float64(kinds[m.Name])/float64(len(arrivals)), 0.02)
 			}
 		})
 	}
 }
 
-func TestBurstsMoveTenfold(t *testing.T) {
+// TestBurstsChangeTheRateOfItems checks that the rates of more than ten items vary at
+// least fivefold between periods of 5 s.
+func TestBurstsChangeTheRateOfItems(t *testing.T) {
 	s := settings(workload.Corella())
 	s.On, s.Off = 20*time.Second, 60*time.Second
 	counts := map[string][]int{}
@@ -50,20 +54,20 @@
 		}
 		counts[a.Model][a.At/(5*time.Second)]++
 	}
-	moved := 0
-	for _, c := range counts {
-		least, most := 1<<30, 0
-		for _, n := range c {
-			least, most = min(least, n), max(most, n)
+	bursty := 0
+	for _, itemCounts := range counts {
+		minCount, maxCount := 1<<30, 0
+		for _, n := range itemCounts {
+			minCount, maxCount = min(minCount, n), max(maxCount, n)
 		}
-		if most >= 5*max(1, least) {
-			moved++
+		if maxCount >= 5*max(1, minCount) {
+			bursty++
 		}
 	}
-	require.Greater(t, moved, 10)
+	require.Greater(t, bursty, 10)
 }
 
-func TestShiftMovesPopularity(t *testing.T) {
+func TestShiftChangesThePopularModel(t *testing.T) {
 	s := settings(workload.Corella())
 	s.Shift, s.BurstFactor = 100*time.Second, 1
 	before, after := map[string]int{}, map[string]int{}
