--- a/internal/testbed/sample/corella.go
+++ b/internal/testbed/sample/corella.go
@@ -2,13 +2,13 @@
 
 import "guavapaddle/core/config"
 
-// Corella returns the document of Corella Rail Systems: deadline attainment
-// counts more than moves, so a move is cheap.
+// Corella returns the configuration of Corella Rail Systems. Deadline attainment
+// matters more than the number of moves, so that the price of a move is low.
 func Corella() *config.Document {
-	f := fleet{
+	f := layout{
 		name: "corella", network: 1,
 		dataCentres: []string{"dc-1", "dc-2", "dc-3", "dc-4"},
-		engines:     12, checking: 8, stepMS: 7,
+		engines:     12, orderChecking: 8, stepMS: 7,
 		service: "bookings", servers: 4,
 	}
 	doc := &config.Document{
@@ -47,7 +47,7 @@
 		list = append(list, config.Team{
 			Name:        name,
 			KeyHashes:   []string{KeyHash(Key(name))},
-			Models:      dealt(doc, i, len(names)),
+			Models:      assignedNames(doc, i, len(names)),
 			Services:    []string{"bookings"},
 			Kinds:       []string{"live-desk", "conflict-summary", "overnight-draft", "booking-confirm", "booking-cancel", "booking-read"},
 			DefaultKind: "live-desk",
--- a/internal/testbed/sample/doc.go
+++ b/internal/testbed/sample/doc.go
@@ -1,9 +1,8 @@
-// Package sample builds the sample documents of both deployments at the sizes
-// that they have today. The committed files in the directory samples are their
-// output; a test compares them.
+// Package sample builds the sample configurations of both deployments at their present
+// sizes. The committed files in the directory samples are generated from them, and a
+// test checks that they match.
 //
-// The teams' keys are test keys and known to everybody: Key gives the key
-// of a team.
+// The API keys of the teams are public test keys; Key returns the key of a team.
 //
 // # Usage
 //
--- a/internal/testbed/sample/kabinaki.go
+++ b/internal/testbed/sample/kabinaki.go
@@ -2,13 +2,13 @@
 
 import "guavapaddle/core/config"
 
-// Kabinaki returns the document of Kabinaki Records: moves count more than
-// deadline attainment, so a move is expensive.
+// Kabinaki returns the configuration of Kabinaki Records. The number of moves matters
+// more than deadline attainment, so that the price of a move is high.
 func Kabinaki() *config.Document {
-	f := fleet{
+	f := layout{
 		name: "kabinaki", network: 2,
 		dataCentres: []string{"dc-1", "dc-2", "dc-3"},
-		engines:     20, checking: 10, stepMS: 9,
+		engines:     20, orderChecking: 10, stepMS: 9,
 		service: "records", servers: 3,
 	}
 	doc := &config.Document{
@@ -47,7 +47,7 @@
 		list = append(list, config.Team{
 			Name:        name,
 			KeyHashes:   []string{KeyHash(Key(name))},
-			Models:      dealt(doc, i, len(names)),
+			Models:      assignedNames(doc, i, len(names)),
 			Services:    []string{"records"},
 			Kinds:       []string{"licence-question", "instructor-summary", "course-draft", "record-lookup"},
 			DefaultKind: "instructor-summary",
--- a/internal/testbed/sample/sample.go
+++ b/internal/testbed/sample/sample.go
@@ -28,28 +28,28 @@
 	networkAddress = "10.%d.%d.%d:%d" // deployment, data centre, server, port
 )
 
-// fleet says what to build of one deployment.
-type fleet struct {
-	name        string
-	network     int // second part of its IP numbers
-	dataCentres []string
-	engines     int
-	checking    int // engines that check orders
-	stepMS      float64
-	service     string
-	servers     int // of the plain service
+// layout describes the backend servers of one deployment.
+type layout struct {
+	name          string
+	network       int // second octet of the IP addresses
+	dataCentres   []string
+	engines       int
+	orderChecking int // number of engines that check orders
+	stepMS        float64
+	service       string
+	servers       int // number of servers of the plain service
 }
 
-// Key returns the test key of a team of a sample document.
+// Key returns the test key of a team in a sample configuration.
 func Key(team string) string { return keyPrefix + team }
 
-// KeyHash returns the hash of a key as a document holds it.
+// KeyHash returns the hash of a key in the form used in configurations.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return config.KeyHashPrefix + hex.EncodeToString(sum[:])
 }
 
-// Text returns doc as an operator's file, indented.
+// Text returns doc as indented JSON, as in the file of an operator.
 func Text(doc *config.Document) []byte {
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
@@ -60,8 +60,9 @@
 	return b.Bytes()
 }
 
-// servers returns the backend servers of a fleet, spread over its data centres.
-func (f fleet) backendServers() []config.BackendServer {
+// backendServers returns the backend servers, distributed over the data centres in
+// turn.
+func (f layout) backendServers() []config.BackendServer {
 	var list []config.BackendServer
 	for i := range f.engines {
 		dc := i % len(f.dataCentres)
@@ -72,7 +73,7 @@
 			DataCentre:     f.dataCentres[dc],
 			MemoryBytes:    engineMemory,
 			KVReserveBytes: engineReserve,
-			ChecksOrders:   i < f.checking,
+			ChecksOrders:   i < f.orderChecking,
 			Slots:          engineSlots,
 			StepMS:         f.stepMS,
 		}
@@ -95,8 +96,8 @@
 	return list
 }
 
-// models returns count models named after prefix. Each third has size small,
-// medium and large; the first urgent ones have two copies.
+// models returns count models whose names start with prefix. Their sizes alternate
+// among sizes; the first urgent models have at least two copies.
 func models(prefix string, count, urgent int, sizes [3]int64) []config.Model {
 	list := make([]config.Model, count)
 	for i := range list {
@@ -115,7 +116,7 @@
 	return list
 }
 
-// adapters returns count adapters, dealt out to the models in turn.
+// adapters returns count adapters, assigned to the models in turn.
 func adapters(prefix string, count int, of []config.Model) []config.Adapter {
 	list := make([]config.Adapter, count)
 	for i := range list {
@@ -131,18 +132,19 @@
 	return list
 }
 
-// dealt returns every n-th model from the k-th, and the adapters of those.
-func dealt(doc *config.Document, k, n int) []string {
+// assignedNames returns the names of every n-th model, starting with the k-th, and of
+// their adapters.
+func assignedNames(doc *config.Document, k, n int) []string {
 	var names []string
-	mine := make(map[string]bool)
+	assigned := make(map[string]bool)
 	for i, m := range doc.Models {
 		if i%n == k {
 			names = append(names, m.Name)
-			mine[m.Name] = true
+			assigned[m.Name] = true
 		}
 	}
 	for _, a := range doc.Adapters {
-		if mine[a.Model] {
+		if assigned[a.Model] {
 			names = append(names, a.Name)
 		}
 	}
--- a/internal/testbed/sample/sample_test.go
+++ b/internal/testbed/sample/sample_test.go
@@ -14,14 +14,17 @@
 
 var update = flag.Bool("update", false, "rewrite the sample files")
 
+// TestSamplesAreCommittedAndValid checks that the committed sample files match the
+// generated ones, load as valid configurations, have the sizes of the deployments, and
+// accept the test keys of the teams.
 func TestSamplesAreCommittedAndValid(t *testing.T) {
 	tests := []struct {
-		name                                            string
-		doc                                             *config.Document
-		models, adapters, engines, services, dataCentre int
+		name                                             string
+		doc                                              *config.Document
+		models, adapters, engines, services, dataCentres int
 	}{
-		{name: "corella", doc: sample.Corella(), models: 20, adapters: 80, engines: 12, services: 4, dataCentre: 4},
-		{name: "kabinaki", doc: sample.Kabinaki(), models: 30, adapters: 110, engines: 20, services: 3, dataCentre: 3},
+		{name: "corella", doc: sample.Corella(), models: 20, adapters: 80, engines: 12, services: 4, dataCentres: 4},
+		{name: "kabinaki", doc: sample.Kabinaki(), models: 30, adapters: 110, engines: 20, services: 3, dataCentres: 3},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -46,12 +49,12 @@
 			}
 			require.Equal(t, tt.engines, engines)
 			require.Equal(t, tt.services, len(doc.Servers)-engines)
-			require.Len(t, centres, tt.dataCentre)
-			x := config.NewIndex(doc, 1)
-			for _, c := range doc.Teams {
-				found, ok := x.TeamByKey(sample.Key(c.Name))
+			require.Len(t, centres, tt.dataCentres)
+			index := config.NewIndex(doc, 1)
+			for _, team := range doc.Teams {
+				found, ok := index.TeamByKey(sample.Key(team.Name))
 				require.True(t, ok)
-				require.Equal(t, c.Name, found.Name)
+				require.Equal(t, team.Name, found.Name)
 			}
 		})
 	}
