--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -10,15 +10,14 @@
 )
 
 type (
-	// Spread is the median of a figure over several seeds, with the least and
-	// the most.
+	// Spread is the median, minimum and maximum of a value over several seeds.
 	Spread struct {
 		Median float64 `json:"median"`
 		Least  float64 `json:"least"`
 		Most   float64 `json:"most"`
 	}
 
-	// Row sums up the runs of one setting over several seeds.
+	// Row summarizes the runs with the same settings over several seeds.
 	Row struct {
 		Deployment string `json:"deployment"`
 		Policy     string `json:"policy"`
@@ -40,19 +39,21 @@
 		Moves          Spread  `json:"moves"`
 	}
 
-	// Comparison has one row for each setting, in the order of the runs.
+	// Comparison has one row for each combination of settings, in the order of the
+	// first run of each.
 	Comparison struct {
 		Rows []Row `json:"rows"`
 	}
 
-	// key tells settings apart.
+	// key identifies a combination of settings.
 	key struct {
 		deployment, policy, planner, fault, limit string
 		load, price                               float64
 	}
 )
 
-// Compare sums up runs that differ in nothing but their seed.
+// Compare groups the runs by their settings and summarizes each group, whose runs
+// differ only in their seed.
 func Compare(runs []*Summary) *Comparison {
 	var order []key
 	groups := map[key][]*Summary{}
@@ -66,13 +67,13 @@
 	}
 	c := &Comparison{}
 	for _, k := range order {
-		c.Rows = append(c.Rows, row(k, groups[k]))
+		c.Rows = append(c.Rows, newRow(k, groups[k]))
 	}
 	return c
 }
 
-func row(k key, runs []*Summary) Row {
-	of := func(f func(*Summary) float64) Spread {
+func newRow(k key, runs []*Summary) Row {
+	spreadOf := func(f func(*Summary) float64) Spread {
 		values := make([]float64, 0, len(runs))
 		for _, s := range runs {
 			values = append(values, f(s))
@@ -81,19 +82,20 @@
 	}
 	return Row{
 		Deployment: k.deployment, Policy: k.policy, Planner: k.planner, Fault: k.fault, Limit: k.limit, Load: k.load, MovePrice: k.price, Runs: len(runs),
-		All:            of(func(s *Summary) float64 { return s.All.Attainment }),
-		OfBound:        of(func(s *Summary) float64 { return s.All.OfBound }),
-		Urgent:         of(func(s *Summary) float64 { return s.Urgent.Attainment }),
-		Value:          of(func(s *Summary) float64 { return s.ValueAttainment }),
-		PerAccelerator: of(func(s *Summary) float64 { return s.PerAccelerator }),
-		WorstTeam:      of(func(s *Summary) float64 { return s.WorstTeam }),
-		FirstToken95:   of(func(s *Summary) float64 { return s.All.FirstToken.P95 }),
-		Between95:      of(func(s *Summary) float64 { return s.All.Between.P95 }),
-		Moves:          of(func(s *Summary) float64 { return float64(s.Moves) }),
+		All:            spreadOf(func(s *Summary) float64 { return s.All.Attainment }),
+		OfBound:        spreadOf(func(s *Summary) float64 { return s.All.OfBound }),
+		Urgent:         spreadOf(func(s *Summary) float64 { return s.Urgent.Attainment }),
+		Value:          spreadOf(func(s *Summary) float64 { return s.ValueAttainment }),
+		PerAccelerator: spreadOf(func(s *Summary) float64 { return s.PerAccelerator }),
+		WorstTeam:      spreadOf(func(s *Summary) float64 { return s.WorstTeam }),
+		FirstToken95:   spreadOf(func(s *Summary) float64 { return s.All.FirstToken.P95 }),
+		Between95:      spreadOf(func(s *Summary) float64 { return s.All.Between.P95 }),
+		Moves:          spreadOf(func(s *Summary) float64 { return float64(s.Moves) }),
 	}
 }
 
-// spread returns the median, the least and the most of at least one value.
+// spread returns the median, minimum and maximum of values, of which there must be at
+// least one. It sorts values.
 func spread(values []float64) Spread {
 	slices.SortFunc(values, cmp.Compare[float64])
 	n := len(values)
@@ -107,7 +109,8 @@
 	return e.Encode(c)
 }
 
-// WriteTable writes the comparison for a terminal, medians with least and most.
+// WriteTable writes the comparison as a text table of medians with minimum and
+// maximum.
 func (c *Comparison) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "deployment\tpolicy\tplanner\tlimit\tfault\tload\tprice\truns\tattainment\tof bound\turgent\tvalue\tmet/acc s\tworst team\tfirst p95 ms\tbetween p95 ms\tmoves")
@@ -119,7 +122,7 @@
 	return t.Flush()
 }
 
-// format returns "median [least-most]" with the given decimals.
+// format returns "median [minimum-maximum]" with the given number of decimals.
 func (s Spread) format(decimals int) string {
 	return fmt.Sprintf("%.*f [%.*f-%.*f]", decimals, s.Median, decimals, s.Least, decimals, s.Most)
 }
--- a/internal/testbed/report/doc.go
+++ b/internal/testbed/report/doc.go
@@ -1,5 +1,5 @@
-// Package report turns what happened to the requests of an experiment into
-// figures, tables and plots.
+// Package report summarizes the results of the requests of an experiment as
+// statistics, tables and plots.
 //
 // # Usage
 //
@@ -10,8 +10,9 @@
 //	err := s.WritePlot("run.png")
 //	err = report.Compare(runs).WriteTable(os.Stdout)
 //
-// Attainment is the part of the requests that ended whole before their
-// deadline, of all that arrived. Value attainment weighs each by its value.
-// Times count from the moment at which the load meant a request to be sent, so
-// that a slow system can't hide its delays by taking requests late.
+// Attainment is the fraction of all arrived requests that were completed, with the
+// whole response, before their deadline. Value attainment weights each request by its
+// value. Latencies are measured from the intended send time of a request, so that the
+// delays of a slow system which accepts requests late are included (no coordinated
+// omission).
 package report
--- a/internal/testbed/report/error.go
+++ b/internal/testbed/report/error.go
@@ -1,12 +1,12 @@
 package report
 
-// PlotError tells that a plot could not be drawn or written.
+// PlotError reports that a plot could not be drawn or written.
 type PlotError struct {
-	File string // empty if it was not the file
+	File string // empty if the error does not concern the file
 	Err  error
 }
 
-// Error returns the file and the cause.
+// Error names the file and the cause.
 func (e *PlotError) Error() string { return "report: plot " + e.File + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -20,14 +20,14 @@
 	movesColor = color.RGBA{R: 214, G: 39, B: 40, A: 255}
 )
 
-// WritePlot writes attainment, the bound and moves over time as a PNG file, or
-// whatever the file name's ending says.
+// WritePlot writes a plot of attainment, bound and moves over time. The extension of
+// the file name selects the format, such as PNG.
 func (s *Summary) WritePlot(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s/%s, load %.2f, seed %d, fault %s",
 		s.Meta.Deployment, s.Meta.Policy, s.Meta.Planner, s.Meta.Load, s.Meta.Seed, orNone(s.Meta.Fault))
 	p.X.Label.Text = "time of arrival, s"
-	p.Y.Label.Text = "part met in time; moves in tenths a second"
+	p.Y.Label.Text = "fraction met in time; moves per second / 10"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	var met, bound, moves plotter.XYs
 	for _, pt := range s.Series {
@@ -55,13 +55,13 @@
 	return nil
 }
 
-// WriteCurve writes the attainment against the moves of several runs, one line
-// for each name, points in the order given.
+// WriteCurve writes a plot of attainment against moves with one line per name. The
+// points of a line are connected in the given order.
 func WriteCurve(file, title string, names []string, lines map[string]plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "moves"
-	p.Y.Label.Text = "part met in time"
+	p.Y.Label.Text = "fraction met in time"
 	for i, name := range names {
 		shade := color.RGBA{R: uint8(40 + 60*i%200), G: uint8(110 * i % 220), B: uint8(200 - 50*i%200), A: 255}
 		if err := addLine(p, name, lines[name], shade); err != nil {
--- a/internal/testbed/report/recorder.go
+++ b/internal/testbed/report/recorder.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
-	bucket        = time.Second // of the series over time
+	lowestMicros      = 1
+	highestMicros     = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
+	seriesInterval    = time.Second // resolution of the time series
 )
 
 type (
-	// Request is what happened to one request.
+	// Request is the result of one request.
 	Request struct {
-		At         time.Duration // intended send time since the start
+		At         time.Duration // intended send time, since the start
 		Kind       string
 		Urgency    config.Urgency
 		Team       string
 		Value      float64
-		Deadline   time.Duration // since At
-		Bound      bool          // met in time by the bound
+		Deadline   time.Duration // relative to At
+		Bound      bool          // the bound meets its deadline
 		Outcome    string
-		Reason     string        // empty if done
-		FirstToken time.Duration // since At, zero if there was none
-		Total      time.Duration // since At, to the end
+		Reason     string        // empty if the outcome is done
+		FirstToken time.Duration // relative to At, zero if there was none
+		Total      time.Duration // time to completion, relative to At
 		Gaps       []time.Duration
-		Whole      bool // the answer is the one expected, with its end
+		Whole      bool // the response is the expected one and was received to its end
 	}
 
-	// Move is a load that an engine carried out.
+	// Move is a load of an item that an engine started.
 	Move struct {
 		At     time.Duration
 		Server string
 		Item   string
 	}
 
-	// Meta says what was run.
+	// Meta describes the settings and the resource usage of a run.
 	Meta struct {
 		Deployment   string        `json:"deployment"`
 		Policy       string        `json:"policy"`
@@ -57,11 +57,11 @@
 		Limit        string        `json:"limit"`
 		Nodes        int           `json:"nodes"`
 		Accelerators int           `json:"accelerators"`
-		SentLate     time.Duration `json:"sent-late-p99-ns"` // by the load tool itself
-		CPUSeconds   float64       `json:"cpu-seconds"`      // of load tool and stand-ins
+		SentLate     time.Duration `json:"sent-late-p99-ns"` // delay of the load generator's own sends
+		CPUSeconds   float64       `json:"cpu-seconds"`      // of the load generator and the stand-ins
 
-		NodeCPUSeconds float64 `json:"node-cpu-seconds"`  // of all nodes, start and stop included
-		NodeMemory     int64   `json:"node-memory-bytes"` // largest resident set of a node
+		NodeCPUSeconds float64 `json:"node-cpu-seconds"`  // of all nodes, including start and stop
+		NodeMemory     int64   `json:"node-memory-bytes"` // maximum resident set size of a node
 	}
 
 	// Recorder collects requests and moves. It is safe for concurrent use.
@@ -71,30 +71,30 @@
 		moves    []Move
 	}
 
-	// Quantiles are of times in milliseconds.
+	// Quantiles holds quantiles of durations, in milliseconds.
 	Quantiles struct {
 		P50 float64 `json:"p50-ms"`
 		P95 float64 `json:"p95-ms"`
 		P99 float64 `json:"p99-ms"`
 	}
 
-	// Kind sums up the requests of a kind, or of all.
+	// Kind summarizes the requests of one kind, or of all kinds.
 	Kind struct {
 		Name       string         `json:"name"`
 		Offered    int            `json:"offered"`
 		Done       int            `json:"done"`
 		Met        int            `json:"met"`
 		Bound      int            `json:"bound-met"`
-		Wrong      int            `json:"wrong"` // done, but not the expected answer
+		Wrong      int            `json:"wrong"` // done, but with another response than expected
 		Attainment float64        `json:"attainment"`
 		OfBound    float64        `json:"share-of-bound"`
 		FirstToken Quantiles      `json:"first-token"`
 		Between    Quantiles      `json:"between-tokens"`
 		Total      Quantiles      `json:"total"`
-		Refused    map[string]int `json:"refused"` // by outcome and reason
+		Refused    map[string]int `json:"refused"` // number of requests by outcome and reason
 	}
 
-	// Point is one second of a run.
+	// Point counts the events in one second of a run.
 	Point struct {
 		Second  int `json:"second"`
 		Offered int `json:"offered"`
@@ -112,23 +112,24 @@
 		ValueAttainment float64        `json:"value-attainment"`
 		ValueOfBound    float64        `json:"value-share-of-bound"`
 		PerAccelerator  float64        `json:"met-per-accelerator-second"`
-		WorstTeam       float64        `json:"worst-team-attainment"` // with at least 10 requests
+		WorstTeam       float64        `json:"worst-team-attainment"` // lowest of the teams with at least 10 requests
 		Moves           int            `json:"moves"`
 		Reasons         map[string]int `json:"reasons"`
 		Series          []Point        `json:"series"`
 	}
 
-	// tally sums up requests.
+	// tally accumulates the results of requests.
 	tally struct {
 		Kind
-		first, between, total *hdrhistogram.Histogram
+		firstToken, interToken, endToEnd *hdrhistogram.Histogram
 	}
 )
 
-// Met tells whether the request ended whole before its deadline.
+// Met reports whether the request was completed, with the whole response, before its
+// deadline.
 func (r *Request) Met() bool { return r.Outcome == "done" && r.Whole && r.Total <= r.Deadline }
 
-// Add records a request.
+// Add records the result of a request.
 func (r *Recorder) Add(q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,7 +143,7 @@
 	r.moves = append(r.moves, m)
 }
 
-// Summary sums up what was recorded.
+// Summary returns the summary of the recorded requests and moves.
 func (r *Recorder) Summary(m Meta) *Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,9 +172,9 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
-		s.Kinds = append(s.Kinds, kinds[name].sum())
+		s.Kinds = append(s.Kinds, kinds[name].result())
 	}
-	s.All, s.Urgent = all.sum(), urgent.sum()
+	s.All, s.Urgent = all.result(), urgent.result()
 	s.ValueAttainment, s.ValueOfBound = ratio(met, value), ratio(met, bound)
 	s.PerAccelerator = ratio(float64(s.All.Met), float64(m.Accelerators)*m.Duration.Seconds())
 	s.WorstTeam = r.worstTeam()
@@ -181,8 +182,8 @@
 	return s
 }
 
-// worstTeam returns the least attainment of a team with at least ten
-// requests.
+// worstTeam returns the lowest attainment of the teams with at least ten requests, and
+// 1 if there are none.
 func (r *Recorder) worstTeam() float64 {
 	offered, met := map[string]int{}, map[string]int{}
 	for i := range r.requests {
@@ -192,19 +193,20 @@
 		}
 	}
 	worst := 1.0
-	for c, n := range offered {
+	for team, n := range offered {
 		if n >= 10 {
-			worst = min(worst, float64(met[c])/float64(n))
+			worst = min(worst, float64(met[team])/float64(n))
 		}
 	}
 	return worst
 }
 
-// series returns the seconds of the run by the requests' intended send time.
+// series returns the points of the run. Requests are counted at their intended send
+// time.
 func (r *Recorder) series() []Point {
 	points := map[int]*Point{}
-	at := func(d time.Duration) *Point {
-		second := int(d / bucket)
+	pointAt := func(d time.Duration) *Point {
+		second := int(d / seriesInterval)
 		if points[second] == nil {
 			points[second] = &Point{Second: second}
 		}
@@ -212,7 +214,7 @@
 	}
 	for i := range r.requests {
 		q := &r.requests[i]
-		p := at(q.At)
+		p := pointAt(q.At)
 		p.Offered++
 		if q.Met() {
 			p.Met++
@@ -222,7 +224,7 @@
 		}
 	}
 	for _, m := range r.moves {
-		at(m.At).Moves++
+		pointAt(m.At).Moves++
 	}
 	out := make([]Point, 0, len(points))
 	for _, p := range points {
@@ -233,8 +235,10 @@
 }
 
 func newTally(name string) *tally {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowestMicros, highestMicros, digits) }
-	return &tally{Kind: Kind{Name: name, Refused: map[string]int{}}, first: h(), between: h(), total: h()}
+	h := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
+	}
+	return &tally{Kind: Kind{Name: name, Refused: map[string]int{}}, firstToken: h(), interToken: h(), endToEnd: h()}
 }
 
 func (t *tally) add(q *Request) {
@@ -246,31 +250,31 @@
 		t.Met++
 	}
 	if q.FirstToken > 0 {
-		record(t.first, q.FirstToken)
+		record(t.firstToken, q.FirstToken)
 	}
 	for _, g := range q.Gaps {
-		record(t.between, g)
+		record(t.interToken, g)
 	}
 	if q.Outcome != "done" {
 		t.Refused[q.Outcome+"/"+q.Reason]++
 		return
 	}
 	t.Done++
-	record(t.total, q.Total)
+	record(t.endToEnd, q.Total)
 	if !q.Whole {
 		t.Wrong++
 	}
 }
 
-func (t *tally) sum() Kind {
+func (t *tally) result() Kind {
 	k := t.Kind
 	k.Attainment = ratio(float64(k.Met), float64(k.Offered))
 	k.OfBound = ratio(float64(k.Met), float64(k.Bound))
-	k.FirstToken, k.Between, k.Total = quantiles(t.first), quantiles(t.between), quantiles(t.total)
+	k.FirstToken, k.Between, k.Total = quantiles(t.firstToken), quantiles(t.interToken), quantiles(t.endToEnd)
 	return k
 }
 
-// record enters a time; one beyond the histogram's range counts as the highest.
+// record adds a duration to a histogram. Durations outside its range are clamped.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
 }
--- a/internal/testbed/report/table.go
+++ b/internal/testbed/report/table.go
@@ -16,7 +16,7 @@
 	return e.Encode(s)
 }
 
-// WriteTable writes the summary for a terminal.
+// WriteTable writes the summary as a text table.
 func (s *Summary) WriteTable(w io.Writer) error {
 	m := s.Meta
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -29,7 +29,7 @@
 	}
 	_, _ = fmt.Fprintf(t, "value attainment %.4f (%.4f of the bound), met per accelerator and second %.3f, worst team %.3f, moves %d\n",
 		s.ValueAttainment, s.ValueOfBound, s.PerAccelerator, s.WorstTeam, s.Moves)
-	_, _ = fmt.Fprintf(t, "load tool late by %s (p99), processor time %.1f s, of all nodes %.1f s, largest node %.0f MB\n",
+	_, _ = fmt.Fprintf(t, "send delay of the load generator %s (p99), processor time %.1f s, of all nodes %.1f s, largest node %.0f MB\n",
 		m.SentLate, m.CPUSeconds, m.NodeCPUSeconds, float64(m.NodeMemory)/1e6)
 	for _, reason := range slices.Sorted(maps.Keys(s.Reasons)) {
 		_, _ = fmt.Fprintf(t, "%s\t%d\n", reason, s.Reasons[reason])
@@ -37,7 +37,7 @@
 	return t.Flush()
 }
 
-// String returns the three quantiles.
+// String returns the three quantiles, separated by slashes.
 func (q Quantiles) String() string { return fmt.Sprintf("%.0f/%.0f/%.0f", q.P50, q.P95, q.P99) }
 
 func orNone(s string) string {
