--- a/internal/testbed/experiment/client.go
+++ b/internal/testbed/experiment/client.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	// slack is how long after its deadline a request is given up by its caller.
-	slack = 2 * time.Second
-	// maxSends bounds how often a caller comes back with the same request.
+	// abandonAfter is the time after its deadline at which a client abandons a request.
+	abandonAfter = 2 * time.Second
+	// maxSends is the maximum number of attempts of a client for one request.
 	maxSends = 5
-	// lostReason is the reason of a request whose caller got no answer.
+	// lostReason is the reason of a request to which the client received no response.
 	lostReason = "connection-lost"
-	// maxLine bounds a line of a stream, in bytes.
+	// maxLine is the maximum length of a line of a stream, in bytes.
 	maxLine = 1 << 20
 
 	completionsPath = "/v1/completions"
@@ -39,14 +39,14 @@
 )
 
 type (
-	// balancer takes a node at random of those that answer.
+	// balancer selects a random node among those that have not been removed.
 	balancer struct {
 		mu     sync.Mutex
 		nodes  []string
 		random *rand.Rand
 	}
 
-	// client sends the requests of callers.
+	// client sends requests and reads their responses.
 	client struct {
 		http     *http.Client
 		balancer *balancer
@@ -54,11 +54,12 @@
 		start    time.Time
 	}
 
-	// answer is what a caller has got of an answer.
+	// answer is the part of the response to a request that was received, over all
+	// attempts.
 	answer struct {
 		lastID   string
 		tokens   []string
-		last     time.Time // of the last token
+		last     time.Time // arrival time of the last token
 		first    time.Time
 		gaps     []time.Duration
 		finished bool
@@ -66,7 +67,7 @@
 		reason   string
 	}
 
-	// completionBody is the body of a request.
+	// completionBody is the body of a completion request.
 	completionBody struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -91,14 +92,14 @@
 	return &balancer{nodes: append([]string(nil), nodes...), random: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// pick returns the address of a node.
+// pick returns the address of a random node.
 func (b *balancer) pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.nodes[b.random.IntN(len(b.nodes))]
 }
 
-// remove takes a node out.
+// remove removes a node, unless it is the last one.
 func (b *balancer) remove(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,20 +118,20 @@
 	}}}
 }
 
-// do sends one request and returns what became of it.
-func (c *client) do(ctx context.Context, a workload.Arrival) report.Request {
+// request sends one request, with retries, and returns its result.
+func (c *client) request(ctx context.Context, a workload.Arrival) report.Request {
 	at := c.start.Add(a.At)
 	deadline := time.Duration(a.Mix.DeadlineMS) * time.Millisecond
-	ctx, cancel := context.WithDeadline(ctx, at.Add(deadline+slack))
+	ctx, cancel := context.WithDeadline(ctx, at.Add(deadline+abandonAfter))
 	defer cancel()
 	prompt := a.Prompt()
 	body, err := json.Marshal(completionBody{Model: a.Model, Prompt: prompt, MaxTokens: a.Tokens, Stream: true})
 	if err != nil {
-		panic(err) // strings and numbers only
+		panic(err) // strings and numbers can always be encoded
 	}
 	got := &answer{}
 	for range maxSends {
-		if again := c.send(ctx, a, body, got); !again || ctx.Err() != nil {
+		if retry := c.send(ctx, a, body, got); !retry || ctx.Err() != nil {
 			break
 		}
 	}
@@ -149,15 +150,15 @@
 	return r
 }
 
-// send sends the request, or asks for the rest of its answer, and reads. It
-// returns true if the caller would come back.
-func (c *client) send(ctx context.Context, a workload.Arrival, body []byte, got *answer) (again bool) {
+// send sends the request, or resumes its stream if a part of it was received, and
+// reads the response. It reports whether the client should retry.
+func (c *client) send(ctx context.Context, a workload.Arrival, body []byte, got *answer) (retry bool) {
 	node := c.balancer.pick()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+completionsPath, bytes.NewReader(body))
 	if err != nil {
-		panic(err) // the address comes from a listener
+		panic(err) // the address comes from a listener, so that the URL is valid
 	}
-	req.GetBody = nil // the transport must not send it again by itself
+	req.GetBody = nil // prevents the transport from retrying the request
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+workload.Key(a.Team))
 	req.Header.Set("X-Kind", a.Mix.Name)
@@ -182,11 +183,12 @@
 	return !got.read(res.Body)
 }
 
-// read reads a stream and returns whether it came to its end.
+// read reads a stream and reports whether the stream ended, completely or with an error
+// event, before the connection broke.
 func (g *answer) read(r io.Reader) (ended bool) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, 4096), maxLine)
-	failed := false
+	errorSeen := false
 	id := ""
 	for s.Scan() {
 		line := s.Text()
@@ -194,11 +196,11 @@
 		case strings.HasPrefix(line, idPrefix):
 			id = line[len(idPrefix):]
 		case line == errorEvent:
-			failed = true
+			errorSeen = true
 		case line == dataPrefix+doneData:
 			return true
 		case strings.HasPrefix(line, dataPrefix):
-			if g.event([]byte(line[len(dataPrefix):]), id, failed) {
+			if g.event([]byte(line[len(dataPrefix):]), id, errorSeen) {
 				return true
 			}
 		}
@@ -206,7 +208,7 @@
 	return false
 }
 
-// event takes in one event and returns true if it is a failure.
+// event processes one event and reports whether it is a failure.
 func (g *answer) event(data []byte, id string, failed bool) bool {
 	var e event
 	if json.Unmarshal(data, &e) != nil || failed && e.Error == nil {
--- a/internal/testbed/experiment/doc.go
+++ b/internal/testbed/experiment/doc.go
@@ -1,18 +1,19 @@
-// Package experiment runs a seeded load against whole nodes and stand-ins in
-// one process, over real sockets, and reports what became of the requests.
+// Package experiment runs a seeded load against complete nodes and stand-ins over real
+// sockets and reports the results of the requests.
 //
 // # Method
 //
-// Package lab starts the platform, the engines and the nodes. The engines hold
-// a first placement from the start, so that a run doesn't begin with a hundred
-// loads. A balancer that takes a node at random stands before the nodes: it
-// sends a request whose connection was refused to another node, and a caller
-// whose stream broke comes back with Last-Event-ID through another node.
+// Package lab starts the platform, the engines and the nodes. The stand-ins run in the
+// process of the experiment, and each node in a process of its own. The engines have an
+// initial placement from the start, so that a run doesn't begin with a hundred loads.
+// Requests are sent to the nodes through a load balancer that selects a random node for
+// each attempt: a client retries a refused connection and resumes an interrupted stream
+// with Last-Event-ID.
 //
-// Times count from the intended send time. Each answer is held against the
-// tokens that the stand-in must give. Loads are seen in the engines' own
-// inventories. Delays between data centres and to clients are not part of a
-// run; they add at most twice Deployment.Delay a hop.
+// Latencies are measured from the intended send time. Each response is compared with
+// the tokens that the stand-in must generate. Loads are detected in the inventories of
+// the engines. A run doesn't include the network delays between data centres and to
+// clients, which would add at most twice Deployment.Delay per hop.
 //
 // # Usage
 //
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -17,28 +17,28 @@
 	os.Exit(m.Run())
 }
 
-// small returns a run of a quarter of Corella under light load.
-func small(fault string) experiment.Settings {
+// smallRun returns the settings of a short run of a quarter of Corella under light load.
+func smallRun(fault string) experiment.Settings {
 	return experiment.Settings{
 		Deployment: workload.Corella().Scaled(0.25), Nodes: 3, Load: 0.2, Duration: 2 * time.Second,
 		Warm: time.Second, Fault: fault,
 	}
 }
 
-// TestRun shows that every request of a run is accounted for, with and without
-// the loss of a node. It says nothing of attainment, which the machine's load
-// decides.
+// TestRun checks that every request of a run has a result and that no response belongs
+// to another request, with and without the loss of a node. It does not check the
+// attainment, which depends on the load of the machine.
 func TestRun(t *testing.T) {
 	for _, fault := range []string{"", experiment.NodeLoss} {
 		t.Run("fault "+fault, func(t *testing.T) {
-			set := small(fault)
+			set := smallRun(fault)
 			arrivals := workload.Generate(workload.Settings{Deployment: set.Deployment, Load: set.Load, Duration: set.Duration}, 1)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			s, err := set.Run(ctx)
 			require.NoError(t, err)
 			require.Equal(t, len(arrivals), s.All.Offered)
-			require.Zero(t, s.All.Wrong, "an answer that is not the request's own")
+			require.Zero(t, s.All.Wrong, "responses that differ from the expected one")
 			require.Positive(t, s.All.Met)
 			require.Equal(t, 3, s.Meta.Accelerators)
 			ended := s.All.Done
@@ -50,6 +50,7 @@
 	}
 }
 
+// TestSettingsAreChecked checks that unknown policies, planners and faults are rejected.
 func TestSettingsAreChecked(t *testing.T) {
 	for _, set := range []experiment.Settings{
 		{Deployment: workload.Corella(), Policy: "nonsense"},
@@ -62,6 +63,7 @@
 	}
 }
 
+// TestPlannerOf checks that the baseline policies select their own planners.
 func TestPlannerOf(t *testing.T) {
 	require.Equal(t, "lru", experiment.PlannerOf("round-robin"))
 	require.Equal(t, "static", experiment.PlannerOf("static"))
--- a/internal/testbed/experiment/moves.go
+++ b/internal/testbed/experiment/moves.go
@@ -9,16 +9,17 @@
 	"guavapaddle/internal/testbed/standin/engine"
 )
 
-// movesPeriod is how often inventories are looked at; no load is shorter.
-const movesPeriod = 40 * time.Millisecond
+// inventoryPeriod is the period at which inventories are read. No load is shorter, so
+// that none is missed.
+const inventoryPeriod = 40 * time.Millisecond
 
-// watchMoves records each load that an engine begins, until ctx ends.
+// watchMoves records each load that an engine starts, until ctx is done.
 func watchMoves(ctx context.Context, engines map[string]*engine.Engine, start time.Time, r *report.Recorder) {
 	seen := map[string]map[backend.Item]bool{}
 	for name, e := range engines {
-		seen[name] = items(e)
+		seen[name] = presentItems(e)
 	}
-	t := time.NewTicker(movesPeriod)
+	t := time.NewTicker(inventoryPeriod)
 	defer t.Stop()
 	for {
 		select {
@@ -27,7 +28,7 @@
 		case <-t.C:
 		}
 		for name, e := range engines {
-			now := items(e)
+			now := presentItems(e)
 			for i := range now {
 				if !seen[name][i] {
 					r.Moved(report.Move{At: time.Since(start), Server: name, Item: i.String()})
@@ -38,8 +39,8 @@
 	}
 }
 
-// items returns what an engine holds or loads.
-func items(e *engine.Engine) map[backend.Item]bool {
+// presentItems returns the items in the inventory of an engine, in any state.
+func presentItems(e *engine.Engine) map[backend.Item]bool {
 	out := map[backend.Item]bool{}
 	for _, i := range e.State().Inventory.Items {
 		out[i.Item] = true
--- a/internal/testbed/experiment/placement.go
+++ b/internal/testbed/experiment/placement.go
@@ -8,9 +8,10 @@
 	"guavapaddle/core/place"
 )
 
-// firstPlacement returns what each engine holds when a run begins: the plan for
-// empty engines without any demand, which is the same for all policies.
-func firstPlacement(doc *config.Document) map[string][]backend.Item {
+// initialPlacement returns the items that are resident on each engine when a run
+// starts: the plan for empty engines without demand, which is the same for all
+// policies.
+func initialPlacement(doc *config.Document) map[string][]backend.Item {
 	in := place.Input{Models: doc.Models, Adapters: doc.Adapters, Placement: doc.Placement}
 	for _, s := range doc.Servers {
 		in.Servers = append(in.Servers, place.Server{
@@ -21,8 +22,8 @@
 	return (&place.Gain{}).Plan(time.Time{}, in).Plan
 }
 
-// sizes returns the bytes of each declared item.
-func sizes(doc *config.Document) map[backend.Item]int64 {
+// itemBytes returns the size of each declared item.
+func itemBytes(doc *config.Document) map[backend.Item]int64 {
 	out := map[backend.Item]int64{}
 	for _, m := range doc.Models {
 		out[m.Item()] = m.Bytes
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -23,16 +23,17 @@
 
 const (
 	startTimeout = 60 * time.Second
-	// notice is the nodes' notice before a planned stop, at the end of a run.
-	notice = 10 * time.Millisecond
-	// loadBase is the part of a load that does not depend on its bytes.
+	// drainTime is the drain time of the nodes when they are stopped at the end of a
+	// run.
+	drainTime = 10 * time.Millisecond
+	// loadBase is the part of the duration of a load that doesn't depend on its size.
 	loadBase = 200 * time.Millisecond
-	// cacheBlocks is the prefix cache of an engine, in blocks of 64 bytes of
-	// prompt: 64 prefixes of 1 KiB with room for tails.
+	// cacheBlocks is the capacity of the prefix cache of an engine, in blocks of 64
+	// bytes of prompt: 64 prefixes of 1 KiB and as much again for the unique parts.
 	cacheBlocks = 2048
 )
 
-// run is one run while it goes on.
+// run is the state of a run in progress.
 type run struct {
 	set      Settings
 	lab      *lab.Lab
@@ -41,21 +42,21 @@
 	start    time.Time
 	balancer *balancer
 
-	processes []*exec.Cmd // nodes
+	processes []*exec.Cmd // processes of the nodes
 
-	mu   sync.Mutex
-	late []time.Duration // of the load tool's own sends
+	mu         sync.Mutex
+	sendDelays []time.Duration // delays of the load generator's own sends
 }
 
-// Run starts a whole system, sends the load and sums up.
+// Run starts a complete system, sends the load and returns a summary of the results.
 func (s Settings) Run(ctx context.Context) (*report.Summary, error) {
 	set, err := s.withDefaults()
 	if err != nil {
 		return nil, err
 	}
-	r := &run{set: set, arrivals: workload.Generate(set.load(), set.Seed)}
-	met := bound.Run(set.Deployment, r.arrivals)
-	r.build()
+	r := &run{set: set, arrivals: workload.Generate(set.loadSettings(), set.Seed)}
+	boundMet := bound.Run(set.Deployment, r.arrivals)
+	r.buildLab()
 	defer r.lab.Close()
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -65,25 +66,25 @@
 	if err := r.lab.WaitResident(starting); err != nil {
 		return nil, &StartError{Part: "models", Err: err}
 	}
-	if !pause(ctx, set.Warm) {
+	if !sleep(ctx, set.Warm) {
 		return nil, &StartError{Part: "load", Err: ctx.Err()}
 	}
 	cpu := cpuSeconds()
-	r.send(ctx, met)
+	r.sendLoad(ctx, boundMet)
 	cpu = cpuSeconds() - cpu
-	r.lab.Close() // gracefully, which ends the nodes' processor time
+	r.lab.Close() // graceful stop; the processor time of the nodes is known afterwards
 	return r.recorder.Summary(r.meta(cpu)), nil
 }
 
-// build sets the system up.
-func (r *run) build() {
+// buildLab configures the system.
+func (r *run) buildLab() {
 	d := r.set.Deployment
 	engines := make([]string, d.Engines)
 	for i := range engines {
 		engines[i] = "127.0.0.1:1" // replaced by the lab
 	}
 	doc := d.Document(engines)
-	first, bytes := firstPlacement(&doc), sizes(&doc)
+	initial, bytes := initialPlacement(&doc), itemBytes(&doc)
 	p := &platform.Platform{}
 	p.Weights.Rate, p.Weights.FullSpeed = d.LoadsPerSecond, d.FullSpeed
 	p.Weights.LoadTime = loadBase
@@ -92,43 +93,43 @@
 		Document: &doc, Nodes: r.set.Nodes, Platform: p, Log: zap.NewNop(),
 		Engine: func(e *engine.Engine, _ config.BackendServer) { r.engine(e) },
 		Started: func(e *engine.Engine, s config.BackendServer) {
-			for _, i := range first[s.Name] {
+			for _, i := range initial[s.Name] {
 				e.Preload(i, bytes[i])
 			}
 		},
 		Settings: func(n *node.Settings) {
-			n.Policy, n.Planner, n.Limit, n.Notice = r.set.Policy, r.set.Planner, r.set.Limit, notice
+			n.Policy, n.Planner, n.Limit, n.Notice = r.set.Policy, r.set.Planner, r.set.Limit, drainTime
 		},
 		Spawn: r.spawn,
 	}
 }
 
-// engine sets the timing of a stand-in.
+// engine sets the timing of an engine stand-in.
 func (r *run) engine(e *engine.Engine) {
 	d := r.set.Deployment
 	e.Step, e.StepSlope, e.Prefill = d.Step, d.StepSlope, d.Prefill
 	e.ReportLag, e.CacheLag, e.CacheBlocks = d.ReportLag, d.ReportLag, cacheBlocks
-	e.RestartAfter = time.Hour // a lost server stays away
+	e.RestartAfter = time.Hour // a lost server does not return during the run
 }
 
-// send sends the load and waits for the end of every request.
-func (r *run) send(ctx context.Context, met []bool) {
+// sendLoad sends the load and waits until every request has ended.
+func (r *run) sendLoad(ctx context.Context, boundMet []bool) {
 	r.start = time.Now()
 	r.balancer = newBalancer(r.lab.Callers, r.set.Seed)
-	c := newClient(r.balancer, r.items(), r.start)
-	watch, stop := context.WithCancel(ctx)
+	c := newClient(r.balancer, r.itemsByName(), r.start)
+	watchCtx, stop := context.WithCancel(ctx)
 	var watching sync.WaitGroup
-	watching.Go(func() { watchMoves(watch, r.lab.Engines, r.start, &r.recorder) })
-	watching.Go(func() { r.fault(watch) })
+	watching.Go(func() { watchMoves(watchCtx, r.lab.Engines, r.start, &r.recorder) })
+	watching.Go(func() { r.fault(watchCtx) })
 	var sending sync.WaitGroup
 	for _, a := range r.arrivals {
-		if !pause(ctx, time.Until(r.start.Add(a.At))) {
+		if !sleep(ctx, time.Until(r.start.Add(a.At))) {
 			break
 		}
-		r.noteLate(time.Since(r.start) - a.At)
+		r.recordSendDelay(time.Since(r.start) - a.At)
 		sending.Go(func() {
-			q := c.do(ctx, a)
-			q.Bound = met[a.Number]
+			q := c.request(ctx, a)
+			q.Bound = boundMet[a.Number]
 			r.recorder.Add(q)
 		})
 	}
@@ -137,23 +138,23 @@
 	watching.Wait()
 }
 
-func (r *run) noteLate(d time.Duration) {
+func (r *run) recordSendDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late = append(r.late, d)
+	r.sendDelays = append(r.sendDelays, d)
 }
 
-// items returns the declared items by name.
-func (r *run) items() map[string]backend.Item {
+// itemsByName returns the declared items by name.
+func (r *run) itemsByName() map[string]backend.Item {
 	out := map[string]backend.Item{}
-	for i := range sizes(r.lab.Document) {
+	for i := range itemBytes(r.lab.Document) {
 		out[i.Name] = i
 	}
 	return out
 }
 
 func (r *run) meta(cpu float64) report.Meta {
-	slices.Sort(r.late)
+	slices.Sort(r.sendDelays)
 	m := report.Meta{
 		Deployment: r.set.Deployment.Name, Policy: r.set.Policy, Planner: r.set.Planner, Fault: r.set.Fault,
 		Seed: r.set.Seed, Load: r.set.Load, Duration: r.set.Duration, MovePrice: r.set.MovePrice, Limit: r.set.Limit,
@@ -167,14 +168,14 @@
 			m.NodeMemory = max(m.NodeMemory, u.Maxrss*1024)
 		}
 	}
-	if n := len(r.late); n > 0 {
-		m.SentLate = r.late[n*99/100]
+	if n := len(r.sendDelays); n > 0 {
+		m.SentLate = r.sendDelays[n*99/100]
 	}
 	return m
 }
 
-// pause waits and returns false if ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and returns false if ctx is done first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -188,7 +189,7 @@
 	}
 }
 
-// cpuSeconds returns the processor time that this process has used.
+// cpuSeconds returns the processor time used by this process.
 func cpuSeconds() float64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -11,15 +11,16 @@
 	"guavapaddle/internal/testbed/workload"
 )
 
-// Faults that a run may have. Each comes at a third of the run.
+// Faults of a run. Each is injected after a third of the run unless stated otherwise.
 const (
-	// ServerLoss takes one engine away for good, the one with most in its batch.
+	// ServerLoss permanently stops the engine with the most running and waiting
+	// requests.
 	ServerLoss = "server-loss"
-	// NodeLoss ends one node at once, without a graceful shutdown.
+	// NodeLoss kills one node, without a graceful shutdown.
 	NodeLoss = "node-loss"
-	// TableDown closes the table service for a third of the run.
+	// TableDown makes the table service unavailable for a third of the run.
 	TableDown = "table-down"
-	// DemandShift moves the popularity to other items at half of the run.
+	// DemandShift moves the popularity to other items after half of the run.
 	DemandShift = "demand-shift"
 )
 
@@ -27,52 +28,52 @@
 	defaultNodes    = 8
 	defaultLoad     = 0.8
 	defaultDuration = 30 * time.Second
-	// defaultWarm is the time in which nodes hear of all servers and the first
-	// plan is made.
+	// defaultWarm is enough time for the nodes to discover all servers and for the
+	// first plan.
 	defaultWarm = 3 * time.Second
 )
 
 type (
-	// Settings sets up a run. The zero value of a field stands for its default;
-	// Deployment has none.
+	// Settings configures a run. A field with its zero value has its default;
+	// Deployment has no default.
 	Settings struct {
 		Deployment workload.Deployment
-		Policy     string        // of routing, default home
-		Planner    string        // default by Policy, see PlannerOf
+		Policy     string        // routing policy, default home
+		Planner    string        // default depends on Policy, see PlannerOf
 		Fault      string        // default none
 		Seed       uint64        // default 1
-		Load       float64       // mean work as a part of the capacity, default 0.8
-		Duration   time.Duration // of the arrivals, default 30 s
+		Load       float64       // mean work as a fraction of the capacity, default 0.8
+		Duration   time.Duration // duration of the arrivals, default 30 s
 		Nodes      int           // default 8
 		Warm       time.Duration // between readiness and the first request, default 3 s
-		MovePrice  float64       // default the deployment's; negative for zero
-		Limit      string        // of teams, default by cost
-		LogDir     string        // directory for the nodes' logs, default none
+		MovePrice  float64       // default is that of the deployment; negative for zero
+		Limit      string        // how the use of teams is limited, default by cost
+		LogDir     string        // directory for the logs of the nodes; logs are discarded if empty
 	}
 
-	// SettingError tells that a setting has no such value.
+	// SettingError reports a setting with an unknown value.
 	SettingError struct {
 		Name, Value string
 		Known       []string
 	}
 
-	// StartError tells that a part of the system did not start.
+	// StartError reports that a part of the system did not start.
 	StartError struct {
 		Part string
 		Err  error
 	}
 )
 
-// Error names the setting, its value and what is known.
+// Error names the setting, its value and the known values.
 func (e *SettingError) Error() string {
-	text := e.Name + " " + e.Value + " is unknown; known are"
+	text := e.Name + " " + e.Value + " is unknown; known values:"
 	for _, k := range e.Known {
 		text += " " + k
 	}
 	return text
 }
 
-// Error returns the part and the cause.
+// Error names the part and the cause.
 func (e *StartError) Error() string { return "start " + e.Part + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
@@ -81,13 +82,13 @@
 // Faults returns the names of all faults.
 func Faults() []string { return []string{ServerLoss, NodeLoss, TableDown, DemandShift} }
 
-// Deployments returns the deployments that a run can have, by name.
+// Deployments returns the available deployments by name.
 func Deployments() map[string]workload.Deployment {
 	return map[string]workload.Deployment{"corella": workload.Corella(), "kabinaki": workload.Kabinaki()}
 }
 
-// PlannerOf returns the planner that goes with a routing policy: the baselines
-// bring their own placement.
+// PlannerOf returns the default planner of a routing policy. The baseline policies
+// have planners of their own.
 func PlannerOf(policy string) string {
 	switch policy {
 	case route.NameRoundRobin:
@@ -99,8 +100,7 @@
 	}
 }
 
-// withDefaults returns s with each zero field at its default, or a
-// *SettingError.
+// withDefaults returns s with defaults for its zero fields, or a *SettingError.
 func (s Settings) withDefaults() (Settings, error) {
 	s.Policy = cmp.Or(s.Policy, route.NameHome)
 	s.Planner = cmp.Or(s.Planner, PlannerOf(s.Policy))
@@ -113,7 +113,7 @@
 	s.MovePrice = cmp.Or(s.MovePrice, s.Deployment.Placement.MovePrice)
 	s.MovePrice = max(0, s.MovePrice)
 	s.Deployment.Placement.MovePrice = s.MovePrice
-	for _, known := range []struct {
+	for _, setting := range []struct {
 		name, value string
 		values      []string
 	}{
@@ -122,15 +122,15 @@
 		{"limit", s.Limit, node.Limits()},
 		{"fault", s.Fault, append(Faults(), "")},
 	} {
-		if !slices.Contains(known.values, known.value) {
-			return s, &SettingError{Name: known.name, Value: known.value, Known: known.values}
+		if !slices.Contains(setting.values, setting.value) {
+			return s, &SettingError{Name: setting.name, Value: setting.value, Known: setting.values}
 		}
 	}
 	return s, nil
 }
 
-// load returns the settings of the load.
-func (s Settings) load() workload.Settings {
+// loadSettings returns the settings of the load.
+func (s Settings) loadSettings() workload.Settings {
 	w := workload.Settings{Deployment: s.Deployment, Load: s.Load, Duration: s.Duration}
 	if s.Fault == DemandShift {
 		w.Shift = s.Duration / 2
--- a/internal/testbed/experiment/spawn.go
+++ b/internal/testbed/experiment/spawn.go
@@ -27,9 +27,9 @@
 	maxLogLine     = 1 << 16
 )
 
-// RunNode runs the command line of guavapaddle and ends the process if this
-// process was started by an experiment to be a node. Programs and tests that
-// run experiments call it first.
+// RunNode runs the command line of guavapaddle and exits if this process was started
+// by an experiment as a node. Programs and tests that run experiments must call it
+// first.
 func RunNode() {
 	if os.Getenv(nodeVariable) == "" {
 		return
@@ -41,12 +41,13 @@
 	os.Exit(code)
 }
 
-// spawn starts a node as a process of its own, so that it can be lost as a VM
-// is lost, and its processor time and memory be told from the stand-ins'.
+// spawn starts a node in a process of its own, so that the node can be killed as if
+// its VM failed, and so that its processor time and memory are separate from those of
+// the stand-ins.
 func (r *run) spawn(s node.Settings) (*lab.Process, node.Addresses, error) {
 	program, err := os.Executable()
 	if err != nil {
-		return nil, node.Addresses{}, eris.Wrap(err, "own program")
+		return nil, node.Addresses{}, eris.Wrap(err, "path of this program")
 	}
 	cmd := exec.Command(program, arguments(s)...)
 	cmd.Env = append(os.Environ(), nodeVariable+"=1")
@@ -61,7 +62,7 @@
 	listening, done := make(chan node.Addresses, 1), make(chan error, 1)
 	log := r.logFile(s.Name)
 	go func() {
-		follow(out, listening, log)
+		copyLog(out, listening, log)
 		done <- cmd.Wait()
 	}()
 	r.processes = append(r.processes, cmd)
@@ -75,14 +76,14 @@
 		if ok {
 			return p, a, nil
 		}
-		return nil, a, &StartError{Part: s.Name, Err: eris.New("it ended")}
+		return nil, a, &StartError{Part: s.Name, Err: eris.New("process exited before it was listening")}
 	case <-time.After(listenTimeout):
 		p.Kill()
-		return nil, node.Addresses{}, &StartError{Part: s.Name, Err: eris.New("it does not listen")}
+		return nil, node.Addresses{}, &StartError{Part: s.Name, Err: eris.New("process was not listening in time")}
 	}
 }
 
-// arguments returns the command line of a node.
+// arguments returns the command-line arguments of a node.
 func arguments(s node.Settings) []string {
 	return []string{
 		"node", "-name", s.Name, "-data-centre", s.DataCentre, "-callers", s.Callers, "-peers", s.Peers,
@@ -92,18 +93,19 @@
 	}
 }
 
-// follow reads a node's log to its end, tells its addresses and copies the log.
-func follow(out io.Reader, listening chan<- node.Addresses, log io.Writer) {
+// copyLog copies the log of a node to log until it ends, and sends the addresses in it
+// to listening.
+func copyLog(out io.Reader, listening chan<- node.Addresses, log io.Writer) {
 	defer close(listening)
 	s := bufio.NewScanner(out)
 	s.Buffer(make([]byte, 0, maxLogLine), maxLogLine)
-	told := false
+	sent := false
 	for s.Scan() {
 		line := s.Text()
-		if !told && field(line, eventKey) == listeningEvent {
-			told = true
+		if !sent && logField(line, eventKey) == listeningEvent {
+			sent = true
 			listening <- node.Addresses{
-				Callers: field(line, "callers"), Peers: field(line, "peers"), Operators: field(line, "operators"),
+				Callers: logField(line, "callers"), Peers: logField(line, "peers"), Operators: logField(line, "operators"),
 			}
 		}
 		_, _ = io.WriteString(log, line+"\n")
@@ -111,8 +113,9 @@
 	_, _ = io.Copy(io.Discard, out)
 }
 
-// field returns the value of a field in a line key=value, if it has no spaces.
-func field(line, key string) string {
+// logField returns the value of a field key=value in a log line. The value must not
+// contain spaces.
+func logField(line, key string) string {
 	for _, f := range strings.Fields(line) {
 		if v, ok := strings.CutPrefix(f, key+"="); ok {
 			return v
@@ -121,7 +124,8 @@
 	return ""
 }
 
-// logFile returns where a node's log goes.
+// logFile returns the destination of the log of a node. The log is discarded if there
+// is no log directory or the file can't be created.
 func (r *run) logFile(name string) io.Writer {
 	if r.set.LogDir == "" {
 		return io.Discard
