--- a/internal/testbed/measure/callers.go
+++ b/internal/testbed/measure/callers.go
@@ -15,27 +15,27 @@
 	idlePerHost = 64
 )
 
-// call sends requests at the size's rate to random nodes until ctx ends.
-// Answers are read and not looked at.
-func call(ctx context.Context, s Size, nodes []string) {
+// sendRequests sends requests at the rate of s to random nodes until ctx is done.
+// Responses are read and discarded.
+func sendRequests(ctx context.Context, s Size, nodes []string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerHost}, Timeout: deadlineMS * time.Millisecond}
 	random := rand.New(rand.NewPCG(1, 1))
-	t := time.NewTicker(time.Duration(float64(time.Second) / s.Rate))
-	defer t.Stop()
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / s.Rate))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		team := random.IntN(s.Teams)
-		model := ModelName((team + random.IntN(min(modelsEach, s.Models))) % s.Models)
-		go one(ctx, client, nodes[random.IntN(len(nodes))], Key(team), model)
+		model := ModelName((team + random.IntN(min(modelsPerTeam, s.Models))) % s.Models)
+		go sendRequest(ctx, client, nodes[random.IntN(len(nodes))], Key(team), model)
 	}
 }
 
-// one sends one request.
-func one(ctx context.Context, client *http.Client, node, key, model string) {
+// sendRequest sends one request and discards the response.
+func sendRequest(ctx context.Context, client *http.Client, node, key, model string) {
 	body, err := json.Marshal(map[string]any{"model": model, "prompt": "p", "max_tokens": callTokens})
 	if err != nil {
 		return
--- a/internal/testbed/measure/fit.go
+++ b/internal/testbed/measure/fit.go
@@ -6,19 +6,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Line is y = Intercept + Slope·x. R2 is the part of the variance of y that it
-// explains, from 0 to 1; 1 if y does not vary.
+// Line is the line y = Intercept + Slope·x. R2 is the fraction of the variance of y
+// that it explains, from 0 to 1; it is 1 if y is constant.
 type Line struct {
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
 	R2        float64 `json:"r2"`
 }
 
-// Fit returns the line through points by least squares. It panics if xs and ys
-// differ in length or if there are fewer than two different x.
+// Fit returns the least-squares line through the points. It panics if xs and ys differ
+// in length or if xs has fewer than two different values.
 func Fit(xs, ys []float64) Line {
 	if len(xs) != len(ys) || len(xs) < 2 || slices.Min(xs) == slices.Max(xs) {
-		panic(errFit)
+		panic(errTooFewPoints)
 	}
 	a, b := stat.LinearRegression(xs, ys, nil, false)
 	l := Line{Intercept: a, Slope: b, R2: 1}
@@ -28,20 +28,20 @@
 	return l
 }
 
-// At returns y at x.
+// At returns the value of y at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// errFit is what Fit panics with.
-const errFit = misuse("measure: a line needs two different points")
+// errTooFewPoints is the value with which Fit panics.
+const errTooFewPoints = usagePanic("measure: a line needs two points with different x, and as many ys as xs")
 
-// misuse is an error of a programmer.
-type misuse string
+// usagePanic is the type of panic values that report incorrect use of the package.
+type usagePanic string
 
-// Error returns the text of m.
-func (m misuse) Error() string { return string(m) }
+// Error returns the text of p.
+func (p usagePanic) Error() string { return string(p) }
 
-// median returns the middle of xs, the mean of the middle two if their count is
-// even.
+// median returns the median of xs, the mean of the middle two values if their number
+// is even.
 func median(xs []float64) float64 {
 	sorted := slices.Sorted(slices.Values(xs))
 	n := len(sorted)
--- a/internal/testbed/measure/measure_test.go
+++ b/internal/testbed/measure/measure_test.go
@@ -18,7 +18,8 @@
 
 const standInsVariable = "GUAVAPADDLE_MEASURE_TEST_STAND_INS"
 
-// TestMain runs the stand-ins if the process was started for that.
+// TestMain runs the stand-ins instead of the tests if TestRun started this process for
+// them.
 func TestMain(m *testing.M) {
 	if os.Getenv(standInsVariable) == "" {
 		os.Exit(m.Run())
@@ -32,6 +33,7 @@
 	}
 }
 
+// TestFit checks the fitted lines, and that Fit panics on invalid points.
 func TestFit(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -54,7 +56,8 @@
 	require.Panics(t, func() { measure.Fit([]float64{1, 2}, []float64{1}) })
 }
 
-func TestSizeFlagsComeBack(t *testing.T) {
+// TestSizeFlagsRoundTrip checks that Register parses the output of Flags.
+func TestSizeFlagsRoundTrip(t *testing.T) {
 	want := measure.Size{Nodes: 3, Servers: 5, Models: 7, Adapters: 11, Teams: 13, Rate: 2.5}
 	var got measure.Size
 	fs := flag.NewFlagSet("size", flag.ContinueOnError)
@@ -63,6 +66,8 @@
 	require.Equal(t, want, got)
 }
 
+// TestSizeWith checks the variation of dimensions and the errors for unknown dimensions
+// and invalid values.
 func TestSizeWith(t *testing.T) {
 	base := measure.Size{Nodes: 8, Servers: 16, Models: 50, Teams: 20}
 	ray, err := base.With(measure.Ray, 32)
@@ -85,6 +90,8 @@
 	require.Empty(t, d.Validate())
 }
 
+// TestSweepTable checks that a table omits values that are always zero, and by default
+// those of the node with the maximum.
 func TestSweepTable(t *testing.T) {
 	points := []measure.Point{
 		{Values: map[string]float64{"a bytes sent": 10, "max a bytes sent": 11, "b seconds": 0}},
@@ -102,7 +109,8 @@
 	require.Contains(t, string(text), `"slope":10`)
 }
 
-// TestRun measures two nodes with four servers.
+// TestRun checks a measurement of two nodes with four servers, and that an empty size
+// is rejected.
 func TestRun(t *testing.T) {
 	t.Setenv(standInsVariable, "1")
 	program, err := os.Executable()
--- a/internal/testbed/measure/point.go
+++ b/internal/testbed/measure/point.go
@@ -30,60 +30,60 @@
 )
 
 const (
-	anyPort     = "127.0.0.1:0"
-	pollPeriod  = 100 * time.Millisecond
-	controlName = "guavapaddle_control_bytes_total"
-	spentName   = "guavapaddle_control_seconds_total"
-	datagrams   = "guavapaddle_peer_datagram_bytes_total"
-	processor   = "processor seconds"
+	anyPort            = "127.0.0.1:0"
+	pollPeriod         = 100 * time.Millisecond
+	controlBytesName   = "guavapaddle_control_bytes_total"
+	controlSecondsName = "guavapaddle_control_seconds_total"
+	datagramBytesName  = "guavapaddle_peer_datagram_bytes_total"
+	processorSeconds   = "processor seconds"
 )
 
 type (
-	// Settings are how a point is measured.
+	// Settings configures the measurement of a point.
 	Settings struct {
-		StandIns []string      // command that runs StandIns
-		Ready    time.Duration // the longest start
-		Settle   time.Duration // from ready to the first window
+		StandIns []string      // command that runs the function StandIns
+		Ready    time.Duration // maximum time until all nodes are ready
+		Settle   time.Duration // delay between readiness and the first window
 		Window   time.Duration
 		Windows  int
 	}
 
-	// Point is what was measured at one size, each figure of one node.
+	// Point is the measurement at one size. Its values are per node.
 	Point struct {
 		Size Size `json:"size"`
-		// Values holds the mean over all nodes, by name; a name with "max "
-		// the node with the most.
+		// Values holds the means over all nodes by name, and under names with the
+		// prefix "max " the maximum of a node.
 		Values map[string]float64 `json:"values"`
-		Load   float64            `json:"load-average"` // of the machine, at the end
+		Load   float64            `json:"load-average"` // of the machine, at the end of the measurement
 	}
 
-	// NotReady tells what had not come about in time.
+	// NotReady reports a condition that was not met in time.
 	NotReady struct{ What string }
 
-	// bench is a point under way.
-	bench struct {
-		size  Size
-		set   Settings
-		dir   string
-		at    standIns
-		in    io.WriteCloser
-		nodes []*node.Node
-		calls []string
+	// measurement is the state of a measurement in progress.
+	measurement struct {
+		size            Size
+		set             Settings
+		dir             string
+		standIns        standInAddresses
+		stdin           io.WriteCloser
+		nodes           []*node.Node
+		callerAddresses []string
 	}
 
-	// reading is the state of all counters at one moment: sums over all nodes,
-	// and the most of one.
-	reading struct {
+	// snapshot holds the counters of each node and the processor time of the
+	// process at one time.
+	snapshot struct {
 		at    time.Time
 		cpu   time.Duration
 		nodes []map[string]float64
 	}
 )
 
-// Error tells what is missing.
+// Error names the condition that is not met.
 func (e *NotReady) Error() string { return "not ready in time: " + e.What }
 
-// Run measures a point. The process should do nothing else and end after it.
+// Run measures a point. The process should do nothing else and should exit afterwards.
 func Run(ctx context.Context, s Size, set Settings) (Point, error) {
 	if err := s.Check(); err != nil {
 		return Point{}, err
@@ -92,64 +92,64 @@
 	if err != nil {
 		return Point{}, eris.Wrap(err, "measure")
 	}
-	b := &bench{size: s, set: set, dir: dir}
+	m := &measurement{size: s, set: set, dir: dir}
 	defer func() { _ = os.RemoveAll(dir) }()
-	if err := b.start(ctx); err != nil {
+	if err := m.start(ctx); err != nil {
 		return Point{}, err
 	}
-	defer func() { _ = b.in.Close() }()
-	if err := b.ready(ctx); err != nil {
+	defer func() { _ = m.stdin.Close() }()
+	if err := m.waitReady(ctx); err != nil {
 		return Point{}, err
 	}
-	if err := json.NewEncoder(b.in).Encode(callersAt{Callers: b.calls}); err != nil {
-		return Point{}, eris.Wrap(err, "tell callers")
+	if err := json.NewEncoder(m.stdin).Encode(nodeAddresses{Callers: m.callerAddresses}); err != nil {
+		return Point{}, eris.Wrap(err, "send node addresses")
 	}
-	return b.measure(ctx)
+	return m.measure(ctx)
 }
 
 // start starts the stand-ins and the nodes.
-func (b *bench) start(ctx context.Context) error {
-	cmd := exec.CommandContext(ctx, b.set.StandIns[0], append(b.set.StandIns[1:], b.size.Flags()...)...)
+func (m *measurement) start(ctx context.Context) error {
+	cmd := exec.CommandContext(ctx, m.set.StandIns[0], append(m.set.StandIns[1:], m.size.Flags()...)...)
 	cmd.Stderr = os.Stderr
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return eris.Wrap(err, "stand-ins")
 	}
-	if b.in, err = cmd.StdinPipe(); err != nil {
+	if m.stdin, err = cmd.StdinPipe(); err != nil {
 		return eris.Wrap(err, "stand-ins")
 	}
 	if err := cmd.Start(); err != nil {
 		return eris.Wrap(err, "stand-ins")
 	}
-	if err := json.NewDecoder(bufio.NewReader(out)).Decode(&b.at); err != nil {
+	if err := json.NewDecoder(bufio.NewReader(out)).Decode(&m.standIns); err != nil {
 		return eris.Wrap(err, "addresses of stand-ins")
 	}
-	a := &configsync.Applier{Table: &table.Client{Address: b.at.Platform}, Store: &object.Client{Address: b.at.Platform}, Operator: "measure"}
-	if _, err := a.Apply(ctx, b.size.Document(b.at.Engines)); err != nil {
+	a := &configsync.Applier{Table: &table.Client{Address: m.standIns.Platform}, Store: &object.Client{Address: m.standIns.Platform}, Operator: "measure"}
+	if _, err := a.Apply(ctx, m.size.Document(m.standIns.Engines)); err != nil {
 		return err
 	}
 	var names []string
-	for i := range b.size.Nodes {
+	for i := range m.size.Nodes {
 		names = append(names, fmt.Sprintf("node-%03d", i))
 	}
-	if err := keys.Generate(b.dir, names); err != nil {
+	if err := keys.Generate(m.dir, names); err != nil {
 		return err
 	}
 	for i, name := range names {
-		if err := b.startNode(ctx, i, name); err != nil {
+		if err := m.startNode(ctx, i, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startNode starts one node and lists its VM.
-func (b *bench) startNode(ctx context.Context, i int, name string) error {
+// startNode starts one node and adds its VM to the VM list.
+func (m *measurement) startNode(ctx context.Context, i int, name string) error {
 	s := node.Settings{
 		Name: name, DataCentre: fmt.Sprintf("dc-%d", i%dataCentres+1),
 		Callers: anyPort, Peers: anyPort, Operators: anyPort,
-		Table: b.at.Platform, Objects: b.at.Platform, VMList: b.at.Platform,
-		CA: filepath.Join(b.dir, "ca.pem"), Cert: filepath.Join(b.dir, name+".pem"), Key: filepath.Join(b.dir, name+".key"),
+		Table: m.standIns.Platform, Objects: m.standIns.Platform, VMList: m.standIns.Platform,
+		CA: filepath.Join(m.dir, "ca.pem"), Cert: filepath.Join(m.dir, name+".pem"), Key: filepath.Join(m.dir, name+".key"),
 		Policy: "home", Planner: "gain", Limit: "cost", LogLevel: "info", Seed: uint64(i + 1),
 	}
 	n, err := node.New(s, zap.NewNop())
@@ -161,111 +161,113 @@
 		return err
 	}
 	go func() { _ = n.Run(context.WithoutCancel(ctx)) }()
-	b.nodes, b.calls = append(b.nodes, n), append(b.calls, a.Callers)
-	list := &vmlist.Client{Address: b.at.Platform}
+	m.nodes, m.callerAddresses = append(m.nodes, n), append(m.callerAddresses, a.Callers)
+	list := &vmlist.Client{Address: m.standIns.Platform}
 	return list.Set(ctx, vmlist.VM{Name: name, Address: a.Peers, Role: vmlist.Node, DataCentre: s.DataCentre, State: vmlist.Live})
 }
 
-// ready waits until every node knows every other and all servers are owned.
-func (b *bench) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, b.set.Ready)
+// waitReady waits until every node knows all nodes and all servers have an owner.
+func (m *measurement) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, m.set.Ready)
 	defer cancel()
 	t := time.NewTicker(pollPeriod)
 	defer t.Stop()
 	for {
-		missing := b.missing()
-		if missing == "" {
+		unmetCondition := m.unmetCondition()
+		if unmetCondition == "" {
 			break
 		}
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return &NotReady{What: missing}
+			return &NotReady{What: unmetCondition}
 		}
 	}
-	time.Sleep(b.set.Settle)
+	time.Sleep(m.set.Settle)
 	return nil
 }
 
-// missing tells what some node lacks, empty if nothing.
-func (b *bench) missing() string {
+// unmetCondition returns a condition for readiness that is not met yet, empty if there
+// is none.
+func (m *measurement) unmetCondition() string {
 	owned := 0
-	for _, n := range b.nodes {
+	for _, n := range m.nodes {
 		r := n.Status()
-		if len(r.Nodes) != b.size.Nodes || !r.Ready {
-			return fmt.Sprintf("%s knows %d nodes of %d, ready: %v", r.Node, len(r.Nodes), b.size.Nodes, r.Ready)
+		if len(r.Nodes) != m.size.Nodes || !r.Ready {
+			return fmt.Sprintf("%s knows %d nodes of %d, ready: %v", r.Node, len(r.Nodes), m.size.Nodes, r.Ready)
 		}
-		if len(r.Servers) != b.size.Servers {
-			return fmt.Sprintf("%s knows %d servers of %d", r.Node, len(r.Servers), b.size.Servers)
+		if len(r.Servers) != m.size.Servers {
+			return fmt.Sprintf("%s knows %d servers of %d", r.Node, len(r.Servers), m.size.Servers)
 		}
 		owned += len(r.Leases)
 	}
-	if owned != b.size.Servers {
-		return fmt.Sprintf("%d of %d servers are owned", owned, b.size.Servers)
+	if owned != m.size.Servers {
+		return fmt.Sprintf("%d of %d servers are owned", owned, m.size.Servers)
 	}
 	return ""
 }
 
-// measure reads the counters at the ends of the windows.
-func (b *bench) measure(ctx context.Context) (Point, error) {
+// measure reads the counters at the ends of the windows and returns the point.
+func (m *measurement) measure(ctx context.Context) (Point, error) {
 	rates := map[string][]float64{}
-	before, err := b.read()
+	before, err := m.read()
 	if err != nil {
 		return Point{}, err
 	}
-	for range b.set.Windows {
+	for range m.set.Windows {
 		select {
-		case <-time.After(b.set.Window):
+		case <-time.After(m.set.Window):
 		case <-ctx.Done():
 			return Point{}, context.Cause(ctx)
 		}
-		after, err := b.read()
+		after, err := m.read()
 		if err != nil {
 			return Point{}, err
 		}
-		for name, v := range after.since(before) {
+		for name, v := range after.ratesSince(before) {
 			rates[name] = append(rates[name], v)
 		}
 		before = after
 	}
-	p := Point{Size: b.size, Values: map[string]float64{}, Load: loadAverage()}
+	p := Point{Size: m.size, Values: map[string]float64{}, Load: loadAverage()}
 	for name, all := range rates {
 		p.Values[name] = stat.Mean(all, nil)
 	}
-	p.Values[processor] = median(rates[processor]) // other processes disturb it
-	b.memory(p.Values)
+	p.Values[processorSeconds] = median(rates[processorSeconds]) // the median is robust against other processes
+	m.addMemory(p.Values)
 	return p, nil
 }
 
-// memory adds what a node keeps.
-func (b *bench) memory(values map[string]float64) {
-	values["goroutines"] = float64(runtime.NumGoroutine()) / float64(len(b.nodes))
+// addMemory adds the goroutines, the heap and the stacks per node. It collects garbage
+// before it reads the size of the heap.
+func (m *measurement) addMemory(values map[string]float64) {
+	values["goroutines"] = float64(runtime.NumGoroutine()) / float64(len(m.nodes))
 	runtime.GC()
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	values["heap bytes"] = float64(m.HeapAlloc) / float64(len(b.nodes))
-	values["stack bytes"] = float64(m.StackInuse) / float64(len(b.nodes))
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	values["heap bytes"] = float64(stats.HeapAlloc) / float64(len(m.nodes))
+	values["stack bytes"] = float64(stats.StackInuse) / float64(len(m.nodes))
 }
 
-// read reads all counters.
-func (b *bench) read() (reading, error) {
+// read returns the current counters of all nodes.
+func (m *measurement) read() (snapshot, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return reading{}, eris.Wrap(err, "processor time")
+		return snapshot{}, eris.Wrap(err, "processor time")
 	}
-	r := reading{at: time.Now(), cpu: time.Duration(u.Utime.Nano() + u.Stime.Nano())}
-	for _, n := range b.nodes {
+	s := snapshot{at: time.Now(), cpu: time.Duration(u.Utime.Nano() + u.Stime.Nano())}
+	for _, n := range m.nodes {
 		values, err := counters(n.Gatherer())
 		if err != nil {
-			return r, err
+			return s, err
 		}
-		r.nodes = append(r.nodes, values)
+		s.nodes = append(s.nodes, values)
 	}
-	return r, nil
+	return s, nil
 }
 
-// counters returns a node's counters by short name.
+// counters returns the counters of a node by their short names.
 func counters(g prometheus.Gatherer) (map[string]float64, error) {
 	families, err := g.Gather()
 	if err != nil {
@@ -273,7 +275,7 @@
 	}
 	out := map[string]float64{}
 	for _, f := range families {
-		if !slices.Contains([]string{controlName, spentName, datagrams}, f.GetName()) {
+		if !slices.Contains([]string{controlBytesName, controlSecondsName, datagramBytesName}, f.GetName()) {
 			continue
 		}
 		for _, m := range f.GetMetric() {
@@ -281,7 +283,7 @@
 			for _, l := range m.GetLabel() {
 				labels[l.GetName()] = l.GetValue()
 			}
-			out[short(f.GetName(), labels)] += m.GetCounter().GetValue()
+			out[shortName(f.GetName(), labels)] += m.GetCounter().GetValue()
 		}
 	}
 	for name, v := range maps.Clone(out) {
@@ -292,33 +294,33 @@
 	return out, nil
 }
 
-// short names a counter in tables.
-func short(name string, labels map[string]string) string {
+// shortName returns the name of a counter in tables.
+func shortName(name string, labels map[string]string) string {
 	switch name {
-	case controlName:
+	case controlBytesName:
 		return labels["kind"] + " bytes " + labels["direction"]
-	case spentName:
+	case controlSecondsName:
 		return labels["kind"] + " seconds"
 	}
 	return "datagram bytes"
 }
 
-// since returns the rates from before to r, each a second.
-func (r reading) since(before reading) map[string]float64 {
-	seconds := r.at.Sub(before.at).Seconds()
-	out := map[string]float64{processor: (r.cpu - before.cpu).Seconds() / seconds / float64(len(r.nodes))}
-	for i, values := range r.nodes {
+// ratesSince returns the mean and maximum rates per second between before and s.
+func (s snapshot) ratesSince(before snapshot) map[string]float64 {
+	seconds := s.at.Sub(before.at).Seconds()
+	out := map[string]float64{processorSeconds: (s.cpu - before.cpu).Seconds() / seconds / float64(len(s.nodes))}
+	for i, values := range s.nodes {
 		for name, v := range values {
 			rate := (v - before.nodes[i][name]) / seconds
-			out[name] += rate / float64(len(r.nodes))
+			out[name] += rate / float64(len(s.nodes))
 			out["max "+name] = max(out["max "+name], rate)
 		}
 	}
 	return out
 }
 
-// loadAverage returns the machine's load average over a minute, zero if it
-// can't be read.
+// loadAverage returns the one-minute load average of the machine, zero if it can't be
+// read.
 func loadAverage() float64 {
 	var load float64
 	text, err := os.ReadFile("/proc/loadavg")
--- a/internal/testbed/measure/size.go
+++ b/internal/testbed/measure/size.go
@@ -19,28 +19,28 @@
 	kvReserve     = int64(1e9)
 	slots         = 64
 	stepMS        = 7
-	modelsEach    = 3 // that a team may call
+	modelsPerTeam = 3 // models that a team may use
 	deadlineMS    = 10_000
 	kindName      = "live"
 	orderLifetime = 30_000
 )
 
 type (
-	// Size is how much there is of everything.
+	// Size is the size of a measured system.
 	Size struct {
 		Nodes    int     `json:"nodes"`
 		Servers  int     `json:"servers"` // model engines
 		Models   int     `json:"models"`
-		Adapters int     `json:"adapters"` // in all
+		Adapters int     `json:"adapters"` // in total
 		Teams    int     `json:"teams"`
-		Rate     float64 `json:"rate"` // requests a second to all nodes together
+		Rate     float64 `json:"rate"` // requests per second, to all nodes together
 	}
 
 	// Dimension names a field of Size, or "ray": nodes with twice as many
 	// servers.
 	Dimension string
 
-	// UsageError tells that something was asked for that can't be measured.
+	// UsageError reports a request that can't be measured.
 	UsageError struct{ Text string }
 )
 
@@ -51,20 +51,20 @@
 	Models  Dimension = "models"
 	Teams   Dimension = "teams"
 	Rate    Dimension = "rate"
-	// Ray varies nodes and servers together, two servers a node, as the size
-	// of two years from now has them.
+	// Ray varies nodes and servers together, with two servers per node, as in the
+	// size expected in two years.
 	Ray Dimension = "ray"
 )
 
 const (
-	serversEach  = 2 // servers a node on the ray
-	adaptersEach = 3 // adapters a model when models vary
+	serversPerNode   = 2 // servers per node on the ray
+	adaptersPerModel = 3 // adapters per model when the models vary
 )
 
-// Error returns what is wrong.
+// Error describes the invalid request.
 func (e *UsageError) Error() string { return e.Text }
 
-// Register declares the flags of a size with the values of s as defaults.
+// Register defines the flags of a size, with the values of s as defaults.
 func (s *Size) Register(f *flag.FlagSet) {
 	f.IntVar(&s.Nodes, "nodes", s.Nodes, "nodes")
 	f.IntVar(&s.Servers, "servers", s.Servers, "model engines")
@@ -74,7 +74,7 @@
 	f.Float64Var(&s.Rate, "rate", s.Rate, "requests a second to all nodes together")
 }
 
-// Flags returns the command line that Register reads s from.
+// Flags returns the command-line arguments for the flags of Register.
 func (s Size) Flags() []string {
 	return []string{
 		"-nodes", strconv.Itoa(s.Nodes), "-servers", strconv.Itoa(s.Servers), "-models", strconv.Itoa(s.Models),
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// With returns s with value v of a dimension, or a *UsageError.
+// With returns s with dimension d set to v, or a *UsageError.
 func (s Size) With(d Dimension, v int) (Size, error) {
 	switch d {
 	case Nodes:
@@ -99,20 +99,20 @@
 	case Servers:
 		s.Servers = v
 	case Models:
-		s.Models, s.Adapters = v, v*adaptersEach
+		s.Models, s.Adapters = v, v*adaptersPerModel
 	case Teams:
 		s.Teams = v
 	case Rate:
 		s.Rate = float64(v)
 	case Ray:
-		s.Nodes, s.Servers = v, v*serversEach
+		s.Nodes, s.Servers = v, v*serversPerNode
 	default:
 		return s, &UsageError{Text: fmt.Sprintf("no dimension %q", d)}
 	}
 	return s, s.Check()
 }
 
-// Values reads whole numbers separated by commas.
+// Values parses integers separated by commas.
 func Values(text string) ([]int, error) {
 	var out []int
 	for _, part := range strings.Split(text, ",") {
@@ -131,7 +131,7 @@
 // ModelName returns the name of a model.
 func ModelName(i int) string { return fmt.Sprintf("model-%04d", i) }
 
-// Document returns a configuration of the size with servers at addresses.
+// Document returns a configuration of size s with its servers at the given addresses.
 func (s Size) Document(addresses []string) *config.Document {
 	d := &config.Document{Deployment: "measure", Limits: config.DefaultLimits(), Placement: config.DefaultPlacement()}
 	d.Kinds = []config.Kind{{Name: kindName, Urgency: config.Urgent, Value: 1, DeadlineMS: deadlineMS, Repeatable: true}}
@@ -150,17 +150,17 @@
 	}
 	for i := range s.Teams {
 		sum := sha256.Sum256([]byte(Key(i)))
-		c := config.Team{
+		team := config.Team{
 			Name: fmt.Sprintf("team-%04d", i), KeyHashes: []string{config.KeyHashPrefix + hex.EncodeToString(sum[:])},
 			Kinds: []string{kindName}, DefaultKind: kindName, Weight: 1,
 		}
-		for j := range min(modelsEach, s.Models) {
-			c.Models = append(c.Models, ModelName((i+j)%s.Models))
+		for j := range min(modelsPerTeam, s.Models) {
+			team.Models = append(team.Models, ModelName((i+j)%s.Models))
 		}
-		d.Teams = append(d.Teams, c)
+		d.Teams = append(d.Teams, team)
 	}
-	// Just enough memory for what is there from the start and for the change
-	// of one version, so that next to nothing moves while control is measured.
+	// The memory is just enough for the initial items and for one change of a version,
+	// so that almost no items are moved during the measurement.
 	for _, p := range s.placement(d) {
 		d.Servers[p.server].MemoryBytes += p.bytes
 	}
@@ -169,23 +169,23 @@
 	return d
 }
 
-// placed is an item and the server that has it from the start.
-type placed struct {
+// placedItem is an item and the index of the server on which it is initially resident.
+type placedItem struct {
 	item   backend.Item
 	bytes  int64
 	server int
 }
 
-// placement puts the items of d on servers, adapters with their models.
-func (s Size) placement(d *config.Document) []placed {
-	var out []placed
-	home := map[string]int{}
+// placement assigns the items of d to servers, adapters to the servers of their models.
+func (s Size) placement(d *config.Document) []placedItem {
+	var out []placedItem
+	serverOf := map[string]int{}
 	for i, m := range d.Models {
-		home[m.Name] = i % s.Servers
-		out = append(out, placed{item: m.Item(), bytes: m.Bytes, server: home[m.Name]})
+		serverOf[m.Name] = i % s.Servers
+		out = append(out, placedItem{item: m.Item(), bytes: m.Bytes, server: serverOf[m.Name]})
 	}
 	for _, a := range d.Adapters {
-		out = append(out, placed{item: a.Item(), bytes: a.Bytes, server: home[a.Model]})
+		out = append(out, placedItem{item: a.Item(), bytes: a.Bytes, server: serverOf[a.Model]})
 	}
 	return out
 }
--- a/internal/testbed/measure/standins.go
+++ b/internal/testbed/measure/standins.go
@@ -13,30 +13,30 @@
 	"guavapaddle/internal/testbed/standin/weights"
 )
 
-const weightsRate = 50 // loads a second, so that a start does not wait long
+const weightsRate = 50 // loads per second, high enough for a short start
 
 type (
-	// standIns is where the stand-ins of a point listen.
-	standIns struct {
+	// standInAddresses holds the addresses of the stand-ins of a point.
+	standInAddresses struct {
 		Platform string   `json:"platform"`
 		Engines  []string `json:"engines"`
 	}
 
-	// callersAt tells the stand-ins' process where callers find nodes.
-	callersAt struct {
+	// nodeAddresses holds the addresses to which clients send requests.
+	nodeAddresses struct {
 		Callers []string `json:"callers"`
 	}
 )
 
-// StandIns runs the stand-ins of a size until in ends: it writes where they
-// listen to out as one JSON line, and begins to call when it reads one with the
-// nodes' addresses.
+// StandIns runs the stand-ins of a size until in ends. It writes their addresses to out
+// as one line of JSON. It then reads a line of JSON with the addresses of the nodes
+// from in, and starts to send requests if the rate is not zero.
 func StandIns(ctx context.Context, s Size, in io.Reader, out io.Writer) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
 	p := &platform.Platform{Weights: weights.Store{Rate: weightsRate, FullSpeed: weightsRate, LoadTime: 10 * time.Millisecond}}
-	var at standIns
+	var at standInAddresses
 	var err error
 	if at.Platform, err = p.Start(); err != nil {
 		return eris.Wrap(err, "platform")
@@ -55,18 +55,18 @@
 		}
 		defer engines[i].Close()
 	}
-	for _, one := range s.placement(d) {
-		engines[one.server].Preload(one.item, one.bytes)
+	for _, placed := range s.placement(d) {
+		engines[placed.server].Preload(placed.item, placed.bytes)
 	}
 	if err := json.NewEncoder(out).Encode(at); err != nil {
-		return eris.Wrap(err, "tell addresses")
+		return eris.Wrap(err, "write addresses")
 	}
 	lines := json.NewDecoder(in)
-	var nodes callersAt
+	var nodes nodeAddresses
 	if lines.Decode(&nodes) == nil && s.Rate > 0 {
 		ctx, stop := context.WithCancel(ctx)
 		defer stop()
-		go call(ctx, s, nodes.Callers)
+		go sendRequests(ctx, s, nodes.Callers)
 	}
 	_, _ = io.Copy(io.Discard, in)
 	return nil
--- a/internal/testbed/measure/sweep.go
+++ b/internal/testbed/measure/sweep.go
@@ -9,15 +9,16 @@
 	"text/tabwriter"
 )
 
-// Sweep is what was measured while one dimension varied.
+// Sweep holds the measurements of a series in which one dimension varies.
 type Sweep struct {
 	Dimension Dimension       `json:"dimension"`
 	At        []int           `json:"at"`
 	Points    []Point         `json:"points"`
-	Lines     map[string]Line `json:"lines"` // by value
+	Lines     map[string]Line `json:"lines"` // by name of the value
 }
 
-// NewSweep fits a line to each value of points, which lie at values of d.
+// NewSweep returns the sweep of points measured at the values at of dimension d, with a
+// line fitted to each value.
 func NewSweep(d Dimension, at []int, points []Point) Sweep {
 	s := Sweep{Dimension: d, At: at, Points: points, Lines: map[string]Line{}}
 	xs := make([]float64, len(at))
@@ -37,33 +38,33 @@
 	return s
 }
 
-// Table writes the sweep with one line for each value. Values that are zero
-// everywhere are left out, and those of the busiest node unless all is true.
+// Table writes the sweep as a text table with one line per value. Values that are zero
+// at all points are omitted, and so are the maxima of nodes unless all is true.
 func (s Sweep) Table(out io.Writer, all bool) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	head := []string{string(s.Dimension)}
-	load := []string{"load average"}
+	loadAverages := []string{"load average"}
 	for i, v := range s.At {
 		head = append(head, fmt.Sprint(v))
-		load = append(load, fmt.Sprintf("%.1f", s.Points[i].Load))
+		loadAverages = append(loadAverages, fmt.Sprintf("%.1f", s.Points[i].Load))
 	}
-	row(w, append(head, "intercept", "slope", "r2"))
+	writeRow(w, append(head, "intercept", "slope", "r2"))
 	for _, name := range s.names(all) {
 		cells := []string{name}
 		for _, p := range s.Points {
 			cells = append(cells, fmt.Sprintf("%.5g", p.Values[name]))
 		}
 		l := s.Lines[name]
-		row(w, append(cells, fmt.Sprintf("%.4g", l.Intercept), fmt.Sprintf("%.4g", l.Slope), fmt.Sprintf("%.3f", l.R2)))
+		writeRow(w, append(cells, fmt.Sprintf("%.4g", l.Intercept), fmt.Sprintf("%.4g", l.Slope), fmt.Sprintf("%.3f", l.R2)))
 	}
-	row(w, append(load, "", "", ""))
+	writeRow(w, append(loadAverages, "", "", ""))
 	return w.Flush()
 }
 
-// row writes one line of a table; errors show when it is flushed.
-func row(w io.Writer, cells []string) { _, _ = fmt.Fprintln(w, strings.Join(cells, "\t")+"\t") }
+// writeRow writes one line of a table. Errors are reported when the table is flushed.
+func writeRow(w io.Writer, cells []string) { _, _ = fmt.Fprintln(w, strings.Join(cells, "\t")+"\t") }
 
-// names returns the values to show in order.
+// names returns the sorted names of the values to show.
 func (s Sweep) names(all bool) []string {
 	var out []string
 	for name := range s.Points[0].Values {
