--- a/io/http1/client.go
+++ b/io/http1/client.go
@@ -19,74 +19,75 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a backend server. Within
-	// a region it takes a few milliseconds; a server without power never answers.
+	// dialTimeout bounds the opening of a connection to a backend server. Within a region it
+	// takes a few milliseconds; a server without power never responds.
 	dialTimeout = 300 * time.Millisecond
-	// silence bounds how long sent bytes may stay unacknowledged before the
-	// connection counts as broken.
-	silence = 1500 * time.Millisecond
-	// defaultKeep is how long an idle connection is kept when the server
-	// doesn't say.
-	defaultKeep = 4 * time.Second
-	// inlineBody is the size up to which a body is sent before the answer is
-	// awaited; longer ones are sent beside it, since a server may answer first.
-	inlineBody = 16 << 10
+	// ackTimeout bounds how long sent bytes may stay unacknowledged before the connection is
+	// considered broken.
+	ackTimeout = 1500 * time.Millisecond
+	// defaultKeepAlive is how long an idle connection is kept if the server sends no
+	// Keep-Alive timeout.
+	defaultKeepAlive = 4 * time.Second
+	// maxInlineBody is the size up to which a body is sent before the response is read.
+	// Longer bodies are sent concurrently, since a server may respond before it has read the
+	// whole body.
+	maxInlineBody = 16 << 10
 )
 
-// ErrMore means that a connection carried bytes that belong to no answer.
-var ErrMore = errors.New("http1: bytes after the answer")
+// ErrMore reports that a connection carried bytes that belong to no response.
+var ErrMore = errors.New("http1: unexpected bytes after the response")
 
 type (
 	// Outgoing is a request to a backend server.
 	Outgoing struct {
 		Method string
-		Target string // path and query as the client sent them
+		Target string // path and query, unmodified from the client's request
 		Host   string
 		Header http.Header
 		Body   []byte
 	}
 
-	// Pool keeps idle connections to backend servers. The zero value is ready.
+	// Pool keeps idle connections to backend servers for reuse. The zero value is ready to
+	// use.
 	Pool struct {
-		Opened atomic.Int64 // connections opened so far
+		Opened atomic.Int64 // connections opened in total
 
 		mu   sync.Mutex
-		idle map[string][]*Conn // by address, the last used at the end
+		idle map[string][]*Conn // by address, most recently used last
 	}
 
-	// Conn is a connection to a backend server that carries one request at a
-	// time.
+	// Conn is a connection to a backend server that carries one request at a time.
 	Conn struct {
 		Reused bool
 
-		address string
-		nc      *net.TCPConn
-		br      *bufio.Reader
-		since   time.Time     // of the end of the last answer
-		keep    time.Duration // how long it may be idle
-		method  string
-		sent    chan error // result of a body that is sent beside the answer
-		sending bool
+		address     string
+		nc          *net.TCPConn
+		br          *bufio.Reader
+		idleSince   time.Time     // end of the last response
+		idleLimit   time.Duration // maximum idle time
+		method      string
+		bodySent    chan error // result of sending the body concurrently with reading the response
+		bodyPending bool
 	}
 )
 
-// Get returns a connection to address that was idle for less than maxIdle, or
-// a new one. fresh demands a new one.
-func (p *Pool) Get(ctx context.Context, address string, maxIdle time.Duration, fresh bool) (*Conn, error) {
+// Get returns a pooled connection to address that has been idle for less than maxIdle, or
+// opens a new one. If forceNew is set, it always opens a new one.
+func (p *Pool) Get(ctx context.Context, address string, maxIdle time.Duration, forceNew bool) (*Conn, error) {
 	now := time.Now()
-	for !fresh {
-		c := p.take(address)
+	for !forceNew {
+		c := p.popIdle(address)
 		if c == nil {
 			break
 		}
-		if idle := now.Sub(c.since); idle < min(maxIdle, c.keep) && c.quiet() {
+		if idle := now.Sub(c.idleSince); idle < min(maxIdle, c.idleLimit) && c.stillIdle() {
 			c.Reused = true
 			return c, nil
 		}
 		c.Close()
 	}
 	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}, Control: userTimeout}
+		Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}, Control: setUserTimeout}
 	nc, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
@@ -95,19 +96,19 @@
 	return &Conn{address: address, nc: nc.(*net.TCPConn), br: bufio.NewReaderSize(nc, readBuffer)}, nil
 }
 
-// Put keeps the connection for the next request if its answer allows it. The
-// answer's body must have been read to its end.
+// Put returns a connection to the pool for reuse if its response allows it, and closes it
+// otherwise. The body of the response must have been read to its end.
 func (p *Pool) Put(c *Conn, resp *http.Response) error {
 	if c.br.Buffered() > 0 {
 		c.Close()
 		return ErrMore
 	}
-	if resp.Close || c.sending || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.StatusCode != http.StatusNoContent {
+	if resp.Close || c.bodyPending || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.StatusCode != http.StatusNoContent {
 		c.Close()
 		return nil
 	}
-	c.keep = keepAlive(resp.Header)
-	c.since = time.Now()
+	c.idleLimit = keepAliveTimeout(resp.Header)
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -128,18 +129,18 @@
 	}
 }
 
-// Sweep closes connections that were idle for longer than they may be.
+// Sweep closes connections that exceeded their maximum idle time.
 func (p *Pool) Sweep() {
 	now := time.Now()
-	var old []*Conn
+	var expired []*Conn
 	p.mu.Lock()
 	for a, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.since) < c.keep {
+			if now.Sub(c.idleSince) < c.idleLimit {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
 		if p.idle[a] = kept; len(kept) == 0 {
@@ -147,12 +148,13 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.Close()
 	}
 }
 
-func (p *Pool) take(address string) *Conn {
+// popIdle removes and returns the most recently used idle connection to address, or nil.
+func (p *Pool) popIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -164,40 +166,40 @@
 	return c
 }
 
-// Close closes the connection, which cancels the server's work on it.
+// Close closes the connection, which cancels the server's work on the current request.
 func (c *Conn) Close() { _ = c.nc.Close() }
 
-// Send writes a request. wrote tells whether any byte may have reached the
-// server; if not, it can't have run.
-func (c *Conn) Send(o Outgoing, deadline time.Time) (wrote bool, err error) {
+// Send writes a request. wrote reports whether any byte may have reached the server; if it
+// is false, the server cannot have run the request.
+func (c *Conn) Send(request Outgoing, deadline time.Time) (wrote bool, err error) {
 	_ = c.nc.SetDeadline(deadline)
-	var b bytes.Buffer
-	b.WriteString(o.Method + " " + o.Target + " HTTP/1.1\r\nHost: " + o.Host + "\r\n")
-	_ = o.Header.WriteSubset(&b, hopByHop) // a bytes.Buffer takes all
-	if len(o.Body) > 0 || o.Method == http.MethodPost || o.Method == http.MethodPut {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(o.Body)) + "\r\n")
+	var buf bytes.Buffer
+	buf.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
+	_ = request.Header.WriteSubset(&buf, hopByHop) // writes to a bytes.Buffer do not fail
+	if len(request.Body) > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut {
+		buf.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
-	b.WriteString("\r\n")
-	c.method = o.Method
-	if len(o.Body) <= inlineBody {
-		b.Write(o.Body)
-		n, err := c.nc.Write(b.Bytes())
+	buf.WriteString("\r\n")
+	c.method = request.Method
+	if len(request.Body) <= maxInlineBody {
+		buf.Write(request.Body)
+		n, err := c.nc.Write(buf.Bytes())
 		return n > 0, err
 	}
-	n, err := c.nc.Write(b.Bytes())
+	n, err := c.nc.Write(buf.Bytes())
 	if err != nil {
 		return n > 0, err
 	}
-	c.sent = make(chan error, 1)
-	c.sending = true
+	c.bodySent = make(chan error, 1)
+	c.bodyPending = true
 	go func() {
-		_, err := c.nc.Write(o.Body)
-		c.sent <- err
+		_, err := c.nc.Write(request.Body)
+		c.bodySent <- err
 	}()
 	return true, nil
 }
 
-// Receive reads the head of the answer.
+// Receive reads the head of the response. Informational responses are skipped.
 func (c *Conn) Receive() (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: c.method})
@@ -210,65 +212,66 @@
 	}
 }
 
-// ReadBy bounds the reading of the answer.
+// ReadBy sets the deadline for reading the response.
 func (c *Conn) ReadBy(at time.Time) { _ = c.nc.SetReadDeadline(at) }
 
-// Settle waits for nothing: it notes whether a body that was sent beside the
-// answer is out whole. A connection whose request isn't is never used again.
+// Settle records, without blocking, whether a body that is sent concurrently has been
+// written completely. A connection whose request was not written completely is never reused.
 func (c *Conn) Settle() {
-	if !c.sending {
+	if !c.bodyPending {
 		return
 	}
 	select {
-	case err := <-c.sent:
-		c.sending = err != nil
+	case err := <-c.bodySent:
+		c.bodyPending = err != nil
 	default:
 	}
 }
 
-// quiet tells whether an idle connection is open and nothing has arrived on
-// it: a byte would be part of an answer that nobody asked for.
-func (c *Conn) quiet() bool {
+// stillIdle reports whether an idle connection is open and has no unread bytes: any byte
+// would belong to a response that was not requested.
+func (c *Conn) stillIdle() bool {
 	raw, err := c.nc.SyscallConn()
 	if err != nil {
 		return false
 	}
-	ok := false
+	empty := false
 	var b [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), b[:])
-		ok = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return ok && err == nil
+	return empty && err == nil
 }
 
-// userTimeout makes the kernel break a connection whose bytes are not
-// acknowledged.
-func userTimeout(_, _ string, raw syscall.RawConn) error {
-	var set error
+// setUserTimeout makes the kernel close a connection whose bytes stay unacknowledged for
+// ackTimeout.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return sockoptErr
 }
 
-// keepAlive returns for how long a server keeps a connection open, less a part
-// for the way.
-func keepAlive(h http.Header) time.Duration {
-	for f := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
-		n, v, _ := strings.Cut(strings.TrimSpace(f), "=")
-		if s, err := strconv.Atoi(v); err == nil && strings.EqualFold(n, "timeout") {
-			return time.Duration(s)*time.Second - 700*time.Millisecond
+// keepAliveTimeout returns how long the server keeps an idle connection open, reduced by
+// 700 ms for the transmission delay.
+func keepAliveTimeout(h http.Header) time.Duration {
+	for param := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
+		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
+			return time.Duration(seconds)*time.Second - 700*time.Millisecond
 		}
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
 
-// ReadBody reads a body of at most limit bytes to its end.
+// ReadBody reads a response body to its end. It returns io.ErrShortBuffer if the body is
+// longer than limit bytes.
 func ReadBody(resp *http.Response, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err == nil && int64(len(b)) > limit {
--- a/io/http1/client_test.go
+++ b/io/http1/client_test.go
@@ -15,8 +15,9 @@
 	"guavapaddle/io/http1"
 )
 
-// peer accepts connections and gives each to a function.
-func peer(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) string {
+// startServer runs a TCP server that passes each connection, with its number, to serve, and
+// returns its address.
+func startServer(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -33,7 +34,7 @@
 	return l.Addr().String()
 }
 
-// call makes one call over a pool and returns the body.
+// call makes one request through a pool and returns the response body and the connection.
 func call(t *testing.T, p *http1.Pool, address string) (string, *http1.Conn) {
 	t.Helper()
 	c, err := p.Get(context.Background(), address, time.Minute, false)
@@ -49,8 +50,8 @@
 	return string(b), c
 }
 
-func TestAConnectionIsUsedAgain(t *testing.T) {
-	address := peer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+func TestConnectionIsReused(t *testing.T) {
+	address := startServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(br); err != nil {
 				return
@@ -66,14 +67,14 @@
 	require.EqualValues(t, 1, p.Opened.Load())
 }
 
-func TestAConnectionThatIsNotCleanIsNotUsedAgain(t *testing.T) {
+func TestUncleanConnectionIsNotReused(t *testing.T) {
 	for name, text := range map[string]string{
-		"says close":      "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-		"more bytes":      "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokmore",
-		"no time to keep": "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
+		"connection close":        "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
+		"trailing bytes":          "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokmore",
+		"zero keep-alive timeout": "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := peer(t, func(_ int, c net.Conn, br *bufio.Reader) {
+			address := startServer(t, func(_ int, c net.Conn, br *bufio.Reader) {
 				for {
 					if _, err := http.ReadRequest(br); err != nil {
 						return
@@ -89,29 +90,29 @@
 	}
 }
 
-func TestBytesThatComeLateOnAnIdleConnectionCloseIt(t *testing.T) {
-	late, sent := make(chan struct{}), make(chan struct{})
-	address := peer(t, func(n int, c net.Conn, br *bufio.Reader) {
+func TestIdleConnectionWithUnreadBytesIsNotReused(t *testing.T) {
+	writeLate, sent := make(chan struct{}), make(chan struct{})
+	address := startServer(t, func(n int, c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err != nil {
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		if n == 0 {
-			<-late
+			<-writeLate
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 			close(sent)
 		}
 	})
 	p := &http1.Pool{}
 	call(t, p, address)
-	close(late)
+	close(writeLate)
 	<-sent
 	body, _ := call(t, p, address)
 	require.Equal(t, "ok", body)
 	require.EqualValues(t, 2, p.Opened.Load())
 }
 
-func TestSendTellsThatNothingWasWritten(t *testing.T) {
+func TestGetFailsIfServerRefusesConnection(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
@@ -120,9 +121,9 @@
 	require.Error(t, err)
 }
 
-// FuzzAnswer checks that no bytes of a server make an answer look whole that
-// is shorter than it says.
-func FuzzAnswer(f *testing.F) {
+// FuzzReadResponse checks that a truncated response is never reported as complete, whatever
+// bytes the server sends.
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"))
@@ -142,7 +143,7 @@
 	})
 }
 
-func TestEndToEndDropsWhatConcernsTheConnection(t *testing.T) {
+func TestEndToEndRemovesHopByHopFields(t *testing.T) {
 	h := http.Header{"Connection": {"X-A, keep-alive"}, "X-A": {"1"}, "X-B": {"2"}, "Keep-Alive": {"timeout=3"}, "Te": {"x"}}
 	require.Equal(t, http.Header{"X-B": {"2"}}, http1.EndToEnd(h))
 }
--- a/io/http1/doc.go
+++ b/io/http1/doc.go
@@ -1,21 +1,19 @@
-// Package http1 speaks HTTP/1.1 with clients and with backend servers where a
-// proxy must know exactly what was read, what was written and how each answer
-// ended.
+// Package http1 implements an HTTP/1.1 server and a client connection pool for a proxy that
+// must know exactly which bytes were read, which were written, and how each response ended.
 //
-// net/http parses requests and answers, and encodes chunks. What stands here is
-// what its Server and Transport hide: a request head with two ways of framing
-// is refused instead of being read one way, an idle connection is closed
-// without cutting a request that was read, a send tells whether any byte left,
-// and a connection whose answer was followed by further bytes is never used
-// again.
+// Parsing of requests and responses and chunked encoding are left to net/http. This package
+// adds what its Server and Transport do not expose: a request head with ambiguous body
+// framing is rejected instead of being interpreted in one way, an idle connection is closed
+// without dropping a request that was already read, a send reports whether any byte was
+// written, and a connection that carried bytes after its response is never reused.
 //
 // # Usage
 //
 //	s := &http1.Server{Handler: h, Limits: limits}
 //	go s.Serve(listener)
 //	...
-//	s.Drain()                 // answers say Connection: close
-//	s.Shutdown(ctx)           // idle connections are closed, open requests end
+//	s.Drain()                 // responses carry Connection: close
+//	s.Shutdown(ctx)           // closes idle connections, waits for open requests
 //
 //	p := &http1.Pool{}
 //	c, err := p.Get(ctx, address, maxIdle, false)
--- a/io/http1/exchange.go
+++ b/io/http1/exchange.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// writeTimeout bounds one write to a client. Clients give a stream up after
-	// two seconds without an event at the least, so one that takes nothing for
-	// longer is gone or silent.
+	// writeTimeout bounds one write to a client. Clients cancel a stream after at least two
+	// seconds without an event, so a client that accepts no bytes for longer is gone or
+	// unresponsive.
 	writeTimeout  = 5 * time.Second
-	maxPooledHead = 64 << 10 // bytes of a buffer that a connection keeps
+	maxPooledHead = 64 << 10 // maximum capacity, in bytes, of a head buffer that a connection keeps for reuse
 )
 
-// errDone means that an answer was begun twice or written after its end.
-var errDone = errors.New("http1: answer out of order")
+// errDone reports a response that was started twice or written to after its end.
+var errResponseOrder = errors.New("http1: response started twice or written after its end")
 
 type (
-	// Exchange is one request of a client with its answer. Exactly one of
-	// Respond and Begin is called; Begin is followed by End or Abort.
+	// Exchange is a client's request together with its response. The handler calls exactly
+	// one of Respond and Begin; Begin must be followed by End or Abort.
 	Exchange struct {
-		Request  *http.Request // its Body is not to be read
+		Request  *http.Request // its Body must not be read; use Exchange.Body
 		Body     []byte
 		Received time.Time // when the first byte of the head was read
 
 		ctx     context.Context
 		conn    net.Conn
 		out     bytes.Buffer
-		closing bool // no further request on the connection
+		closing bool // close the connection after this response
 		server  *Server
 		state   state
 	}
@@ -41,25 +41,25 @@
 )
 
 const (
-	idle state = iota
-	begun
+	unanswered state = iota
+	headerWritten
 	ended
 	aborted
 )
 
-// Context ends when the client has left.
+// Context returns a context that is cancelled when the client disconnects.
 func (x *Exchange) Context() context.Context { return x.ctx }
 
-// Begun tells whether an answer has begun.
-func (x *Exchange) Begun() bool { return x.state != idle }
+// Begun reports whether the response has started.
+func (x *Exchange) Begun() bool { return x.state != unanswered }
 
-// Respond sends a whole answer.
+// Respond sends a complete response.
 func (x *Exchange) Respond(status int, h http.Header, body []byte) error {
-	if x.state != idle {
-		return errDone
+	if x.state != unanswered {
+		return errResponseOrder
 	}
 	x.state = ended
-	x.head(status, h)
+	x.writeHead(status, h)
 	x.out.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n")
 	if x.Request.Method != http.MethodHead {
 		x.out.Write(body)
@@ -67,16 +67,17 @@
 	return x.flush()
 }
 
-// Begin sends the head of an answer whose length isn't known.
+// Begin starts a response of unknown length. Its head is sent with the first bytes of the
+// body.
 func (x *Exchange) Begin(status int, h http.Header) error {
-	if x.state != idle {
-		return errDone
+	if x.state != unanswered {
+		return errResponseOrder
 	}
-	x.state = begun
+	x.state = headerWritten
 	if !x.Request.ProtoAtLeast(1, 1) {
 		x.closing = true
 	}
-	x.head(status, h)
+	x.writeHead(status, h)
 	if x.Request.ProtoAtLeast(1, 1) {
 		x.out.WriteString("Transfer-Encoding: chunked\r\n")
 	}
@@ -84,10 +85,10 @@
 	return nil
 }
 
-// Write sends bytes of an answer that has begun, its head with the first ones.
+// Write sends body bytes of a response that was started by Begin.
 func (x *Exchange) Write(p []byte) error {
-	if x.state != begun {
-		return errDone
+	if x.state != headerWritten {
+		return errResponseOrder
 	}
 	if len(p) == 0 {
 		return nil
@@ -103,10 +104,10 @@
 	return x.flush()
 }
 
-// End marks an answer as complete.
+// End completes a response that was started by Begin.
 func (x *Exchange) End() error {
-	if x.state != begun {
-		return errDone
+	if x.state != headerWritten {
+		return errResponseOrder
 	}
 	x.state = ended
 	if x.Request.ProtoAtLeast(1, 1) {
@@ -115,18 +116,18 @@
 	return x.flush()
 }
 
-// Abort ends an answer so that the client sees that it isn't complete: the
-// connection is closed without the last chunk.
+// Abort ends a response so that the client detects that it is incomplete: the connection is
+// closed without the final chunk.
 func (x *Exchange) Abort() {
 	x.state = aborted
 	x.closing = true
 }
 
-// head writes the status line and the fields but for those that delimit the
-// body or concern the connection.
-func (x *Exchange) head(status int, h http.Header) {
+// writeHead writes the status line and the header fields, except those that delimit the body
+// or apply to the connection only.
+func (x *Exchange) writeHead(status int, h http.Header) {
 	x.out.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
-	_ = h.WriteSubset(&x.out, hopByHop) // a bytes.Buffer takes all
+	_ = h.WriteSubset(&x.out, hopByHop) // writes to a bytes.Buffer do not fail
 	if x.server != nil && x.server.draining.Load() {
 		x.closing = true
 	}
--- a/io/http1/head.go
+++ b/io/http1/head.go
@@ -11,29 +11,31 @@
 )
 
 type (
-	// RequestError means that a request can't be read; Status is the answer.
+	// RequestError reports a request that could not be read; Status is the response status.
 	RequestError struct {
 		Status int
 		Reason string
 	}
 
-	// framing says how the body of a request is delimited.
+	// framing describes how the body of a request is delimited.
 	framing struct {
 		chunked bool
 		length  int64
 	}
 )
 
-// Error tells the reason.
+// Error returns the status and the reason.
 func (e *RequestError) Error() string {
-	return fmt.Sprintf("request refused with %d: %s", e.Status, e.Reason)
+	return fmt.Sprintf("request rejected with status %d: %s", e.Status, e.Reason)
 }
 
-// bad returns a RequestError with status 400.
-func bad(reason string) error { return &RequestError{Status: http.StatusBadRequest, Reason: reason} }
+// badRequest returns a RequestError with status 400.
+func badRequest(reason string) error {
+	return &RequestError{Status: http.StatusBadRequest, Reason: reason}
+}
 
-// readHead reads the lines of a request head, at most limit bytes, into buf.
-// Each line must end with CR LF: a lone line feed is where parsers disagree.
+// readHead reads the lines of a request head, at most limit bytes, into buf. Each line must
+// end with CR LF: parsers disagree about a bare line feed, which allows request smuggling.
 func readHead(br *bufio.Reader, buf []byte, limit int) ([]byte, error) {
 	buf = buf[:0]
 	start := 0
@@ -41,7 +43,7 @@
 		part, err := br.ReadSlice('\n')
 		buf = append(buf, part...)
 		if len(buf) > limit {
-			return buf, &RequestError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "head too large"}
+			return buf, &RequestError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "request head too large"}
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -51,10 +53,10 @@
 		}
 		line := buf[start:]
 		if len(line) < 2 || line[len(line)-2] != '\r' {
-			return buf, bad("line without carriage return")
+			return buf, badRequest("line does not end with CR LF")
 		}
 		if len(line) == 2 {
-			if start == 0 { // blank lines before a request are skipped
+			if start == 0 { // skip blank lines before the request line
 				buf = buf[:0]
 				continue
 			}
@@ -67,53 +69,53 @@
 	}
 }
 
-// checkLine refuses what parsers read in different ways: control characters,
-// folded lines, and space around the name of a field.
+// checkLine rejects syntax that parsers interpret differently: control characters, folded
+// lines, and whitespace around a field name.
 func checkLine(line []byte, first bool) error {
 	if bytes.ContainsAny(line, "\r\n\x00") {
-		return bad("control character in head")
+		return badRequest("control character in request head")
 	}
 	if first {
 		return nil
 	}
 	if line[0] == ' ' || line[0] == '\t' {
-		return bad("folded field")
+		return badRequest("folded header field")
 	}
 	name, _, ok := bytes.Cut(line, []byte{':'})
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
-		return bad("malformed field")
+		return badRequest("malformed header field")
 	}
 	return nil
 }
 
-// parseHead parses a head and finds how the body is delimited.
+// parseHead parses a request head and determines how the body is delimited.
 func parseHead(head []byte) (*http.Request, framing, error) {
 	if err := checkFraming(head); err != nil {
 		return nil, framing{}, err
 	}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil {
-		return nil, framing{}, bad(err.Error())
+		return nil, framing{}, badRequest(err.Error())
 	}
 	f := framing{length: max(0, r.ContentLength)}
 	if len(r.TransferEncoding) > 0 {
 		f = framing{chunked: true}
 	}
 	if r.ProtoAtLeast(1, 1) && r.Host == "" {
-		return nil, framing{}, bad("no host")
+		return nil, framing{}, badRequest("missing Host header")
 	}
 	if !strings.HasPrefix(r.RequestURI, "/") {
-		return nil, framing{}, bad("target is no path")
+		return nil, framing{}, badRequest("request target is not a path")
 	}
 	return r, f, nil
 }
 
-// checkFraming refuses a head that delimits its body in more than one way, or
-// names its host not once.
+// checkFraming rejects a head that delimits its body in more than one way or has more than
+// one Host field.
 func checkFraming(head []byte) error {
 	var lengths, encodings, hosts int
-	first, _, _ := strings.Cut(string(head), "\r\n")
-	old := !strings.HasSuffix(first, " HTTP/1.1")
+	requestLine, _, _ := strings.Cut(string(head), "\r\n")
+	beforeHTTP11 := !strings.HasSuffix(requestLine, " HTTP/1.1")
 	for i, line := range strings.Split(string(head), "\r\n") {
 		name, value, ok := strings.Cut(line, ":")
 		if i == 0 || !ok {
@@ -124,15 +126,15 @@
 		case "content-length":
 			lengths++
 			if _, err := strconv.ParseUint(value, 10, 62); err != nil {
-				return bad("malformed length")
+				return badRequest("malformed Content-Length")
 			}
 		case "transfer-encoding":
 			encodings++
-			if old {
-				return bad("transfer encoding before HTTP/1.1")
+			if beforeHTTP11 {
+				return badRequest("Transfer-Encoding requires HTTP/1.1")
 			}
 			if !strings.EqualFold(value, "chunked") {
-				return bad("unknown transfer encoding")
+				return badRequest("unsupported Transfer-Encoding")
 			}
 		case "host":
 			hosts++
@@ -140,9 +142,9 @@
 	}
 	switch {
 	case lengths+encodings > 1:
-		return bad("body delimited more than once")
+		return badRequest("ambiguous body length")
 	case hosts > 1:
-		return bad("more than one host")
+		return badRequest("more than one Host header")
 	}
 	return nil
 }
--- a/io/http1/server.go
+++ b/io/http1/server.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// DefaultHeaderBytes bounds a request head, in bytes.
+	// DefaultHeaderBytes is the default limit of a request head, in bytes.
 	DefaultHeaderBytes = 16 << 10
-	// DefaultBodyBytes bounds a request body, in bytes.
+	// DefaultBodyBytes is the default limit of a request body, in bytes.
 	DefaultBodyBytes = 4 << 20
-	// DefaultHeaderTimeout bounds the reading of a head.
+	// DefaultHeaderTimeout is the default limit of the time for reading a request head.
 	DefaultHeaderTimeout = 3 * time.Second
-	// DefaultIdleTimeout bounds the time between requests on a connection.
+	// DefaultIdleTimeout is the default limit of the time between requests on a connection.
 	DefaultIdleTimeout = 15 * time.Second
 
-	readBuffer  = 4 << 10
-	lingerTime  = 200 * time.Millisecond // for a client's bytes that cross our close
-	lingerBytes = 1 << 20                // of them
-	trailerMax  = 4 << 10                // bytes of trailing fields
-	bodyTimeout = 10 * time.Second       // for a whole body; proper clients send it at once
+	readBuffer      = 4 << 10
+	lingerTime      = 200 * time.Millisecond // how long to drain bytes that the client sent before it noticed the close
+	lingerBytes     = 1 << 20                // how many such bytes to drain
+	maxTrailerBytes = 4 << 10                // limit of the trailer section, in bytes
+	bodyTimeout     = 10 * time.Second       // for reading a whole body; well-behaved clients send it without pauses
 )
 
 type (
-	// Handler answers requests. It must answer or abort each of them before it
-	// returns.
+	// Handler responds to requests. It must complete or abort the response to each request
+	// before it returns.
 	Handler interface {
 		Handle(x *Exchange)
 	}
 
-	// Limits bound what a client may send. Zero fields take the defaults.
+	// Limits bounds what a client may send. Zero fields take the defaults.
 	Limits struct {
 		HeaderBytes   int
 		BodyBytes     int64
@@ -48,21 +48,22 @@
 		IdleTimeout   time.Duration
 	}
 
-	// Server serves clients. Its exported fields are set before Serve.
+	// Server accepts connections and serves HTTP/1.1 requests. Exported fields must be set
+	// before Serve is called.
 	Server struct {
 		Handler Handler
-		Limits  func() Limits // of this moment
-		Most    int           // connections; beyond it an idle one is closed, zero for no bound
-		Refused func(err error)
-		// AcceptFailed is called for a connection that could not be accepted,
-		// may be nil. The server tries again.
+		Limits  func() Limits   // returns the current limits; read anew for each request
+		Most    int             // maximum number of connections; above it an idle one is closed; zero means unlimited
+		Refused func(err error) // called for each request that could not be read, may be nil
+		// AcceptFailed is called when accepting a connection fails, may be nil. The server
+		// then retries.
 		AcceptFailed func(err error)
 
 		draining atomic.Bool
 		stopping atomic.Bool
 		mu       sync.Mutex
 		conns    map[*serverConn]struct{}
-		open     sync.WaitGroup
+		active   sync.WaitGroup
 	}
 
 	serverConn struct {
@@ -86,22 +87,22 @@
 	}, s.AcceptFailed)
 }
 
-// Drain makes every further answer the last one of its connection.
+// Drain makes the next response on each connection the last one.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown closes idle connections and waits until open requests have ended,
-// or ctx has.
+// Shutdown closes idle connections and waits until the open requests have completed or ctx
+// is done.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.Drain()
 	s.stopping.Store(true)
 	s.mu.Lock()
 	for c := range s.conns {
-		c.wake()
+		c.interruptIdle()
 	}
 	s.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		s.open.Wait()
+		s.active.Wait()
 		close(done)
 	}()
 	select {
@@ -110,7 +111,7 @@
 	}
 }
 
-// Open returns the number of connections.
+// Open returns the number of open connections.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,13 +129,13 @@
 	}
 	if s.Most > 0 && len(s.conns) >= s.Most {
 		for o := range s.conns {
-			if o.wake() {
+			if o.interruptIdle() {
 				break
 			}
 		}
 	}
 	s.conns[c] = struct{}{}
-	s.open.Add(1)
+	s.active.Add(1)
 	return true
 }
 
@@ -142,7 +143,7 @@
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	s.open.Done()
+	s.active.Done()
 }
 
 func (s *Server) limits() Limits {
@@ -165,8 +166,9 @@
 	return l
 }
 
-// wake ends the wait of an idle connection for its next request.
-func (c *serverConn) wake() bool {
+// interruptIdle makes an idle connection stop waiting for its next request. It reports
+// whether the connection was idle.
+func (c *serverConn) interruptIdle() bool {
 	if !c.idle.Load() {
 		return false
 	}
@@ -174,27 +176,26 @@
 	return true
 }
 
-// run serves the requests of a connection one after the other.
+// run serves the requests of a connection sequentially.
 func (c *serverConn) run() {
 	defer c.s.remove(c)
 	defer func() { _ = c.nc.Close() }()
 	for {
-		again, err := c.serveOne()
+		keepOpen, err := c.serveOne()
 		if err != nil {
-			c.refuse(err)
+			c.reject(err)
 		}
-		if !again || err != nil {
+		if !keepOpen || err != nil {
 			c.linger()
 			return
 		}
 	}
 }
 
-// serveOne waits for a request and serves it. It returns whether the
-// connection stays open.
+// serveOne waits for a request and serves it. It reports whether the connection stays open.
 func (c *serverConn) serveOne() (bool, error) {
 	l := c.s.limits()
-	if !c.await(l.IdleTimeout) {
+	if !c.awaitRequest(l.IdleTimeout) {
 		return false, nil
 	}
 	received := time.Now()
@@ -206,61 +207,62 @@
 		c.buf = head
 	}
 	if err != nil {
-		return false, slow(err)
+		return false, timeoutToStatus(err)
 	}
-	r, f, err := parseHead(head)
+	r, bodyFraming, err := parseHead(head)
 	if err != nil {
 		return false, err
 	}
-	body, err := c.body(r, f, l)
+	body, err := c.body(r, bodyFraming, l)
 	if err != nil {
-		return false, slow(err)
+		return false, timeoutToStatus(err)
 	}
 	return c.handle(&Exchange{Request: r, Body: body, Received: received, conn: c.nc, server: c.s}), nil
 }
 
-// await waits for the first byte of a request.
-func (c *serverConn) await(timeout time.Duration) bool {
+// awaitRequest waits for the first byte of a request and reports whether it arrived.
+func (c *serverConn) awaitRequest(timeout time.Duration) bool {
 	if c.br.Buffered() > 0 {
 		return true
 	}
 	_ = c.nc.SetReadDeadline(time.Now().Add(timeout))
 	c.idle.Store(true)
 	if c.s.stopping.Load() {
-		c.wake()
+		c.interruptIdle()
 	}
 	_, err := c.br.Peek(1)
 	c.idle.Store(false)
 	return err == nil
 }
 
-// handle runs the handler while it watches whether the client leaves.
+// handle runs the handler and cancels its context if the client disconnects meanwhile. It
+// reports whether the connection can serve another request.
 func (c *serverConn) handle(x *Exchange) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	x.ctx = ctx
 	x.closing = x.Request.Close
 	_ = c.nc.SetReadDeadline(time.Time{})
-	watched := make(chan struct{})
+	watchDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watchDone)
 		if _, err := c.br.Peek(1); err != nil {
 			cancel()
 		}
 	}()
 	c.s.Handler.Handle(x)
 	_ = c.nc.SetReadDeadline(time.Unix(1, 0))
-	<-watched
+	<-watchDone
 	if x.state != ended {
 		return false
 	}
 	return !x.closing
 }
 
-// body reads the body of a request to its end.
+// body reads the request body to its end.
 func (c *serverConn) body(r *http.Request, f framing, l Limits) ([]byte, error) {
 	if f.length > l.BodyBytes {
-		return nil, &RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "body too large"}
+		return nil, &RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "request body too large"}
 	}
 	if f.length == 0 && !f.chunked {
 		return nil, nil
@@ -279,18 +281,18 @@
 	b, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.br), l.BodyBytes+1))
 	switch {
 	case err != nil && !timedOut(err) && !errors.Is(err, io.ErrUnexpectedEOF):
-		return nil, bad("malformed chunk")
+		return nil, badRequest("malformed chunk")
 	case err != nil:
 		return nil, err
 	case int64(len(b)) > l.BodyBytes:
-		return nil, &RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "body too large"}
+		return nil, &RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "request body too large"}
 	}
-	return b, c.trailer()
+	return b, c.readTrailer()
 }
 
-// trailer reads the fields after the last chunk, which are not passed on.
-func (c *serverConn) trailer() error {
-	for n := 0; n < trailerMax; {
+// readTrailer reads and discards the fields after the last chunk.
+func (c *serverConn) readTrailer() error {
+	for n := 0; n < maxTrailerBytes; {
 		line, err := c.br.ReadSlice('\n')
 		n += len(line)
 		if err != nil {
@@ -300,28 +302,28 @@
 			return nil
 		}
 		if len(line) < 2 || line[len(line)-2] != '\r' {
-			return bad("line without carriage return")
+			return badRequest("line does not end with CR LF")
 		}
 	}
-	return &RequestError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "trailer too large"}
+	return &RequestError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "trailer section too large"}
 }
 
-// refuse answers a request that can't be read; a client that has left, or sent
-// no more than a part of a request, gets no answer.
-func (c *serverConn) refuse(err error) {
+// reject reports a request that could not be read and responds to it. A client that
+// disconnected or sent an incomplete request gets no response.
+func (c *serverConn) reject(err error) {
 	if c.s.Refused != nil {
 		c.s.Refused(err)
 	}
-	var e *RequestError
-	if !errors.As(err, &e) {
+	var requestErr *RequestError
+	if !errors.As(err, &requestErr) {
 		return
 	}
 	x := &Exchange{Request: &http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1}, conn: c.nc, closing: true}
-	_ = x.Respond(e.Status, http.Header{}, nil) // the connection is closed in any case
+	_ = x.Respond(requestErr.Status, http.Header{}, nil) // the connection is closed even if this fails
 }
 
-// linger closes the sending side and reads on for a moment: closing with
-// unread bytes would reset the connection and take the answer away.
+// linger closes the sending side and keeps reading for a short time: closing a connection
+// with unread bytes would reset it, and the client could lose the response.
 func (c *serverConn) linger() {
 	t, ok := c.nc.(*net.TCPConn)
 	if !ok || t.CloseWrite() != nil {
@@ -331,15 +333,16 @@
 	_, _ = io.CopyN(io.Discard, c.br, lingerBytes)
 }
 
-// slow turns the timeout of a request that has begun into an answer.
-func slow(err error) error {
+// timeoutToStatus converts a read timeout inside a request to a RequestError with status
+// 408.
+func timeoutToStatus(err error) error {
 	if timedOut(err) {
-		return &RequestError{Status: http.StatusRequestTimeout, Reason: "request came too slowly"}
+		return &RequestError{Status: http.StatusRequestTimeout, Reason: "timeout while reading the request"}
 	}
 	return err
 }
 
 func timedOut(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/io/http1/server_test.go
+++ b/io/http1/server_test.go
@@ -17,31 +17,32 @@
 	"guavapaddle/io/http1"
 )
 
-// recorder answers every request and keeps what it was given.
+// recorder is a Handler that responds to every request and records the requests.
 type recorder struct {
-	mu     sync.Mutex
-	seen   []string // target and body
-	before func(x *http1.Exchange)
+	mu        sync.Mutex
+	requests  []string // method, target and body
+	onRequest func(x *http1.Exchange)
 }
 
 func (r *recorder) Handle(x *http1.Exchange) {
 	r.mu.Lock()
-	r.seen = append(r.seen, x.Request.Method+" "+x.Request.RequestURI+" "+string(x.Body))
+	r.requests = append(r.requests, x.Request.Method+" "+x.Request.RequestURI+" "+string(x.Body))
 	r.mu.Unlock()
-	if r.before != nil {
-		r.before(x)
+	if r.onRequest != nil {
+		r.onRequest(x)
 	}
 	if !x.Begun() {
 		_ = x.Respond(http.StatusOK, http.Header{"X-Target": {x.Request.RequestURI}}, []byte("ok"))
 	}
 }
 
-func (r *recorder) list() []string {
+func (r *recorder) recorded() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.seen...)
+	return append([]string(nil), r.requests...)
 }
 
+// serve runs a server with h and l until the test ends and returns it with its address.
 func serve(t testing.TB, h http1.Handler, l http1.Limits) (*http1.Server, string) {
 	t.Helper()
 	s := &http1.Server{Handler: h, Limits: func() http1.Limits { return l }}
@@ -57,8 +58,9 @@
 	return s, nl.Addr().String()
 }
 
-// raw sends bytes, closes the sending side and returns all that comes back.
-func raw(t testing.TB, address, text string) string {
+// sendRaw sends text over a new connection and returns everything that the server sends
+// until it closes.
+func sendRaw(t testing.TB, address, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp4", address)
 	require.NoError(t, err)
@@ -71,63 +73,63 @@
 	return string(b)
 }
 
-func TestRequestsThatParsersReadInDifferentWaysAreRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n"
 	for name, text := range map[string]string{
-		"length and chunks":    "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
-		"chunks and length":    "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + smuggled,
-		"two lengths":          "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 36\r\n\r\n" + smuggled,
-		"two equal lengths":    "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n" + smuggled,
-		"signed length":        "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: +0\r\n\r\n" + smuggled,
-		"list of lengths":      "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0, 36\r\n\r\n" + smuggled,
-		"unknown encoding":     "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: xchunked\r\n\r\n" + smuggled,
-		"two encodings":        "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n" + smuggled,
-		"bare line feed":       "GET / HTTP/1.1\r\nHost: h\nX: y\r\n\r\n" + smuggled,
-		"folded field":         "GET / HTTP/1.1\r\nHost: h\r\nX: y\r\n z\r\n\r\n" + smuggled,
-		"space before colon":   "GET / HTTP/1.1\r\nHost: h\r\nContent-Length : 36\r\n\r\n" + smuggled,
-		"no colon":             "GET / HTTP/1.1\r\nHost: h\r\nnonsense\r\n\r\n" + smuggled,
-		"two hosts":            "GET / HTTP/1.1\r\nHost: h\r\nHost: g\r\n\r\n" + smuggled,
-		"no host":              "GET / HTTP/1.1\r\n\r\n" + smuggled,
-		"carriage return":      "GET / HTTP/1.1\r\nHost: h\r\nX: a\rb\r\n\r\n" + smuggled,
-		"absolute target":      "GET http://g/ HTTP/1.1\r\nHost: h\r\n\r\n" + smuggled,
-		"malformed chunk":      "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n\r\n" + smuggled,
-		"chunks in HTTP/1.0":   "POST / HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
-		"nothing like a start": "hello\r\n\r\n" + smuggled,
+		"length and chunked":     "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
+		"chunked and length":     "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + smuggled,
+		"two lengths":            "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 36\r\n\r\n" + smuggled,
+		"two equal lengths":      "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n" + smuggled,
+		"signed length":          "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: +0\r\n\r\n" + smuggled,
+		"list of lengths":        "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0, 36\r\n\r\n" + smuggled,
+		"unknown encoding":       "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: xchunked\r\n\r\n" + smuggled,
+		"two encodings":          "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n" + smuggled,
+		"bare line feed":         "GET / HTTP/1.1\r\nHost: h\nX: y\r\n\r\n" + smuggled,
+		"folded field":           "GET / HTTP/1.1\r\nHost: h\r\nX: y\r\n z\r\n\r\n" + smuggled,
+		"space before colon":     "GET / HTTP/1.1\r\nHost: h\r\nContent-Length : 36\r\n\r\n" + smuggled,
+		"no colon":               "GET / HTTP/1.1\r\nHost: h\r\nnonsense\r\n\r\n" + smuggled,
+		"two hosts":              "GET / HTTP/1.1\r\nHost: h\r\nHost: g\r\n\r\n" + smuggled,
+		"no host":                "GET / HTTP/1.1\r\n\r\n" + smuggled,
+		"carriage return":        "GET / HTTP/1.1\r\nHost: h\r\nX: a\rb\r\n\r\n" + smuggled,
+		"absolute target":        "GET http://g/ HTTP/1.1\r\nHost: h\r\n\r\n" + smuggled,
+		"malformed chunk":        "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n\r\n" + smuggled,
+		"chunked in HTTP/1.0":    "POST / HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
+		"malformed request line": "hello\r\n\r\n" + smuggled,
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := &recorder{}
 			_, address := serve(t, h, http1.Limits{})
-			got := raw(t, address, text)
+			got := sendRaw(t, address, text)
 			require.True(t, strings.HasPrefix(got, "HTTP/1.1 400 "), got)
 			require.Contains(t, got, "Connection: close")
-			require.Empty(t, h.list())
+			require.Empty(t, h.recorded())
 		})
 	}
 }
 
-func TestBodiesComeWithALengthOrInChunks(t *testing.T) {
+func TestBodyWithLengthOrChunked(t *testing.T) {
 	h := &recorder{}
 	_, address := serve(t, h, http1.Limits{})
-	got := raw(t, address, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"+
+	got := sendRaw(t, address, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"+
 		"POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nde\r\n1;x=y\r\nf\r\n0\r\nTrailer: z\r\n\r\n"+
 		"GET /c HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	require.Equal(t, 3, strings.Count(got, "HTTP/1.1 200 OK"))
-	require.Equal(t, []string{"POST /a abc", "POST /b def", "GET /c "}, h.list())
+	require.Equal(t, []string{"POST /a abc", "POST /b def", "GET /c "}, h.recorded())
 }
 
-func TestLimitsOnClients(t *testing.T) {
+func TestClientLimits(t *testing.T) {
 	h := &recorder{}
 	_, address := serve(t, h, http1.Limits{HeaderBytes: 1000, BodyBytes: 10, HeaderTimeout: 50 * time.Millisecond, IdleTimeout: 50 * time.Millisecond})
-	require.Contains(t, raw(t, address, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("x", 2000)+"\r\n\r\n"), " 431 ")
-	require.Contains(t, raw(t, address, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"), " 413 ")
-	require.Contains(t, raw(t, address, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n"+strings.Repeat("x", 32)+"\r\n0\r\n\r\n"), " 413 ")
-	require.Contains(t, raw(t, address, "GET / HTTP/1.1\r\nHost"), " 408 ")
-	require.Empty(t, raw(t, address, ""), "an idle connection is closed without an answer")
-	require.Empty(t, h.list())
+	require.Contains(t, sendRaw(t, address, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("x", 2000)+"\r\n\r\n"), " 431 ")
+	require.Contains(t, sendRaw(t, address, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"), " 413 ")
+	require.Contains(t, sendRaw(t, address, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n"+strings.Repeat("x", 32)+"\r\n0\r\n\r\n"), " 413 ")
+	require.Contains(t, sendRaw(t, address, "GET / HTTP/1.1\r\nHost"), " 408 ")
+	require.Empty(t, sendRaw(t, address, ""), "an idle connection is closed without a response")
+	require.Empty(t, h.recorded())
 }
 
-func TestAStreamThatIsAbortedHasNoEnd(t *testing.T) {
-	h := &recorder{before: func(x *http1.Exchange) {
+func TestAbortedStreamHasNoFinalChunk(t *testing.T) {
+	h := &recorder{onRequest: func(x *http1.Exchange) {
 		_ = x.Begin(http.StatusOK, http.Header{})
 		_ = x.Write([]byte("part"))
 		if x.Request.RequestURI == "/abort" {
@@ -137,13 +139,13 @@
 		_ = x.End()
 	}}
 	_, address := serve(t, h, http1.Limits{})
-	require.True(t, strings.HasSuffix(raw(t, address, "GET /whole HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"), "4\r\npart\r\n0\r\n\r\n"))
-	require.True(t, strings.HasSuffix(raw(t, address, "GET /abort HTTP/1.1\r\nHost: h\r\n\r\n"), "4\r\npart\r\n"))
+	require.True(t, strings.HasSuffix(sendRaw(t, address, "GET /whole HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"), "4\r\npart\r\n0\r\n\r\n"))
+	require.True(t, strings.HasSuffix(sendRaw(t, address, "GET /abort HTTP/1.1\r\nHost: h\r\n\r\n"), "4\r\npart\r\n"))
 }
 
-func TestShutdownCutsNoRequest(t *testing.T) {
+func TestShutdownWaitsForOpenRequests(t *testing.T) {
 	entered, leave := make(chan struct{}), make(chan struct{})
-	h := &recorder{before: func(*http1.Exchange) {
+	h := &recorder{onRequest: func(*http1.Exchange) {
 		entered <- struct{}{}
 		<-leave
 	}}
@@ -169,16 +171,16 @@
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
-	require.True(t, resp.Close, "the last answer says so")
+	require.True(t, resp.Close, "the last response carries Connection: close")
 	await.Value(t, done, "the end of Shutdown")
 }
 
-func TestTheContextEndsWhenTheClientLeaves(t *testing.T) {
-	left := make(chan struct{})
-	h := &recorder{before: func(x *http1.Exchange) {
+func TestContextIsCancelledWhenClientDisconnects(t *testing.T) {
+	cancelled := make(chan struct{})
+	h := &recorder{onRequest: func(x *http1.Exchange) {
 		<-x.Context().Done()
 		x.Abort()
-		close(left)
+		close(cancelled)
 	}}
 	_, address := serve(t, h, http1.Limits{})
 	c, err := net.Dial("tcp4", address)
@@ -187,14 +189,14 @@
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
 	select {
-	case <-left:
+	case <-cancelled:
 	case <-time.After(time.Second):
-		require.Fail(t, "the handler was not told")
+		require.Fail(t, "the handler's context was not cancelled")
 	}
 }
 
-// FuzzServer checks that whatever comes, each request that is handled begins
-// at a place where the bytes before it end a whole request.
+// FuzzServer checks that the server never handles more requests than the input contains, and
+// only methods that occur in it.
 func FuzzServer(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -206,7 +208,7 @@
 		s := &http1.Server{Handler: h, Limits: func() http1.Limits {
 			return http1.Limits{HeaderTimeout: 20 * time.Millisecond, IdleTimeout: 20 * time.Millisecond}
 		}}
-		l := &oneConn{c: b, done: make(chan struct{})}
+		l := &singleConnListener{c: b, done: make(chan struct{})}
 		go s.Serve(l)
 		go func() { _, _ = io.Copy(io.Discard, a) }()
 		_ = a.SetDeadline(time.Now().Add(200 * time.Millisecond))
@@ -216,31 +218,31 @@
 		_ = a.Close()
 		s.Shutdown(ctx)
 		close(l.done)
-		for _, r := range h.list() {
+		for _, r := range h.recorded() {
 			method, _, _ := strings.Cut(r, " ")
 			require.Contains(t, text, method)
 		}
-		if strings.Count(text, "HTTP/1.") < len(h.list()) {
-			t.Fatalf("%d requests out of %q", len(h.list()), text)
+		if strings.Count(text, "HTTP/1.") < len(h.recorded()) {
+			t.Fatalf("%d requests out of %q", len(h.recorded()), text)
 		}
 	})
 }
 
-// oneConn is a listener with one connection.
-type oneConn struct {
-	c    net.Conn
-	done chan struct{}
-	used bool
+// singleConnListener is a listener that accepts exactly one connection.
+type singleConnListener struct {
+	c        net.Conn
+	done     chan struct{}
+	accepted bool
 }
 
-func (l *oneConn) Accept() (net.Conn, error) {
-	if !l.used {
-		l.used = true
+func (l *singleConnListener) Accept() (net.Conn, error) {
+	if !l.accepted {
+		l.accepted = true
 		return l.c, nil
 	}
 	<-l.done
 	return nil, net.ErrClosed
 }
 
-func (l *oneConn) Close() error   { return nil }
-func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Close() error   { return nil }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
