--- a/io/caller/body.go
+++ b/io/caller/body.go
@@ -15,16 +15,16 @@
 
 const (
 	defaultMaxTokens = 256
-	mostMaxTokens    = 32768
+	maxTokensLimit   = 32768
 	maxDeadlineMS    = 24 * 60 * 60 * 1000
 )
 
 type (
-	// parser reads a model request's body.
-	parser func(body []byte) (*parsed, error)
+	// bodyParser parses the body of a request to the model API.
+	bodyParser func(body []byte) (*modelRequest, error)
 
-	// parsed is a model request's body.
-	parsed struct {
+	// modelRequest is the parsed body of a request to the model API.
+	modelRequest struct {
 		chat      bool
 		model     string
 		prompt    string
@@ -32,14 +32,16 @@
 		stream    bool
 	}
 
+	// chatBody is the JSON body of a chat completion request.
 	chatBody struct {
-		Model     string    `json:"model"`
-		Messages  []message `json:"messages"`
-		MaxTokens *int      `json:"max_tokens"`
-		Newer     *int      `json:"max_completion_tokens"`
-		Stream    bool      `json:"stream"`
+		Model               string    `json:"model"`
+		Messages            []message `json:"messages"`
+		MaxTokens           *int      `json:"max_tokens"`
+		MaxCompletionTokens *int      `json:"max_completion_tokens"`
+		Stream              bool      `json:"stream"`
 	}
 
+	// completionBody is the JSON body of a completion request.
 	completionBody struct {
 		Model     string `json:"model"`
 		Prompt    text   `json:"prompt"`
@@ -47,14 +49,17 @@
 		Stream    bool   `json:"stream"`
 	}
 
+	// message is one message of a chat.
 	message struct {
 		Role    string `json:"role"`
 		Content text   `json:"content"`
 	}
 
-	// text is a string, or a list of strings or text parts, joined.
+	// text is decoded from a string, or from a list of strings or text parts, which are
+	// concatenated.
 	text string
 
+	// part is one part of a message's content; only parts of type "text" are accepted.
 	part struct {
 		Type string `json:"type"`
 		Text string `json:"text"`
@@ -63,16 +68,16 @@
 
 var (
 	errText      = &TextError{}
-	errMaxTokens = outcome.Refuse(outcome.BadRequest, "max_tokens must be from 1 to "+strconv.Itoa(mostMaxTokens), 0)
+	errMaxTokens = outcome.Refuse(outcome.BadRequest, "max_tokens must be from 1 to "+strconv.Itoa(maxTokensLimit), 0)
 )
 
-// TextError tells that content is neither a string nor text parts.
+// TextError reports content that is neither a string nor a list of text parts.
 type TextError struct{}
 
-// Error returns the text of the error.
+// Error returns the description that callers see.
 func (*TextError) Error() string { return "content must be a string or text parts" }
 
-// UnmarshalJSON reads a string, a list of strings or a list of text parts.
+// UnmarshalJSON decodes a string, a list of strings or a list of text parts.
 func (t *text) UnmarshalJSON(b []byte) error {
 	var s string
 	if json.Unmarshal(b, &s) == nil {
@@ -99,7 +104,9 @@
 	return nil
 }
 
-func parseChat(body []byte) (*parsed, error) {
+// parseChat parses a chat completion request. The prompt is one "role: content" line for
+// each message.
+func parseChat(body []byte) (*modelRequest, error) {
 	var c chatBody
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, outcome.Refuse(outcome.BadRequest, err.Error(), 0)
@@ -115,21 +122,23 @@
 		prompt.WriteByte('\n')
 	}
 	if c.MaxTokens == nil {
-		c.MaxTokens = c.Newer
+		c.MaxTokens = c.MaxCompletionTokens
 	}
-	return check(&parsed{chat: true, model: c.Model, prompt: prompt.String(), stream: c.Stream}, c.MaxTokens)
+	return validate(&modelRequest{chat: true, model: c.Model, prompt: prompt.String(), stream: c.Stream}, c.MaxTokens)
 }
 
-func parseCompletion(body []byte) (*parsed, error) {
+// parseCompletion parses a completion request.
+func parseCompletion(body []byte) (*modelRequest, error) {
 	var c completionBody
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, outcome.Refuse(outcome.BadRequest, err.Error(), 0)
 	}
-	return check(&parsed{model: c.Model, prompt: string(c.Prompt), stream: c.Stream}, c.MaxTokens)
+	return validate(&modelRequest{model: c.Model, prompt: string(c.Prompt), stream: c.Stream}, c.MaxTokens)
 }
 
-// check fills in what both kinds of body have.
-func check(p *parsed, maxTokens *int) (*parsed, error) {
+// validate checks the fields that both request types share and applies the default of
+// max_tokens.
+func validate(p *modelRequest, maxTokens *int) (*modelRequest, error) {
 	if p.model == "" {
 		return nil, outcome.Refuse(outcome.BadRequest, "model is missing", 0)
 	}
@@ -137,14 +146,14 @@
 	if maxTokens != nil {
 		p.maxTokens = *maxTokens
 	}
-	if p.maxTokens < 1 || p.maxTokens > mostMaxTokens {
+	if p.maxTokens < 1 || p.maxTokens > maxTokensLimit {
 		return nil, errMaxTokens
 	}
 	return p, nil
 }
 
-// generation joins body and headers.
-func (p *parsed) generation(r *http.Request, id string, body []byte) (Generation, error) {
+// generation builds a Generation from the parsed body and the headers.
+func (p *modelRequest) generation(r *http.Request, id string, body []byte) (Generation, error) {
 	g := Generation{
 		RequestID: id,
 		Bearer:    bearer(r),
@@ -160,19 +169,20 @@
 	if g.Deadline, err = deadlineOf(r); err != nil {
 		return g, err
 	}
-	last := r.Header.Get("Last-Event-ID")
-	if last == "" {
+	lastEventID := r.Header.Get("Last-Event-ID")
+	if lastEventID == "" {
 		return g, nil
 	}
-	t, err := forward.ParseToken(last)
+	token, err := forward.ParseToken(lastEventID)
 	if err != nil {
 		return g, outcome.Refuse(outcome.BadRequest, err.Error(), 0)
 	}
-	g.Resume = &t
+	g.Resume = &token
 	return g, nil
 }
 
-// deadlineOf returns the deadline that a caller asks for, zero for none.
+// deadlineOf returns the deadline that the caller requests in a header, or zero if there is
+// none.
 func deadlineOf(r *http.Request) (time.Duration, error) {
 	v := r.Header.Get("X-Deadline-Ms")
 	if v == "" {
@@ -185,7 +195,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// readBody reads a body of at most limit bytes.
+// readBody reads a body of at most limit bytes and refuses a longer one.
 func readBody(r io.Reader, limit int64) ([]byte, error) {
 	if r == nil {
 		return nil, nil
--- a/io/caller/doc.go
+++ b/io/caller/doc.go
@@ -1,18 +1,17 @@
-// Package caller speaks HTTP with callers: the OpenAI-style model API with
-// server-sent events, and plain services under their declared paths.
+// Package caller serves HTTP to callers: an OpenAI-style model API with server-sent events,
+// and plain services under their declared paths.
 //
 // # Method
 //
-// The server is nbhttp. Three of its habits shape this package: it does not
-// cancel a request's context when the caller goes away, so open connections are
-// watched and the context is cancelled here; it closes idle connections by a
-// read deadline that would also hit long streams, so the deadline is lifted
-// while a request runs; its handlers run on a bounded pool by default, so each
-// request gets a goroutine of its own, bounded by the count of streams.
+// The server is nbhttp. Three properties of nbhttp shape this package. It does not cancel
+// the context of a request when the caller disconnects, so this package watches the open
+// connections and cancels the contexts itself. It closes idle connections by a read deadline
+// that would also cut long streams, so the deadline is cleared while a request runs. By
+// default its handlers run on a bounded pool, so each request gets its own goroutine here,
+// bounded by the limit on open requests.
 //
-// An answer's status is sent with its first token, so that a refusal that comes
-// late still has a status of its own. A stream ends with "data: [DONE]"; what
-// ends without it was cut.
+// The status of a response is sent with the first token, so that a late refusal still has
+// its own status. A stream ends with "data: [DONE]"; a stream without it was cut off.
 //
 // # Usage
 //
--- a/io/caller/listen.go
+++ b/io/caller/listen.go
@@ -15,11 +15,11 @@
 	"guavapaddle/io/tcp"
 )
 
-// Listen starts to accept connections and returns the address. It returns once
-// the server can be stopped.
+// Listen starts accepting connections and returns the bound address. After it returns, the
+// server can be stopped safely.
 func (s *Server) Listen() (string, error) {
 	logging.SetLevel(logging.LevelNone)
-	s.watch = map[net.Conn]*watched{}
+	s.watchedConns = map[net.Conn]*watchedConn{}
 	if s.Idle == 0 {
 		s.Idle = defaultIdle
 	}
@@ -30,20 +30,20 @@
 	s.listener = l
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Handler:            http.HandlerFunc(s.serve),
-		NPoller:            pollers,
+		NPoller:            pollerCount,
 		MaxHTTPBodySize:    hardBodyBytes,
 		ReadLimit:          hardReadBytes,
 		MaxWriteBufferSize: writeBuffer,
 		KeepaliveTime:      s.Idle,
 		ServerExecutor:     func(f func()) { go f() },
 	})
-	s.polling = make(chan struct{})
-	s.handOver()
+	s.pollerReady = make(chan struct{})
+	s.orderAcceptBeforeRead()
 	if err := s.engine.Start(); err != nil {
 		_ = l.Close()
 		return "", &ListenError{Address: s.Address, Err: err}
 	}
-	s.accepting = make(chan struct{})
+	s.acceptDone = make(chan struct{})
 	go s.accept()
 	bound := l.Addr().String()
 	if err := s.awaitPoller(bound); err != nil {
@@ -53,12 +53,13 @@
 	return bound, nil
 }
 
-// handOver orders the accept of a connection before its first read. The kernel
-// orders them already (a connection is read when epoll says so, after it was
-// added), but the race detector can't see that. The first read closes polling.
-func (s *Server) handOver() {
+// orderAcceptBeforeRead makes the acceptance of a connection happen before its first read,
+// in the sense of the Go memory model. The kernel already orders them, because epoll reports
+// a connection as readable only after it was added, but the race detector cannot see that.
+// The first read closes pollerReady.
+func (s *Server) orderAcceptBeforeRead() {
 	var accepted atomic.Int64
-	var first sync.Once
+	var firstRead sync.Once
 	s.engine.Engine.OnOpen(func(*nbio.Conn) {
 		accepted.Add(1)
 		if s.accepted != nil {
@@ -67,14 +68,14 @@
 	})
 	s.engine.OnReadBufferAlloc(func(c *nbio.Conn) *[]byte {
 		accepted.Load()
-		first.Do(func() { close(s.polling) })
+		firstRead.Do(func() { close(s.pollerReady) })
 		return s.engine.PollerBufferPtr(c)
 	})
 }
 
-// awaitPoller returns once the engine's poller reads, for which it opens and
-// closes a connection. A poller resets its stop mark when its goroutine begins
-// to run, so an engine that is stopped before that never ends.
+// awaitPoller opens and closes a connection and returns once the engine's poller has read
+// from it. A poller clears its stop flag when its goroutine starts to run, so an engine that
+// is stopped before that would never terminate.
 func (s *Server) awaitPoller(address string) error {
 	c, err := net.DialTimeout("tcp", address, pollerTimeout)
 	if err != nil {
@@ -84,26 +85,26 @@
 		return err
 	}
 	select {
-	case <-s.polling:
+	case <-s.pollerReady:
 		return nil
 	case <-time.After(pollerTimeout):
 		return &PollerError{Timeout: pollerTimeout}
 	}
 }
 
-// accept passes connections to the engine until the listener is closed. Unlike
-// the engine's own loop it can be waited for: the engine's Stop waits for all
-// connections but closes only those added before, and a connection added during
-// Stop would keep it until that is idle.
+// accept passes connections to the engine until the listener is closed. It replaces the
+// engine's own accept loop because that cannot be waited for: the engine's Stop waits for
+// all connections but closes only those added before the call, so a connection added during
+// Stop would block it until that connection's idle timeout.
 func (s *Server) accept() {
-	defer close(s.accepting)
+	defer close(s.acceptDone)
 	tcp.Accept(s.listener, func(c net.Conn) {
 		s.engine.AddConnNonTLSNonBlocking(&nbhttp.Conn{Conn: c}, nil, func() {})
 	}, s.AcceptFailed)
 }
 
-// Run watches connections until ctx ends and then closes what is open. Callers
-// of Run wait for Open to be zero first if nothing may be cut.
+// Run watches connections until ctx ends and then closes the open ones. To shut down without
+// cutting off requests, wait until Open returns zero before ending ctx.
 func (s *Server) Run(ctx context.Context) error {
 	t := time.NewTicker(watchPeriod)
 	defer t.Stop()
@@ -113,7 +114,7 @@
 			s.cancelClosed()
 		case <-ctx.Done():
 			err := s.listener.Close()
-			<-s.accepting
+			<-s.acceptDone
 			s.engine.Stop()
 			return err
 		}
--- a/io/caller/answer.go
+++ b/io/caller/response.go
@@ -22,8 +22,8 @@
 	headerRetryMS   = "Retry-After-Ms"
 )
 
-// statuses maps the reason of a failure to a status; others are 503 for
-// refusals and 502 for the rest.
+// statuses maps the reason of a failure to an HTTP status. Reasons that are not listed map
+// to 503 for refusals and to 502 otherwise.
 var statuses = map[outcome.Reason]int{
 	outcome.BadRequest:     http.StatusBadRequest,
 	outcome.BodyTooLarge:   http.StatusRequestEntityTooLarge,
@@ -40,21 +40,23 @@
 }
 
 type (
-	// answer writes the answer to one request.
-	answer struct {
-		w       http.ResponseWriter
-		id      string
-		parsed  *parsed
-		started bool // the status is out
-		text    strings.Builder
-		tokens  int
-		offset  int // tokens that a caller that came back has already
+	// responseWriter writes the response to one request.
+	responseWriter struct {
+		w            http.ResponseWriter
+		id           string
+		modelRequest *modelRequest
+		headSent     bool // the status line has been sent
+		text         strings.Builder
+		tokens       int
+		offset       int // number of tokens that a resuming caller has already received
 	}
 
+	// usage is the token count of a completion.
 	usage struct {
 		CompletionTokens int `json:"completion_tokens"`
 	}
 
+	// choice is the text of a completion or of one stream event.
 	choice struct {
 		Index        int       `json:"index"`
 		Message      *chatText `json:"message,omitempty"`
@@ -63,11 +65,13 @@
 		FinishReason *string   `json:"finish_reason"`
 	}
 
+	// chatText is a chat message, or the part of one that a stream event adds.
 	chatText struct {
 		Role    string `json:"role,omitempty"`
 		Content string `json:"content"`
 	}
 
+	// completion is the body of a response, or of one stream event, of the model API.
 	completion struct {
 		ID      string   `json:"id"`
 		Object  string   `json:"object"`
@@ -76,31 +80,34 @@
 		Usage   *usage   `json:"usage,omitempty"`
 	}
 
-	failure struct {
-		Error failureBody `json:"error"`
+	// errorResponse is the body of an error response, or of the error event of a stream.
+	errorResponse struct {
+		Error errorDetail `json:"error"`
 	}
 
-	failureBody struct {
+	errorDetail struct {
 		Type    outcome.Reason  `json:"type"`
 		Outcome outcome.Outcome `json:"outcome"`
 		Message string          `json:"message"`
 	}
 
+	// model is one entry of the list of models.
 	model struct {
 		ID     string `json:"id"`
 		Object string `json:"object"`
 	}
 
+	// models is the response body of /v1/models.
 	models struct {
 		Object string  `json:"object"`
 		Data   []model `json:"data"`
 	}
 
-	// Gone is the failure of a write to a caller that closed its connection.
+	// Gone reports a write to a caller that closed its connection.
 	Gone struct{ Err error }
 )
 
-// Error returns the cause.
+// Error returns a description with the cause.
 func (e *Gone) Error() string { return fmt.Sprintf("caller is gone: %v", e.Err) }
 
 // Unwrap returns the cause.
@@ -114,53 +121,54 @@
 	return m
 }
 
-func (a *answer) begin(p *parsed) { a.parsed = p }
+func (rw *responseWriter) setRequest(p *modelRequest) { rw.modelRequest = p }
 
-// reply takes one step of a generation.
-func (a *answer) reply(r forward.Reply, at forward.Token) error {
-	if a.parsed.stream {
-		return a.event(r, at)
+// reply writes one reply of a generation: as an event of a stream, or collected until the
+// generation finishes.
+func (rw *responseWriter) reply(r forward.Reply, at forward.Token) error {
+	if rw.modelRequest.stream {
+		return rw.writeEvent(r, at)
 	}
 	if r.Finish == "" {
-		a.text.WriteString(r.Token)
-		a.tokens++
+		rw.text.WriteString(r.Token)
+		rw.tokens++
 		return nil
 	}
-	a.json(http.StatusOK, a.whole(r.Finish))
+	rw.json(http.StatusOK, rw.collected(r.Finish))
 	return nil
 }
 
-// whole returns a collected answer.
-func (a *answer) whole(finish string) completion {
-	text := a.text.String()
+// collected returns the response body of a generation that is not streamed.
+func (rw *responseWriter) collected(finish string) completion {
+	text := rw.text.String()
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
-	if a.parsed.chat {
+	if rw.modelRequest.chat {
 		object = "chat.completion"
 		c.Message = &chatText{Role: "assistant", Content: text}
 	} else {
 		c.Text = &text
 	}
-	return completion{ID: a.id, Object: object, Model: a.parsed.model, Choices: []choice{c}, Usage: &usage{CompletionTokens: a.tokens}}
+	return completion{ID: rw.id, Object: object, Model: rw.modelRequest.model, Choices: []choice{c}, Usage: &usage{CompletionTokens: rw.tokens}}
 }
 
-// event writes one step of a stream.
-func (a *answer) event(r forward.Reply, at forward.Token) error {
-	if !a.started {
-		a.head(http.StatusOK, "text/event-stream", nil)
+// writeEvent writes one reply as a server-sent event.
+func (rw *responseWriter) writeEvent(r forward.Reply, at forward.Token) error {
+	if !rw.headSent {
+		rw.writeHead(http.StatusOK, "text/event-stream", nil)
 	}
 	c := choice{}
 	object := "text_completion"
 	if r.Finish != "" {
 		c.FinishReason = &r.Finish
 	}
-	if a.parsed.chat {
+	if rw.modelRequest.chat {
 		object = "chat.completion.chunk"
 		c.Delta = &chatText{Content: r.Token}
 	} else {
 		c.Text = &r.Token
 	}
-	data, err := json.Marshal(completion{ID: a.id, Object: object, Model: a.parsed.model, Choices: []choice{c}})
+	data, err := json.Marshal(completion{ID: rw.id, Object: object, Model: rw.modelRequest.model, Choices: []choice{c}})
 	if err != nil {
 		return &Gone{Err: err}
 	}
@@ -169,30 +177,30 @@
 	if r.Finish != "" {
 		fmt.Fprintf(&b, ": outcome=%s\n\ndata: [DONE]\n\n", outcome.Done)
 	}
-	return a.write(b.Bytes())
+	return rw.write(b.Bytes())
 }
 
-// write sends bytes at once.
-func (a *answer) write(b []byte) error {
-	if _, err := a.w.Write(b); err != nil {
+// write sends b and flushes it to the caller.
+func (rw *responseWriter) write(b []byte) error {
+	if _, err := rw.w.Write(b); err != nil {
 		return &Gone{Err: err}
 	}
-	if f, ok := a.w.(http.Flusher); ok {
+	if f, ok := rw.w.(http.Flusher); ok {
 		f.Flush()
 	}
 	return nil
 }
 
-// head writes status and headers.
-func (a *answer) head(status int, contentType string, e *outcome.Error) {
-	h := a.w.Header()
+// writeHead writes the status line and the headers.
+func (rw *responseWriter) writeHead(status int, contentType string, e *outcome.Error) {
+	h := rw.w.Header()
 	if contentType != "" {
 		h.Set("Content-Type", contentType)
 	}
 	h.Set("Cache-Control", "no-store")
-	h.Set(headerRequestID, a.id)
+	h.Set(headerRequestID, rw.id)
 	if e == nil {
-		if a.parsed == nil || !a.parsed.stream {
+		if rw.modelRequest == nil || !rw.modelRequest.stream {
 			h.Set(headerOutcome, string(outcome.Done))
 		}
 	} else {
@@ -203,29 +211,30 @@
 			h.Set(headerRetryMS, strconv.FormatInt(int64(math.Ceil(float64(e.RetryAfter)/float64(time.Millisecond))), 10))
 		}
 	}
-	a.started = true
-	a.w.WriteHeader(status)
+	rw.headSent = true
+	rw.w.WriteHeader(status)
 }
 
-// json writes a whole answer.
-func (a *answer) json(status int, v any) {
+// json writes a complete JSON response.
+func (rw *responseWriter) json(status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		a.fail(outcome.Fail(outcome.Internal, err.Error()))
+		rw.writeError(outcome.Fail(outcome.Internal, err.Error()))
 		return
 	}
-	a.head(status, "application/json", nil)
-	_, _ = a.w.Write(append(b, '\n'))
+	rw.writeHead(status, "application/json", nil)
+	_, _ = rw.w.Write(append(b, '\n'))
 }
 
-// fail writes a failure: a status of its own, or the last event of a stream.
-func (a *answer) fail(e *outcome.Error) {
-	b, err := json.Marshal(failure{Error: failureBody{Type: e.Reason, Outcome: e.Outcome, Message: e.Error()}})
+// writeError writes an error: as a response with its own status, or as the last event of a
+// stream that has started.
+func (rw *responseWriter) writeError(e *outcome.Error) {
+	b, err := json.Marshal(errorResponse{Error: errorDetail{Type: e.Reason, Outcome: e.Outcome, Message: e.Error()}})
 	if err != nil {
 		return
 	}
-	if a.started {
-		_ = a.write([]byte(fmt.Sprintf("event: error\ndata: %s\n\n", b)))
+	if rw.headSent {
+		_ = rw.write([]byte(fmt.Sprintf("event: error\ndata: %s\n\n", b)))
 		return
 	}
 	status, ok := statuses[e.Reason]
@@ -236,13 +245,13 @@
 	default:
 		status = http.StatusBadGateway
 	}
-	a.head(status, "application/json", e)
-	_, _ = a.w.Write(append(b, '\n'))
+	rw.writeHead(status, "application/json", e)
+	_, _ = rw.w.Write(append(b, '\n'))
 }
 
-// service writes the answer of a plain service.
-func (a *answer) service(s ServiceAnswer) {
-	h := a.w.Header()
+// writeService writes the response of a plain service.
+func (rw *responseWriter) writeService(s ServiceAnswer) {
+	h := rw.w.Header()
 	for name, values := range s.Header {
 		if endToEnd(name) {
 			h[name] = values
@@ -251,11 +260,12 @@
 	if s.Stored {
 		h.Set(headerStored, "1")
 	}
-	a.head(s.Status, "", nil)
-	_, _ = a.w.Write(s.Body)
+	rw.writeHead(s.Status, "", nil)
+	_, _ = rw.w.Write(s.Body)
 }
 
-// endToEnd tells whether a header of a backend server's answer is passed on.
+// endToEnd reports whether a header field of a backend server's response is passed on to the
+// caller.
 func endToEnd(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade",
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	hardBodyBytes  = 32 << 20 // beyond it the connection is closed unanswered
-	writeBuffer    = 8 << 20  // a caller that reads so far behind is cut off
-	watchPeriod    = 50 * time.Millisecond
-	defaultIdle    = 2 * time.Minute
-	defaultStreams = 4096
-	defaultBody    = 4 << 20
-	defaultHeader  = 32 << 10
-	hardReadBytes  = hardBodyBytes + 1<<20 // of one request, headers included
-	headerOverhead = 4                     // bytes of ": " and the line's end
-	pollers        = 1                     // it only reads and parses; handlers have goroutines
-	pollerTimeout  = 10 * time.Second      // from the engine's start to the poller's first read
+	hardBodyBytes      = 32 << 20 // a connection with a larger body is closed without a response
+	writeBuffer        = 8 << 20  // a caller with more unread bytes than this is disconnected
+	watchPeriod        = 50 * time.Millisecond
+	defaultIdle        = 2 * time.Minute
+	defaultStreams     = 4096
+	defaultBodyBytes   = 4 << 20
+	defaultHeaderBytes = 32 << 10
+	hardReadBytes      = hardBodyBytes + 1<<20 // limit of one request including its headers
+	headerOverhead     = 4                     // length of ": " and CR LF in each header line
+	pollerCount        = 1                     // one suffices: it only reads and parses, handlers run in their own goroutines
+	pollerTimeout      = 10 * time.Second      // limit of the time from the engine's start to the poller's first read
 )
 
 type (
-	// Generation is one request to a model.
+	// Generation is a request to a model.
 	Generation struct {
 		RequestID string
 		Bearer    string
 		Model     string
-		Kind      string        // empty for the team's default
-		Deadline  time.Duration // zero for the kind's
+		Kind      string        // request kind, empty for the team's default
+		Deadline  time.Duration // zero for the default of the kind
 		Prompt    string
 		MaxTokens int
 		Stream    bool
 		Key       string         // idempotency key, may be empty
-		Resume    *forward.Token // nil for a new answer
-		Body      []byte         // as it came, for the fingerprint
+		Resume    *forward.Token // nil for a new generation
+		Body      []byte         // unmodified request body, for the fingerprint
 	}
 
-	// ServiceCall is one call of a plain service.
+	// ServiceCall is a call to a plain service.
 	ServiceCall struct {
 		RequestID string
 		Bearer    string
@@ -58,195 +58,200 @@
 		Header    http.Header
 		Body      []byte
 		Key       string        // idempotency key, may be empty
-		Deadline  time.Duration // zero for the kind's
+		Deadline  time.Duration // zero for the default of the kind
 	}
 
-	// ServiceAnswer is the whole answer of a plain service.
+	// ServiceAnswer is the complete response of a plain service.
 	ServiceAnswer struct {
 		Status int
 		Header http.Header
 		Body   []byte
-		Stored bool // the answer of an earlier call with the same key
+		Stored bool // the stored response of an earlier call with the same idempotency key
 	}
 
-	// Handler does what callers ask for. All errors are *outcome.Error.
+	// Handler serves the requests of callers. Every error that it returns must be an
+	// *outcome.Error.
 	Handler interface {
-		// Models returns the names that the owner of a key may call.
+		// Models returns the names of the models that the owner of an API key may use.
 		Models(bearer string) ([]string, error)
-		// Generate passes an answer's replies to emit and returns nil after
-		// the finish.
+		// Generate passes the replies of a generation to emit and returns nil after the
+		// final one.
 		Generate(ctx context.Context, g Generation, emit forward.Emit) error
 		// Call calls a plain service.
 		Call(ctx context.Context, c ServiceCall) (ServiceAnswer, error)
-		// Ended is told how a request ended; err is nil for done.
+		// Ended is called when a request has ended; err is nil if it succeeded.
 		Ended(requestID string, started time.Time, err error)
 	}
 
-	// Server listens for callers.
+	// Server serves HTTP to callers. Exported fields must be set before Listen is called.
 	Server struct {
 		Address   string // IP:port
 		Handler   Handler
-		BodyBytes func() int64                 // bound of a body, default 4 MiB
-		Headers   func() int                   // bound of all headers in bytes, default 32 KiB
-		Streams   func() int                   // bound of open requests, default 4096
-		Idle      time.Duration                // of a connection without request, default 2 min
-		NewID     func() string                // of requests
-		Draining  func() (time.Duration, bool) // when to come back, and whether new requests are refused
-		// Panicked is called for a handler that panicked, may be nil.
+		BodyBytes func() int64                 // limit of a request body, default 4 MiB
+		Headers   func() int                   // limit of all headers in bytes, default 32 KiB
+		Streams   func() int                   // limit of open requests, default 4096
+		Idle      time.Duration                // idle timeout of a connection, default 2 min
+		NewID     func() string                // returns a new request ID
+		Draining  func() (time.Duration, bool) // returns the retry delay and whether new requests are refused
+		// Panicked is called when a handler panicked, may be nil.
 		Panicked func(requestID string, value any, stack []byte)
-		// AcceptFailed is called for a connection that could not be accepted,
-		// may be nil. The server tries again.
+		// AcceptFailed is called when accepting a connection fails, may be nil. The server
+		// then retries.
 		AcceptFailed func(err error)
 
-		engine    *nbhttp.Engine
-		listener  net.Listener
-		accepting chan struct{} // closed when accept has returned
-		polling   chan struct{} // closed when the engine's poller has read
-		accepted  func()        // called while a connection is added, nil but in tests
-		open      atomic.Int64
-		mu        sync.Mutex
-		watch     map[net.Conn]*watched
+		engine       *nbhttp.Engine
+		listener     net.Listener
+		acceptDone   chan struct{} // closed when accept returns
+		pollerReady  chan struct{} // closed at the first read of the engine's poller
+		accepted     func()        // called while a connection is added, set only by tests
+		open         atomic.Int64
+		mu           sync.Mutex
+		watchedConns map[net.Conn]*watchedConn
 	}
 
-	// watched is the connection of a request that runs.
-	watched struct {
-		cancel context.CancelFunc
-		lifted bool // the read deadline, for good
+	// watchedConn is the connection of a running request.
+	watchedConn struct {
+		cancel          context.CancelFunc
+		deadlineCleared bool // the read deadline was cleared by cancelClosed
 	}
 
-	// ListenError reports an address that can't be used.
+	// ListenError reports an address on which the server cannot listen.
 	ListenError struct {
 		Address string
 		Err     error
 	}
 
-	// PollerError reports an engine whose poller has not read within Timeout.
+	// PollerError reports that the engine's poller did not read anything within Timeout.
 	PollerError struct {
 		Timeout time.Duration
 	}
 )
 
-// Error returns address and cause.
+// Error returns the address and the cause.
 func (e *ListenError) Error() string { return fmt.Sprintf("listen on %s: %v", e.Address, e.Err) }
 
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // Error returns the timeout.
-func (e *PollerError) Error() string { return fmt.Sprintf("poller reads nothing within %v", e.Timeout) }
+func (e *PollerError) Error() string {
+	return fmt.Sprintf("poller did not read anything within %v", e.Timeout)
+}
 
-// Open returns how many requests are open.
+// Open returns the number of open requests.
 func (s *Server) Open() int { return int(s.open.Load()) }
 
-// cancelClosed cancels the requests whose caller has gone.
+// cancelClosed cancels the contexts of requests whose caller disconnected.
 func (s *Server) cancelClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, w := range s.watch {
-		if !w.lifted { // nbhttp may set it once more after the first request began
-			w.lifted = c.SetReadDeadline(time.Time{}) == nil
+	for c, w := range s.watchedConns {
+		if !w.deadlineCleared { // nbhttp may set the deadline again after the first request started
+			w.deadlineCleared = c.SetReadDeadline(time.Time{}) == nil
 		}
-		if closed(c) {
+		if isClosed(c) {
 			w.cancel()
-			delete(s.watch, c)
+			delete(s.watchedConns, c)
 		}
 	}
 }
 
-func closed(c net.Conn) bool {
+// isClosed reports whether the engine has closed a connection.
+func isClosed(c net.Conn) bool {
 	nc, ok := c.(*nbio.Conn)
 	if !ok {
 		return false
 	}
-	is, _ := nc.IsClosed()
-	return is
+	closed, _ := nc.IsClosed()
+	return closed
 }
 
-// serve answers one request.
+// serve handles one request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	id := s.NewID()
 	started := time.Now()
-	a := &answer{w: w, id: id}
-	leaveClosing(w, r)
+	rw := &responseWriter{w: w, id: id}
+	deferClose(w, r)
 	if n := s.open.Add(1); n > int64(s.streams()) {
 		s.open.Add(-1)
-		s.refuse(a, started, outcome.Refuse(outcome.QueueFull, "requests of this node", time.Second))
+		s.refuse(rw, started, outcome.Refuse(outcome.QueueFull, "requests of this node", time.Second))
 		return
 	}
 	defer s.open.Add(-1)
-	defer s.recovered(a, started)
-	if after, yes := s.Draining(); yes {
+	defer s.recoverPanic(rw, started)
+	if after, draining := s.Draining(); draining {
 		w.Header().Set("Connection", "close")
-		s.refuse(a, started, outcome.Refuse(outcome.Draining, "", after))
+		s.refuse(rw, started, outcome.Refuse(outcome.Draining, "", after))
 		return
 	}
-	ctx, stop := s.watching(w)
+	ctx, stop := s.watchConn(w)
 	defer stop()
 	if err := s.checkHeaders(r); err != nil {
-		s.refuse(a, started, err)
+		s.refuse(rw, started, err)
 		return
 	}
 	body, err := s.body(r)
 	if err != nil {
-		s.refuse(a, started, err)
+		s.refuse(rw, started, err)
 		return
 	}
-	s.route(ctx, a, r, body, started)
+	s.route(ctx, rw, r, body, started)
 }
 
-// leaveClosing leaves it to a caller who asked for the connection to be closed
-// to close it. The engine would do so from the handler's goroutine; the next
-// connection may then get the same file descriptor, and the engine's poller
-// take a late event of the old connection for one of the new and close that,
-// whose caller would get no answer. A caller that does not close its end is
-// idle.
-func leaveClosing(w http.ResponseWriter, r *http.Request) {
+// deferClose keeps the engine from closing the connection if the caller requested
+// "Connection: close", and leaves the closing to the caller. The engine would close the
+// connection from the handler's goroutine. A new connection could then get the same file
+// descriptor, and the engine's poller could apply a late event of the old connection to the
+// new one and close it, so that its caller would get no response. A connection that the
+// caller does not close is subject to the idle timeout.
+func deferClose(w http.ResponseWriter, r *http.Request) {
 	if r.Close && r.ProtoAtLeast(1, 1) {
 		w.Header().Set("Connection", "close")
 		r.Close = false
 	}
 }
 
-// route passes a request on by its path.
-func (s *Server) route(ctx context.Context, a *answer, r *http.Request, body []byte, started time.Time) {
+// route dispatches a request by its path.
+func (s *Server) route(ctx context.Context, rw *responseWriter, r *http.Request, body []byte, started time.Time) {
 	var err error
 	switch r.URL.Path {
 	case "/v1/models":
-		err = s.models(a, r)
+		err = s.models(rw, r)
 	case "/v1/chat/completions":
-		err = s.generate(ctx, a, r, body, parseChat)
+		err = s.generate(ctx, rw, r, body, parseChat)
 	case "/v1/completions":
-		err = s.generate(ctx, a, r, body, parseCompletion)
+		err = s.generate(ctx, rw, r, body, parseCompletion)
 	default:
-		err = s.call(ctx, a, r, body)
+		err = s.call(ctx, rw, r, body)
 	}
 	if err != nil {
-		a.fail(outcome.From(err))
+		rw.writeError(outcome.From(err))
 	}
-	s.Handler.Ended(a.id, started, err)
+	s.Handler.Ended(rw.id, started, err)
 }
 
-func (s *Server) refuse(a *answer, started time.Time, err error) {
-	a.fail(outcome.From(err))
-	s.Handler.Ended(a.id, started, err)
+// refuse responds with an error and reports the end of the request.
+func (s *Server) refuse(rw *responseWriter, started time.Time, err error) {
+	rw.writeError(outcome.From(err))
+	s.Handler.Ended(rw.id, started, err)
 }
 
-// recovered answers a request whose handler panicked. The engine below would
-// swallow the panic and leave the caller without an answer.
-func (s *Server) recovered(a *answer, started time.Time) {
+// recoverPanic responds to a request whose handler panicked. The engine would recover the
+// panic itself and send no response.
+func (s *Server) recoverPanic(rw *responseWriter, started time.Time) {
 	p := recover()
 	if p == nil {
 		return
 	}
-	s.refuse(a, started, outcome.Unsure(outcome.Internal, fmt.Sprintf("panic: %v", p)))
+	s.refuse(rw, started, outcome.Unsure(outcome.Internal, fmt.Sprintf("panic: %v", p)))
 	if s.Panicked != nil {
-		s.Panicked(a.id, p, debug.Stack())
+		s.Panicked(rw.id, p, debug.Stack())
 	}
 }
 
-// watching returns a context that ends when the caller's connection closes, and
-// lifts the connection's read deadline while the request runs.
-func (s *Server) watching(w http.ResponseWriter) (context.Context, context.CancelFunc) {
+// watchConn returns a context that is cancelled when the caller's connection closes, and
+// clears the connection's read deadline while the request runs.
+func (s *Server) watchConn(w http.ResponseWriter) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	res, ok := w.(*nbhttp.Response)
 	if !ok || res.Parser == nil || res.Parser.Conn == nil {
@@ -258,19 +263,19 @@
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	s.mu.Lock()
-	s.watch[c] = &watched{cancel: cancel}
+	s.watchedConns[c] = &watchedConn{cancel: cancel}
 	s.mu.Unlock()
 	return ctx, func() {
 		cancel()
 		s.mu.Lock()
-		delete(s.watch, c)
+		delete(s.watchedConns, c)
 		s.mu.Unlock()
 	}
 }
 
-// checkHeaders refuses a request whose headers are larger than the bound.
+// checkHeaders refuses a request whose headers exceed the limit.
 func (s *Server) checkHeaders(r *http.Request) error {
-	limit := defaultHeader
+	limit := defaultHeaderBytes
 	if s.Headers != nil {
 		limit = s.Headers()
 	}
@@ -286,15 +291,16 @@
 	return nil
 }
 
-// body returns the whole body if it is within the bound.
+// body reads the request body and refuses one that exceeds the limit.
 func (s *Server) body(r *http.Request) ([]byte, error) {
-	limit := int64(defaultBody)
+	limit := int64(defaultBodyBytes)
 	if s.BodyBytes != nil {
 		limit = s.BodyBytes()
 	}
 	return readBody(r.Body, limit)
 }
 
+// streams returns the limit of open requests.
 func (s *Server) streams() int {
 	if s.Streams == nil {
 		return defaultStreams
@@ -302,8 +308,8 @@
 	return s.Streams()
 }
 
-// models lists what the caller may call.
-func (s *Server) models(a *answer, r *http.Request) error {
+// models responds with the list of models that the caller may use.
+func (s *Server) models(rw *responseWriter, r *http.Request) error {
 	if r.Method != http.MethodGet {
 		return methodNotAllowed(r)
 	}
@@ -311,12 +317,12 @@
 	if err != nil {
 		return err
 	}
-	a.json(http.StatusOK, modelList(names))
+	rw.json(http.StatusOK, modelList(names))
 	return nil
 }
 
-// generate runs a generation and streams or collects its answer.
-func (s *Server) generate(ctx context.Context, a *answer, r *http.Request, body []byte, parse parser) error {
+// generate runs a generation and streams its response or sends it as a whole.
+func (s *Server) generate(ctx context.Context, rw *responseWriter, r *http.Request, body []byte, parse bodyParser) error {
 	if r.Method != http.MethodPost {
 		return methodNotAllowed(r)
 	}
@@ -324,27 +330,27 @@
 	if err != nil {
 		return err
 	}
-	g, err := p.generation(r, a.id, body)
+	g, err := p.generation(r, rw.id, body)
 	if err != nil {
 		return err
 	}
-	a.begin(p)
+	rw.setRequest(p)
 	if g.Resume != nil {
-		a.offset = g.Resume.Offset
+		rw.offset = g.Resume.Offset
 	}
 	return s.Handler.Generate(ctx, g, func(reply forward.Reply, at forward.Token) error {
-		return a.reply(reply, at)
+		return rw.reply(reply, at)
 	})
 }
 
-// call calls a plain service.
-func (s *Server) call(ctx context.Context, a *answer, r *http.Request, body []byte) error {
+// call forwards a request to a plain service.
+func (s *Server) call(ctx context.Context, rw *responseWriter, r *http.Request, body []byte) error {
 	deadline, err := deadlineOf(r)
 	if err != nil {
 		return err
 	}
-	got, err := s.Handler.Call(ctx, ServiceCall{
-		RequestID: a.id,
+	result, err := s.Handler.Call(ctx, ServiceCall{
+		RequestID: rw.id,
 		Bearer:    bearer(r),
 		Method:    r.Method,
 		Path:      r.URL.EscapedPath(),
@@ -357,10 +363,11 @@
 	if err != nil {
 		return err
 	}
-	a.service(got)
+	rw.writeService(result)
 	return nil
 }
 
+// bearer returns the bearer token of a request, or an empty string if there is none.
 func bearer(r *http.Request) string {
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -21,10 +21,11 @@
 	"guavapaddle/io/caller"
 )
 
-// handler answers with what it was asked for.
+// handler is a Handler that records generations and returns fixed replies unless generate is
+// set.
 type handler struct {
-	asked    chan caller.Generation
-	generate func(ctx context.Context, g caller.Generation, emit forward.Emit) error
+	generations chan caller.Generation
+	generate    func(ctx context.Context, g caller.Generation, emit forward.Emit) error
 }
 
 func (h *handler) Models(bearer string) ([]string, error) {
@@ -35,7 +36,7 @@
 }
 
 func (h *handler) Generate(ctx context.Context, g caller.Generation, emit forward.Emit) error {
-	h.asked <- g
+	h.generations <- g
 	if h.generate != nil {
 		return h.generate(ctx, g, emit)
 	}
@@ -48,17 +49,18 @@
 
 func (h *handler) Ended(string, time.Time, error) {}
 
-// start runs a server until the test ends and returns its URL.
-func start(t testing.TB, h *handler, change func(s *caller.Server)) string {
-	h.asked = make(chan caller.Generation, 100)
+// start runs a server until the test ends and returns its URL. configure may change the
+// server before it listens.
+func start(t testing.TB, h *handler, configure func(s *caller.Server)) string {
+	h.generations = make(chan caller.Generation, 100)
 	var ids atomic.Int64
 	s := &caller.Server{
 		Address: "127.0.0.1:0", Handler: h,
 		NewID:    func() string { return fmt.Sprint("id-", ids.Add(1)) },
 		Draining: func() (time.Duration, bool) { return 0, false },
 	}
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 	address, err := s.Listen()
 	require.NoError(t, err)
@@ -72,12 +74,14 @@
 	return "http://" + address
 }
 
-// reply is a whole answer.
+// reply is the status and the headers of a response.
 type reply struct {
 	StatusCode int
 	Header     http.Header
 }
 
+// post sends a POST request with the given header names and values and returns the response
+// and its body.
 func post(t testing.TB, url, body string, header ...string) (reply, string) {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -92,7 +96,7 @@
 	return reply{StatusCode: resp.StatusCode, Header: resp.Header}, string(b)
 }
 
-func TestBodies(t *testing.T) {
+func TestRequestBodies(t *testing.T) {
 	h := &handler{}
 	url := start(t, h, nil)
 	for _, test := range []struct {
@@ -101,14 +105,14 @@
 	}{
 		{"chat", "/v1/chat/completions", `{"model":"m","messages":[{"role":"user","content":"hi"}]}`, "user: hi\n", 256},
 		{"parts", "/v1/chat/completions", `{"model":"m","max_tokens":3,"messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, "user: ab\n", 3},
-		{"newer name", "/v1/chat/completions", `{"model":"m","max_completion_tokens":4,"unknown":1,"messages":[{"role":"system","content":"s"}]}`, "system: s\n", 4},
+		{"max_completion_tokens", "/v1/chat/completions", `{"model":"m","max_completion_tokens":4,"unknown":1,"messages":[{"role":"system","content":"s"}]}`, "system: s\n", 4},
 		{"completion", "/v1/completions", `{"model":"m","prompt":"p","max_tokens":1}`, "p", 1},
 		{"list of prompts", "/v1/completions", `{"model":"m","prompt":["p","q"]}`, "pq", 256},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			resp, body := post(t, url+test.path, test.body)
 			require.Equal(t, http.StatusOK, resp.StatusCode, body)
-			g := <-h.asked
+			g := <-h.generations
 			require.Equal(t, test.prompt, g.Prompt)
 			require.Equal(t, test.tokens, g.MaxTokens)
 		})
@@ -142,12 +146,12 @@
 			require.Equal(t, test.reason, resp.Header.Get("X-Reason"))
 			require.Equal(t, "refused-not-run", resp.Header.Get("X-Outcome"))
 			require.Contains(t, body, test.reason)
-			require.Empty(t, h.asked)
+			require.Empty(t, h.generations)
 		})
 	}
 }
 
-func TestService(t *testing.T) {
+func TestServiceCall(t *testing.T) {
 	url := start(t, &handler{}, nil)
 	resp, body := post(t, url+"/bookings/a%2Fb?q=1", "x", "Idempotency-Key", "k")
 	require.Equal(t, http.StatusTeapot, resp.StatusCode)
@@ -156,8 +160,8 @@
 	require.Equal(t, "done", resp.Header.Get("X-Outcome"))
 }
 
-// TestFailureInStream shows that a stream that fails ends with an error event
-// and without the end marker.
+// TestFailureInStream checks that a failing stream ends with an error event and without the
+// end marker.
 func TestFailureInStream(t *testing.T) {
 	h := &handler{generate: func(_ context.Context, _ caller.Generation, emit forward.Emit) error {
 		if err := emit(forward.Reply{Token: "a"}, forward.Token{RequestID: "r", Offset: 1, Server: "s"}); err != nil {
@@ -173,8 +177,8 @@
 	require.NotContains(t, body, "[DONE]")
 }
 
-// TestPanic shows that a caller gets an answer when the handler panics.
-func TestPanic(t *testing.T) {
+// TestPanicInHandler checks that the caller gets a response when the handler panics.
+func TestPanicInHandler(t *testing.T) {
 	h := &handler{generate: func(context.Context, caller.Generation, forward.Emit) error { panic("misuse") }}
 	url := start(t, h, nil)
 	resp, _ := post(t, url+"/v1/completions", `{"model":"m","prompt":"p"}`)
@@ -182,9 +186,9 @@
 	require.Equal(t, "unknown", resp.Header.Get("X-Outcome"))
 }
 
-// TestCallerGone closes the connection while the answer has not begun: the
-// handler's context ends.
-func TestCallerGone(t *testing.T) {
+// TestContextIsCancelledWhenCallerDisconnects checks that the handler's context is cancelled
+// when the caller closes the connection before the response has started.
+func TestContextIsCancelledWhenCallerDisconnects(t *testing.T) {
 	ended := make(chan error, 1)
 	h := &handler{generate: func(ctx context.Context, _ caller.Generation, _ forward.Emit) error {
 		<-ctx.Done()
@@ -197,19 +201,19 @@
 	body := `{"model":"m","prompt":"p"}`
 	_, err = fmt.Fprintf(c, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	require.NoError(t, err)
-	<-h.asked
+	<-h.generations
 	require.NoError(t, c.Close())
 	select {
 	case err := <-ended:
 		require.ErrorIs(t, err, context.Canceled)
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "the context does not end")
+		require.Fail(t, "the handler's context was not cancelled")
 	}
 }
 
-// TestLongStream keeps a stream open for longer than an idle connection may be:
-// it is not cut.
-func TestLongStream(t *testing.T) {
+// TestLongStreamIsNotCutOff checks that a stream that lasts longer than the idle timeout is
+// not cut off.
+func TestLongStreamIsNotCutOff(t *testing.T) {
 	const idle = 300 * time.Millisecond
 	h := &handler{generate: func(_ context.Context, _ caller.Generation, emit forward.Emit) error {
 		for i := range 6 {
@@ -225,8 +229,9 @@
 	require.Contains(t, body, "[DONE]")
 }
 
-// TestBounds shows the bound on open requests and the refusal while draining.
-func TestBounds(t *testing.T) {
+// TestOpenRequestLimitAndDraining checks the limit on open requests and the refusal of new
+// requests while draining.
+func TestOpenRequestLimitAndDraining(t *testing.T) {
 	release := make(chan struct{})
 	h := &handler{generate: func(_ context.Context, g caller.Generation, emit forward.Emit) error {
 		<-release
@@ -247,7 +252,7 @@
 		_ = resp.Body.Close()
 		first <- resp.Status
 	}()
-	<-h.asked
+	<-h.generations
 	resp, _ := post(t, url+"/v1/completions", `{"model":"m","prompt":"p"}`)
 	require.Equal(t, "queue-full", resp.Header.Get("X-Reason"))
 	require.Equal(t, "1", resp.Header.Get("Retry-After"))
@@ -258,9 +263,9 @@
 	require.Equal(t, "draining", resp.Header.Get("X-Reason"))
 }
 
-// FuzzBody sends any body to the model API: the answer is whole HTTP with an
-// outcome, and nothing reaches the handler without a model and a prompt length
-// within its bounds.
+// FuzzBody sends arbitrary bodies to the model API. The response must be valid HTTP with an
+// outcome, and the handler must not be called without a model or without a positive number
+// of tokens.
 func FuzzBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"hi"}]}`,
@@ -278,7 +283,7 @@
 		_, err = bufio.NewReader(resp.Body).ReadByte()
 		require.True(t, err == nil || errors.Is(err, io.EOF))
 		if resp.StatusCode == http.StatusOK {
-			g := <-h.asked
+			g := <-h.generations
 			require.NotEmpty(t, g.Model)
 			require.Positive(t, g.MaxTokens)
 			return
--- a/io/caller/stop_test.go
+++ b/io/caller/stop_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	stopLimit = 5 * time.Second        // of a server without requests
-	settle    = 100 * time.Millisecond // from the closed listener to the engine's look at its connections
+	maxStopTime   = 5 * time.Second        // how long a server without requests may take to stop
+	shutdownDelay = 100 * time.Millisecond // from closing the listener until the engine's Stop collects its connections
 )
 
-// newServer returns a server on a free port.
+// newServer returns a server that listens on a free port.
 func newServer() *caller.Server {
 	return &caller.Server{
 		Address: "127.0.0.1:0", Handler: &handler{},
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestStopRightAfterStart guards against a server that never ends, with one
-// core busy, because it was stopped before the engine's poller had run.
+// TestStopRightAfterStart guards against a server that never terminates and keeps one core
+// busy because it was stopped before the engine's poller had run.
 func TestStopRightAfterStart(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 100 {
@@ -40,26 +40,25 @@
 		cancel()
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx) }()
-		require.NoError(t, await.Within(t, done, stopLimit, "the server's end"))
+		require.NoError(t, await.Within(t, done, maxStopTime, "the server's end"))
 	}
 }
 
-// TestStopWhileCallerConnects guards against a server that ends only when a
-// connection, added while it stopped, has been idle for too long, or that
-// panics on it.
+// TestStopWhileCallerConnects guards against a server that panics, or that stops only after
+// an idle timeout, when a connection is added while it stops.
 func TestStopWhileCallerConnects(t *testing.T) {
-	var armed atomic.Bool
+	var blockNextAccept atomic.Bool
 	accepted, resume := make(chan struct{}), make(chan struct{})
 	s := newServer()
 	caller.OnAccept(s, func() {
-		if armed.Swap(false) {
+		if blockNextAccept.Swap(false) {
 			accepted <- struct{}{}
 			<-resume
 		}
 	})
 	address, err := s.Listen()
 	require.NoError(t, err)
-	armed.Store(true)
+	blockNextAccept.Store(true)
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
@@ -75,8 +74,8 @@
 			_ = d.Close()
 		}
 		return err != nil
-	}, stopLimit, time.Millisecond, "the listener is closed")
-	<-time.After(settle)
+	}, maxStopTime, time.Millisecond, "the listener is closed")
+	<-time.After(shutdownDelay)
 	close(resume)
-	require.NoError(t, await.Within(t, done, stopLimit, "the server's end"))
+	require.NoError(t, await.Within(t, done, maxStopTime, "the server's end"))
 }
