--- a/io/tcp/accept.go
+++ b/io/tcp/accept.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	retryFirst = 5 * time.Millisecond // pause after a failure to accept
-	retryMost  = time.Second
+	initialBackoff = 5 * time.Millisecond // delay after the first failed accept
+	maxBackoff     = time.Second
 )
 
-// Accept passes connections to serve until the listener is closed. serve must
-// return soon. A failure to accept, such as too many open files, is passed to
-// failed, which may be nil; Accept then pauses and tries again, since the cause
-// passes and a server that no longer accepts would stay unreachable.
+// Accept passes connections to serve until the listener is closed. serve must return
+// quickly. A failed accept, for example due to too many open files, is passed to failed,
+// which may be nil. Accept then retries with exponential backoff, since such a failure is
+// usually temporary and a server that stopped accepting would stay unreachable.
 func Accept(l net.Listener, serve func(net.Conn), failed func(error)) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = retryFirst, retryMost
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval, retryDelay.MaxInterval = initialBackoff, maxBackoff
 	for {
 		c, err := l.Accept()
 		switch {
 		case err == nil:
-			pause.Reset()
+			retryDelay.Reset()
 			serve(c)
 		case errors.Is(err, net.ErrClosed):
 			return
@@ -32,7 +32,7 @@
 			if failed != nil {
 				failed(err)
 			}
-			<-time.After(pause.NextBackOff())
+			<-time.After(retryDelay.NextBackOff())
 		}
 	}
 }
--- a/io/tcp/doc.go
+++ b/io/tcp/doc.go
@@ -1,4 +1,4 @@
-// Package tcp accepts connections for servers that stand on their own loop.
+// Package tcp provides an accept loop for servers that do not use the one of net/http.
 //
 // # Usage
 //
