--- a/io/jsonhttp/client.go
+++ b/io/jsonhttp/client.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// DefaultConnectTimeout bounds the opening of a connection.
+	// DefaultConnectTimeout is the default timeout for opening a connection.
 	DefaultConnectTimeout = time.Second
-	// DefaultIdleTimeout bounds how long an unused connection is kept. It is
-	// short since a connection may go silent while it is idle.
+	// DefaultIdleTimeout is the default time for which an unused connection is kept. It is
+	// short because a connection may become unresponsive while it is idle.
 	DefaultIdleTimeout = 5 * time.Second
-	// DefaultMaxBody bounds the bytes of a whole answer.
+	// DefaultMaxBody is the default limit of a response body, in bytes.
 	DefaultMaxBody = 64 << 20
 
 	maxIdlePerHost = 16
@@ -30,39 +30,39 @@
 )
 
 // errTooLarge is the cause of an Error with stage TooLarge.
-var errTooLarge = eris.New("answer exceeds bound")
+var errTooLarge = eris.New("response body exceeds the limit")
 
 type (
-	// Client makes calls to one address. Its exported fields are set before
-	// the first call. It is safe for concurrent use.
+	// Client makes calls to one address. Exported fields must be set before the first call.
+	// It is safe for concurrent use.
 	Client struct {
 		Address        string        // IP:port
 		ConnectTimeout time.Duration // DefaultConnectTimeout if zero
 		IdleTimeout    time.Duration // DefaultIdleTimeout if zero
-		MaxBody        int64         // bytes, DefaultMaxBody if zero
-		Fresh          bool          // a new connection for each call
-		Traffic        *Traffic      // counts the bytes on its connections, may be nil
+		MaxBody        int64         // limit of a response body in bytes, DefaultMaxBody if zero
+		Fresh          bool          // opens a new connection for each call
+		Traffic        *Traffic      // counts the bytes on the client's connections, may be nil
 
 		once      sync.Once
 		transport *http.Transport
 	}
 
-	// Call is one request.
+	// Call is an HTTP request.
 	Call struct {
 		Method string
-		Path   string // escaped, with query if any
+		Path   string // escaped, including the query if any
 		Header http.Header
 		Body   []byte
 	}
 
-	// Answer is a whole answer.
+	// Answer is a complete HTTP response.
 	Answer struct {
 		Status int
 		Header http.Header
 		Body   []byte
 	}
 
-	// Stream is an answer whose body is still coming.
+	// Stream is an HTTP response whose body is read as it arrives.
 	Stream struct {
 		Status int
 		Header http.Header
@@ -74,36 +74,36 @@
 	}
 )
 
-// Open sends a call and returns when the header of the answer is there. Every
-// failure is an *Error. The Stream ends early when ctx ends.
+// Open sends a call and returns once the header of the response has been read. Every error
+// is an *Error. Reading from the Stream fails after ctx ends.
 func (c *Client) Open(ctx context.Context, call Call) (*Stream, error) {
 	c.once.Do(c.init)
-	t := &tracker{began: time.Now()}
+	t := &tracker{start: time.Now()}
 	req, err := c.request(httptrace.WithClientTrace(ctx, t.trace()), call)
 	if err != nil {
-		return nil, c.fail(NotSent, t, err)
+		return nil, c.newError(NotSent, t, err)
 	}
-	resp, err := c.transport.RoundTrip(req) //nolint:bodyclose // the Stream closes it
+	resp, err := c.transport.RoundTrip(req) //nolint:bodyclose // closed by the Stream
 	if err != nil {
 		stage := NotSent
-		if t.abandon() {
+		if t.sealAll() {
 			stage = Sent
 		}
 		c.transport.CloseIdleConnections()
-		return nil, c.fail(stage, t, err)
+		return nil, c.newError(stage, t, err)
 	}
 	return &Stream{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body,
 		body: resp.Body, tracker: t, address: c.Address}, nil
 }
 
-// Do sends a call and returns the whole answer. Every failure is an *Error. A
-// connection whose call failed is closed, and unused ones with it: they may be
-// as silent as the first.
+// Do sends a call and returns the complete response. Every error is an *Error. If a call
+// fails, its connection is closed, and so are all idle ones, since they may be unresponsive
+// as well.
 //
-// If the process stood still past the deadline of ctx, an answer that came
-// meanwhile is still read.
+// If the process was not running when the deadline of ctx passed, a response that arrived in
+// the meantime is still read.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
-	ctx, done := lenient(ctx)
+	ctx, done := extendAfterStall(ctx)
 	defer done()
 	s, err := c.Open(ctx, call)
 	if err != nil {
@@ -114,24 +114,24 @@
 	if err != nil {
 		s.Abort()
 		c.transport.CloseIdleConnections()
-		return Answer{}, c.fail(Sent, s.tracker, err)
+		return Answer{}, c.newError(Sent, s.tracker, err)
 	}
 	if int64(len(body)) > limit {
 		s.Abort()
-		return Answer{}, c.fail(TooLarge, s.tracker, errTooLarge)
+		return Answer{}, c.newError(TooLarge, s.tracker, errTooLarge)
 	}
 	s.Close()
 	return Answer{Status: s.Status, Header: s.Header, Body: body}, nil
 }
 
-// JSON sends in as JSON, unless it is nil, and decodes an answer with status
-// 200 into out, unless that is nil. Other answers are returned as they are.
+// JSON sends in, unless it is nil, as JSON. It decodes a response with status 200 into out,
+// unless out is nil; other responses are returned undecoded.
 func (c *Client) JSON(ctx context.Context, method, path string, in, out any) (Answer, error) {
 	call := Call{Method: method, Path: path, Header: http.Header{}}
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
-			return Answer{}, c.fail(NotSent, nil, err)
+			return Answer{}, c.newError(NotSent, nil, err)
 		}
 		call.Body = b
 		call.Header.Set("Content-Type", "application/json")
@@ -144,29 +144,28 @@
 		return a, nil
 	}
 	if err := json.Unmarshal(a.Body, out); err != nil {
-		return a, c.fail(Malformed, nil, err)
+		return a, c.newError(Malformed, nil, err)
 	}
 	return a, nil
 }
 
-// Close closes unused connections. Calls under way go on.
+// Close closes idle connections. Calls in progress are not affected.
 func (c *Client) Close() {
 	c.once.Do(c.init)
 	c.transport.CloseIdleConnections()
 }
 
-// Close ends the reading; a connection whose answer was read whole is kept for
-// the next call unless the client is Fresh.
+// Close ends the reading. A connection whose response was read to its end is kept for the
+// next call unless Client.Fresh is set.
 func (s *Stream) Close() { _ = s.body.Close() }
 
-// Abort closes the connection, so that nothing of the answer can reach a later
-// call.
+// Abort closes the connection, so that no part of the response can be read by a later call.
 func (s *Stream) Abort() {
-	s.tracker.abandon()
+	s.tracker.sealAll()
 	_ = s.body.Close()
 }
 
-// init sets up the transport.
+// init creates the transport.
 func (c *Client) init() {
 	dialer := &net.Dialer{Timeout: cmp.Or(c.ConnectTimeout, DefaultConnectTimeout)}
 	c.transport = &http.Transport{
@@ -185,8 +184,8 @@
 	}
 }
 
-// request builds the HTTP request. It has no GetBody, so the transport can't
-// replay it.
+// request builds the HTTP request. GetBody is cleared so that the transport cannot replay
+// it.
 func (c *Client) request(ctx context.Context, call Call) (*http.Request, error) {
 	var body io.Reader
 	if len(call.Body) > 0 {
@@ -203,17 +202,17 @@
 	return req, nil
 }
 
-// fail returns the *Error of a call, whose tracker is nil if it never began or
-// ended.
-func (c *Client) fail(stage Stage, t *tracker, err error) *Error {
+// newError returns the *Error of a call. t is nil for a call that was never started or that
+// has already completed.
+func (c *Client) newError(stage Stage, t *tracker, err error) *Error {
 	e := &Error{Stage: stage, Address: c.Address, Err: err}
 	if t != nil {
-		e.Progress = t.failed()
+		e.Progress = t.failureProgress()
 	}
 	return e
 }
 
-// StageOf returns the stage of the *Error inside err, or Sent if there is none.
+// StageOf returns the stage of the *Error in err's chain, or Sent if there is none.
 func StageOf(err error) Stage {
 	if e, ok := errors.AsType[*Error](err); ok {
 		return e.Stage
--- a/io/jsonhttp/client_test.go
+++ b/io/jsonhttp/client_test.go
@@ -15,10 +15,10 @@
 	"guavapaddle/io/jsonhttp"
 )
 
-// TestInvariantHalfWrittenIsSent checks that a call of which the server has seen
-// only a part counts as sent: the server has run it by then.
-func TestInvariantHalfWrittenIsSent(t *testing.T) {
-	for _, fresh := range []bool{true, false} {
+// TestInvariantPartialBodyIsSent checks that a call whose body was written only partially
+// counts as sent: the server's handler has already run.
+func TestInvariantPartialBodyIsSent(t *testing.T) {
+	for _, disableReuse := range []bool{true, false} {
 		ctx, cancel := context.WithCancel(t.Context())
 		ran, release := make(chan struct{}), make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -26,7 +26,7 @@
 			cancel()
 			<-release
 		}))
-		c := &jsonhttp.Client{Address: server.Listener.Addr().String(), Fresh: fresh}
+		c := &jsonhttp.Client{Address: server.Listener.Addr().String(), Fresh: disableReuse}
 		_, err := c.Do(ctx, jsonhttp.Call{Method: http.MethodPost, Path: "/", Body: make([]byte, 64<<20)})
 		require.Equal(t, jsonhttp.Sent, jsonhttp.StageOf(err))
 		<-ran
@@ -36,16 +36,16 @@
 	}
 }
 
-// TestInvariantHalfHeaderIsSent checks that a call counts as sent as soon as a
-// byte of its header may have left.
-func TestInvariantHalfHeaderIsSent(t *testing.T) {
+// TestInvariantPartialHeaderIsSent checks that a call counts as sent as soon as any byte of
+// its header may have been written.
+func TestInvariantPartialHeaderIsSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		if c, err := l.Accept(); err == nil {
-			_, _ = io.ReadFull(c, make([]byte, 1)) // the rest is never read
+			_, _ = io.ReadFull(c, make([]byte, 1)) // the remaining bytes are never read
 			cancel()
 		}
 	}()
@@ -55,23 +55,23 @@
 	require.Equal(t, jsonhttp.Sent, jsonhttp.StageOf(err))
 }
 
-// TestInvariantSealedConnectionWritesNothing checks that the figure by which a
-// call is said not to be sent is final.
+// TestInvariantSealedConnectionWritesNothing checks that nothing is written after sealing,
+// so that the number of writes that proves a call unsent is final.
 func TestInvariantSealedConnectionWritesNothing(t *testing.T) {
-	near, far := net.Pipe()
-	c := jsonhttp.NewConn(near)
+	client, server := net.Pipe()
+	c := jsonhttp.NewConn(client)
 	require.Zero(t, c.Seal())
 	_, err := c.Write([]byte("x"))
 	require.ErrorIs(t, err, net.ErrClosed)
 	require.Zero(t, c.Seal())
-	n, err := far.Read(make([]byte, 1))
+	n, err := server.Read(make([]byte, 1))
 	require.Zero(t, n)
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestAnswerBounds checks that an answer which is too long or no JSON is an
+// TestTooLongOrMalformedResponse checks that a response that is too long or not JSON is an
 // error.
-func TestAnswerBounds(t *testing.T) {
+func TestTooLongOrMalformedResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, strings.Repeat("x", 100))
 	}))
@@ -87,10 +87,9 @@
 	require.Equal(t, jsonhttp.TooLarge, jsonhttp.StageOf(err))
 }
 
-// TestFailureTellsHowFarTheCallGot guards against a call that runs into its
-// timeout and leaves open whether it waited for a connection, for the server or
-// for its own process.
-func TestFailureTellsHowFarTheCallGot(t *testing.T) {
+// TestErrorReportsProgress guards against an error that does not show whether a timed-out
+// call waited for a connection, for the server or for its own process.
+func TestErrorReportsProgress(t *testing.T) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/half" {
@@ -107,8 +106,8 @@
 		connected, answered bool
 	}{
 		{"no listener", "127.0.0.1:1", "/", false, false},
-		{"no answer", server.Listener.Addr().String(), "/", true, false},
-		{"half an answer", server.Listener.Addr().String(), "/half", true, true},
+		{"no response", server.Listener.Addr().String(), "/", true, false},
+		{"partial response", server.Listener.Addr().String(), "/half", true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			const timeout = 100 * time.Millisecond
@@ -126,22 +125,22 @@
 			if test.connected {
 				require.GreaterOrEqual(t, p.Failed, timeout, p)
 			}
-			said := strings.Contains(err.Error(), "failed "+p.Failed.Round(time.Microsecond).String())
-			require.Equal(t, test.connected, said, err)
+			reported := strings.Contains(err.Error(), "failed "+p.Failed.Round(time.Microsecond).String())
+			require.Equal(t, test.connected, reported, err)
 		})
 	}
 }
 
-// overdue is a context whose deadline has passed before it ends, as that of a
-// process that stood still.
-type overdue struct {
+// overdueContext is a context whose deadline passes before it ends, as in a process that was
+// stalled.
+type overdueContext struct {
 	context.Context
 	done chan struct{}
 }
 
-func (o *overdue) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
-func (o *overdue) Done() <-chan struct{}       { return o.done }
-func (o *overdue) Err() error {
+func (o *overdueContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
+func (o *overdueContext) Done() <-chan struct{}       { return o.done }
+func (o *overdueContext) Err() error {
 	select {
 	case <-o.done:
 		return context.DeadlineExceeded
@@ -150,10 +149,9 @@
 	}
 }
 
-// TestAnswerToAProcessThatStoodStill guards against a call that is given up as
-// lost although its answer is there, because its process did not run when the
-// deadline passed.
-func TestAnswerToAProcessThatStoodStill(t *testing.T) {
+// TestResponseIsReadAfterStall guards against a call that fails although its response has
+// arrived, because the process was stalled when the deadline passed.
+func TestResponseIsReadAfterStall(t *testing.T) {
 	read, release := make(chan struct{}, 1), make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		read <- struct{}{}
@@ -164,7 +162,7 @@
 	c := &jsonhttp.Client{Address: server.Listener.Addr().String()}
 	defer c.Close()
 
-	ctx := &overdue{Context: t.Context(), done: make(chan struct{})}
+	ctx := &overdueContext{Context: t.Context(), done: make(chan struct{})}
 	go func() {
 		<-read
 		close(ctx.done)
@@ -175,15 +173,15 @@
 	require.NoError(t, err)
 	require.Equal(t, "answer", string(a.Body))
 
-	ctx = &overdue{Context: t.Context(), done: make(chan struct{})}
+	ctx = &overdueContext{Context: t.Context(), done: make(chan struct{})}
 	go func() {
 		<-read
 		close(ctx.done)
 	}()
-	began := time.Now()
+	start := time.Now()
 	_, err = c.Do(ctx, jsonhttp.Call{Method: http.MethodPost, Path: "/", Body: []byte("x")})
 	release <- struct{}{}
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.Equal(t, jsonhttp.Sent, jsonhttp.StageOf(err))
-	require.Less(t, time.Since(began), 10*time.Second, "it is not waited for without a bound")
+	require.Less(t, time.Since(start), 10*time.Second, "the extension is bounded")
 }
--- a/io/jsonhttp/conn.go
+++ b/io/jsonhttp/conn.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// conn is a connection that knows whether anything was written to it.
+// conn is a connection that counts writes and can be sealed against further ones.
 type conn struct {
 	net.Conn
 	traffic *Traffic // may be nil
@@ -37,15 +37,15 @@
 	return n, err
 }
 
-// count returns how often something was written.
-func (c *conn) count() uint64 {
+// writeCount returns the number of writes.
+func (c *conn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal closes the connection and returns how often something was written. The
-// figure is final.
+// seal closes the connection, prevents further writes, and returns the final number of
+// writes.
 func (c *conn) seal() uint64 {
 	c.mu.Lock()
 	c.sealed = true
@@ -55,20 +55,21 @@
 	return n
 }
 
-// attempt is a connection that a call was given and its writes before that.
+// attempt is a connection that the transport selected for a call, with the number of writes
+// at that time.
 type attempt struct {
-	conn   *conn
-	before uint64
+	conn         *conn
+	writesBefore uint64
 }
 
-// tracker records the connections that a call was given, and how far it got.
+// tracker records the connections that were used for a call and the call's progress.
 type tracker struct {
-	began time.Time
+	start time.Time
 
-	mu       sync.Mutex
-	progress Progress
-	attempts []attempt
-	foreign  bool // a connection of unknown type: nothing can be proved
+	mu          sync.Mutex
+	progress    Progress
+	attempts    []attempt
+	unknownConn bool // a connection of another type was used, so the call has to be considered sent
 }
 
 // trace returns the hooks by which the transport reports to t.
@@ -77,46 +78,46 @@
 		GotConn: func(i httptrace.GotConnInfo) {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.progress.Connected = time.Since(t.began)
+			t.progress.Connected = time.Since(t.start)
 			c, ok := i.Conn.(*conn)
 			if !ok {
-				t.foreign = true
+				t.unknownConn = true
 				return
 			}
-			t.attempts = append(t.attempts, attempt{conn: c, before: c.count()})
+			t.attempts = append(t.attempts, attempt{conn: c, writesBefore: c.writeCount()})
 		},
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			if i.Err == nil {
-				t.progress.Written = time.Since(t.began)
+				t.progress.Written = time.Since(t.start)
 			}
 		},
 		GotFirstResponseByte: func() {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.progress.Answered = time.Since(t.began)
+			t.progress.Answered = time.Since(t.start)
 		},
 	}
 }
 
-// failed returns how far a call got that fails now.
-func (t *tracker) failed() Progress {
+// failureProgress returns the progress of a call that has just failed.
+func (t *tracker) failureProgress() Progress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.progress
-	p.Failed = time.Since(t.began)
+	p.Failed = time.Since(t.start)
 	return p
 }
 
-// abandon seals all connections of a failed call and tells whether any byte of
-// the call was written.
-func (t *tracker) abandon() bool {
+// sealAll seals all connections of a failed call and reports whether any byte of the call
+// may have been written.
+func (t *tracker) sealAll() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sent := t.foreign
+	sent := t.unknownConn
 	for _, a := range t.attempts {
-		if a.conn.seal() != a.before {
+		if a.conn.seal() != a.writesBefore {
 			sent = true
 		}
 	}
--- a/io/jsonhttp/error.go
+++ b/io/jsonhttp/error.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Stage tells how far a failed call got.
+// Stage is how far a failed call got.
 type Stage string
 
 const (
 	// NotSent means that no byte of the call was or will be written.
 	NotSent Stage = "not-sent"
-	// Sent means that something was written and no whole answer came.
+	// Sent means that part of the call was written and no complete response was received.
 	Sent Stage = "sent"
-	// Malformed means that an answer came and could not be understood.
+	// Malformed means that a response was received but could not be decoded.
 	Malformed Stage = "malformed"
-	// TooLarge means that the answer is longer than the client's bound.
+	// TooLarge means that the response exceeds the client's limit.
 	TooLarge Stage = "too-large"
 )
 
-// Progress is how far a call got, in time since its begin. Zero means that it
-// did not get there.
+// Progress is the time from the start of a call to each step. Zero means that the step was
+// not reached.
 type Progress struct {
-	Connected time.Duration // it was given a connection
-	Written   time.Duration // it was written whole
-	Answered  time.Duration // the first byte of the answer was read
-	Failed    time.Duration
+	Connected time.Duration // a connection was obtained
+	Written   time.Duration // the request was written completely
+	Answered  time.Duration // the first byte of the response was read
+	Failed    time.Duration // the call failed
 }
 
-// String returns the steps that were reached, such as "connected 1ms, written
-// 1ms, failed 2s".
+// String returns the steps that were reached, for example "connected 1ms, written 1ms,
+// failed 2s".
 func (p Progress) String() string {
 	var steps []string
 	for _, s := range []struct {
@@ -50,12 +50,12 @@
 type Error struct {
 	Stage    Stage
 	Address  string
-	Progress Progress // the zero Progress of a call that never began
+	Progress Progress // zero for a call that was never started
 	Err      error
 }
 
-// Error returns stage, address and cause in one line, and the progress of a call
-// that got a connection or ran into its timeout.
+// Error returns the stage, the address and the cause, and also the progress if the call
+// obtained a connection or timed out.
 func (e *Error) Error() string {
 	if e.Progress.Connected > 0 || e.timedOut() {
 		return fmt.Sprintf("%s: %s (%v): %v", e.Stage, e.Address, e.Progress, e.Err)
--- a/io/jsonhttp/export_test.go
+++ b/io/jsonhttp/export_test.go
@@ -2,11 +2,11 @@
 
 import "net"
 
-// Conn is a connection that can be sealed.
+// Conn exports conn for tests.
 type Conn = conn
 
-// NewConn returns a connection on top of nc.
+// NewConn returns a connection that wraps nc.
 func NewConn(nc net.Conn) *Conn { return &conn{Conn: nc} }
 
-// Seal seals the connection.
+// Seal exports seal for tests.
 func (c *conn) Seal() uint64 { return c.seal() }
--- a/io/jsonhttp/traffic.go
+++ b/io/jsonhttp/traffic.go
@@ -2,15 +2,15 @@
 
 import "sync/atomic"
 
-// Traffic counts the bytes that clients write to and read from their
-// connections, headers included, without those of TCP and IP. Several clients
-// may share one. Its zero value is ready.
+// Traffic counts the bytes, including headers, that clients write to and read from their
+// connections, without TCP and IP overhead. Several clients may share one Traffic. The zero
+// value is ready to use.
 type Traffic struct{ sent, received atomic.Uint64 }
 
-// Bytes returns how many bytes were sent and received since the start.
+// Bytes returns the number of bytes sent and received since the start.
 func (t *Traffic) Bytes() (sent, received uint64) { return t.sent.Load(), t.received.Load() }
 
-// add counts bytes; a nil Traffic counts nothing.
+// add counts bytes. It does nothing on a nil Traffic.
 func (t *Traffic) add(sent, received int) {
 	if t != nil {
 		t.sent.Add(uint64(max(sent, 0)))
