--- a/io/peer/endpoint.go
+++ b/io/peer/endpoint.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	protocol     = "guavapaddle/1"
-	defaultIdle  = 30 * time.Second
-	defaultDial  = time.Second
-	defaultWrite = 3 * time.Second
-	maxStreams   = 1 << 14
+	protocol            = "guavapaddle/1"
+	defaultIdleTimeout  = 30 * time.Second
+	defaultDialTimeout  = time.Second
+	defaultWriteTimeout = 3 * time.Second
+	maxStreams          = 1 << 14
 )
 
 type (
-	// TLSSource gives the TLS settings of this moment, so that keys can be
-	// replaced while the node runs.
+	// TLSSource returns the current TLS configuration, so that keys can be replaced while
+	// the node runs.
 	TLSSource interface {
-		// Server returns settings that demand a certificate of the peer.
+		// Server returns a configuration that requires a certificate from the peer.
 		Server() *tls.Config
-		// Client returns settings that check the peer against the same authority.
+		// Client returns a configuration that verifies the peer against the same authority.
 		Client() *tls.Config
 	}
 
-	// Endpoint is a node's end of all connections to other nodes.
+	// Endpoint manages all connections between this node and the other nodes.
 	Endpoint struct {
 		Address      string // IP:port to listen on
 		TLS          TLSSource
 		OnMessage    func(from string, f Frame)
 		OnCall       func(ctx context.Context, from string, f Frame, s *Stream)
-		IdleTimeout  time.Duration // silence that ends a connection, default 30 s
+		IdleTimeout  time.Duration // idle time after which a connection is closed, default 30 s
 		DialTimeout  time.Duration // default 1 s
-		WriteTimeout time.Duration // a peer that takes nothing for so long is lost, default 3 s
+		WriteTimeout time.Duration // limit of one write, after which the peer counts as lost, default 3 s
 
-		transport *quic.Transport
-		frames    traffic
-		datagrams atomic.Uint64
+		transport     *quic.Transport
+		frameBytes    frameTraffic
+		datagramBytes atomic.Uint64
 
 		mu    sync.Mutex
-		conns map[string]*dialled
+		conns map[string]*dialledConn
 	}
 
-	// dialled is a connection to one address, or one that is being opened.
-	dialled struct {
+	// dialledConn is a connection to one address, or a dial in progress.
+	dialledConn struct {
 		ready chan struct{}
 		conn  *quic.Conn
 		err   error
@@ -59,36 +59,36 @@
 
 	// Stream is one end of a call.
 	Stream struct {
-		s    *quic.Stream
-		r    *bufio.Reader
-		e    *Endpoint
-		peer string
-		wmu  sync.Mutex
+		s       *quic.Stream
+		r       *bufio.Reader
+		e       *Endpoint
+		peer    string
+		writeMu sync.Mutex
 	}
 )
 
-// Listen opens the endpoint's UDP socket; the address may have port zero. It
-// returns the address that others can dial.
+// Listen opens the endpoint's UDP socket. The address may have port zero. Listen returns the
+// address that other nodes can dial.
 func (e *Endpoint) Listen() (string, error) {
-	a, err := net.ResolveUDPAddr("udp", e.Address)
+	udpAddr, err := net.ResolveUDPAddr("udp", e.Address)
 	if err != nil {
 		return "", &Error{Kind: Listen, Peer: e.Address, Err: err}
 	}
-	c, err := net.ListenUDP("udp", a)
+	c, err := net.ListenUDP("udp", udpAddr)
 	if err != nil {
 		return "", &Error{Kind: Listen, Peer: e.Address, Err: err}
 	}
-	e.IdleTimeout = orDefault(e.IdleTimeout, defaultIdle)
-	e.DialTimeout = orDefault(e.DialTimeout, defaultDial)
-	e.WriteTimeout = orDefault(e.WriteTimeout, defaultWrite)
-	e.transport = &quic.Transport{Conn: &counted{UDPConn: c, sent: &e.datagrams}}
-	e.conns = map[string]*dialled{}
+	e.IdleTimeout = orDefault(e.IdleTimeout, defaultIdleTimeout)
+	e.DialTimeout = orDefault(e.DialTimeout, defaultDialTimeout)
+	e.WriteTimeout = orDefault(e.WriteTimeout, defaultWriteTimeout)
+	e.transport = &quic.Transport{Conn: &countingConn{UDPConn: c, sent: &e.datagramBytes}}
+	e.conns = map[string]*dialledConn{}
 	return c.LocalAddr().String(), nil
 }
 
-// Run accepts connections until ctx ends. Listen must have been called.
+// Run accepts connections until ctx ends. Listen must have been called before.
 func (e *Endpoint) Run(ctx context.Context) error {
-	settings := &tls.Config{
+	tlsConfig := &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocol},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -97,7 +97,7 @@
 			return c, nil
 		},
 	}
-	l, err := e.transport.Listen(settings, e.quic())
+	l, err := e.transport.Listen(tlsConfig, e.quic())
 	if err != nil {
 		return &Error{Kind: Listen, Peer: e.Address, Err: err}
 	}
@@ -115,8 +115,7 @@
 	}
 }
 
-// Send gives one message to the node at address and does not wait for it to be
-// read.
+// Send sends one message to the node at address. It does not wait until the message is read.
 func (e *Endpoint) Send(ctx context.Context, address string, f Frame) error {
 	c, err := e.connection(ctx, address)
 	if err != nil {
@@ -124,31 +123,31 @@
 	}
 	s, err := c.OpenUniStreamSync(ctx)
 	if err != nil {
-		e.drop(address, c)
+		e.discard(address, c)
 		return &Error{Kind: Lost, Peer: address, Err: err}
 	}
 	_ = s.SetWriteDeadline(time.Now().Add(e.WriteTimeout))
 	if err := WriteFrame(s, f); err != nil {
 		s.CancelWrite(0)
-		e.drop(address, c)
+		e.discard(address, c)
 		return &Error{Kind: Lost, Peer: address, Err: err}
 	}
-	e.frames.countSent(f)
+	e.frameBytes.countSent(f)
 	return s.Close()
 }
 
-// Open starts a call to the node at address with f as its first frame. An
-// error of kind Unreachable means that nothing of f was sent.
+// Open starts a call to the node at address with f as its first frame. An error of kind
+// Unreachable means that no part of f was sent.
 func (e *Endpoint) Open(ctx context.Context, address string, f Frame) (*Stream, error) {
 	c, err := e.connection(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	dial, cancel := context.WithTimeout(ctx, e.DialTimeout)
+	openCtx, cancel := context.WithTimeout(ctx, e.DialTimeout)
 	defer cancel()
-	qs, err := c.OpenStreamSync(dial)
+	qs, err := c.OpenStreamSync(openCtx)
 	if err != nil {
-		e.drop(address, c)
+		e.discard(address, c)
 		return nil, &Error{Kind: Unreachable, Peer: address, Err: err}
 	}
 	s := &Stream{s: qs, r: bufio.NewReader(qs), e: e, peer: address}
@@ -159,13 +158,13 @@
 	return s, nil
 }
 
-// connection returns the open connection to address or dials one; callers that
-// come while it is being dialled share it.
+// connection returns the open connection to address or dials one. Concurrent callers share a
+// dial in progress.
 func (e *Endpoint) connection(ctx context.Context, address string) (*quic.Conn, error) {
 	e.mu.Lock()
 	d := e.conns[address]
-	if d == nil || d.broken() {
-		d = &dialled{ready: make(chan struct{})}
+	if d == nil || d.failed() {
+		d = &dialledConn{ready: make(chan struct{})}
 		e.conns[address] = d
 		go e.dial(address, d)
 	}
@@ -181,8 +180,8 @@
 	return d.conn, nil
 }
 
-// broken tells whether a dial failed or its connection has ended.
-func (d *dialled) broken() bool {
+// failed reports whether the dial failed or the connection has ended.
+func (d *dialledConn) failed() bool {
 	select {
 	case <-d.ready:
 		return d.err != nil || d.conn.Context().Err() != nil
@@ -191,43 +190,44 @@
 	}
 }
 
-func (e *Endpoint) dial(address string, d *dialled) {
+// dial opens a connection to address and stores the result in d.
+func (e *Endpoint) dial(address string, d *dialledConn) {
 	defer close(d.ready)
-	a, err := net.ResolveUDPAddr("udp", address)
+	udpAddr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		d.err = err
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.DialTimeout)
 	defer cancel()
-	settings := e.TLS.Client()
-	settings.NextProtos = []string{protocol}
-	d.conn, d.err = e.transport.Dial(ctx, a, settings, e.quic())
+	tlsConfig := e.TLS.Client()
+	tlsConfig.NextProtos = []string{protocol}
+	d.conn, d.err = e.transport.Dial(ctx, udpAddr, tlsConfig, e.quic())
 }
 
-// drop closes a connection that failed, so that the next use dials anew.
-func (e *Endpoint) drop(address string, c *quic.Conn) {
+// discard closes a connection that failed, so that the next use of the address dials again.
+func (e *Endpoint) discard(address string, c *quic.Conn) {
 	_ = c.CloseWithError(0, "")
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if d := e.conns[address]; d != nil && d.broken() {
+	if d := e.conns[address]; d != nil && d.failed() {
 		delete(e.conns, address)
 	}
 }
 
-// Renew makes the next use of an address dial anew, because the connection may
-// have gone silent. What still goes over the old one goes on; it ends after
-// IdleTimeout if it is silent.
+// Renew makes the next use of an address dial again, because the connection may have become
+// unresponsive. Streams that are open on the old connection continue; it is closed after it
+// has been idle for IdleTimeout.
 func (e *Endpoint) Renew(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if d := e.conns[address]; d != nil && d.opened() {
+	if d := e.conns[address]; d != nil && d.dialDone() {
 		delete(e.conns, address)
 	}
 }
 
-// opened tells whether a dial has ended.
-func (d *dialled) opened() bool {
+// dialDone reports whether the dial has finished.
+func (d *dialledConn) dialDone() bool {
 	select {
 	case <-d.ready:
 		return true
@@ -236,7 +236,7 @@
 	}
 }
 
-// Forget closes the connection to an address, whose process began anew.
+// Forget closes the connection to an address whose process has restarted.
 func (e *Endpoint) Forget(address string) {
 	e.mu.Lock()
 	d := e.conns[address]
@@ -251,6 +251,7 @@
 	}
 }
 
+// quic returns the QUIC configuration.
 func (e *Endpoint) quic() *quic.Config {
 	return &quic.Config{
 		MaxIdleTimeout:        e.IdleTimeout,
@@ -260,16 +261,16 @@
 	}
 }
 
-// serve reads what the peer of one accepted connection starts.
+// serve handles the streams that the peer opens on an accepted connection.
 func (e *Endpoint) serve(ctx context.Context, c *quic.Conn) {
-	from := name(c)
+	from := peerName(c)
 	go func() {
 		for {
 			s, err := c.AcceptUniStream(ctx)
 			if err != nil {
 				return
 			}
-			go e.message(from, s)
+			go e.handleMessage(from, s)
 		}
 	}()
 	for {
@@ -280,22 +281,24 @@
 			}
 			return
 		}
-		go e.call(from, c, s)
+		go e.handleCall(from, c, s)
 	}
 }
 
-func (e *Endpoint) message(from string, s *quic.ReceiveStream) {
+// handleMessage reads the frame of a unidirectional stream and passes it to OnMessage.
+func (e *Endpoint) handleMessage(from string, s *quic.ReceiveStream) {
 	_ = s.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 	f, err := ReadFrame(bufio.NewReader(s))
 	if err != nil {
 		s.CancelRead(0)
 		return
 	}
-	e.frames.countReceived(f)
+	e.frameBytes.countReceived(f)
 	e.OnMessage(from, f)
 }
 
-func (e *Endpoint) call(from string, c *quic.Conn, qs *quic.Stream) {
+// handleCall reads the first frame of a bidirectional stream and passes the call to OnCall.
+func (e *Endpoint) handleCall(from string, c *quic.Conn, qs *quic.Stream) {
 	s := &Stream{s: qs, r: bufio.NewReader(qs), e: e, peer: c.RemoteAddr().String()}
 	_ = qs.SetReadDeadline(time.Now().Add(e.IdleTimeout))
 	f, err := s.Read()
@@ -307,8 +310,8 @@
 	e.OnCall(qs.Context(), from, f, s)
 }
 
-// name returns the node name in the peer's certificate.
-func name(c *quic.Conn) string {
+// peerName returns the node name in the peer's certificate.
+func peerName(c *quic.Conn) string {
 	certs := c.ConnectionState().TLS.PeerCertificates
 	if len(certs) == 0 {
 		return ""
@@ -318,34 +321,34 @@
 
 // Write sends one frame.
 func (s *Stream) Write(f Frame) error {
-	s.wmu.Lock()
-	defer s.wmu.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	_ = s.s.SetWriteDeadline(time.Now().Add(s.e.WriteTimeout))
 	if err := WriteFrame(s.s, f); err != nil {
-		return s.fail(err)
+		return s.wrapError(err)
 	}
-	s.e.frames.countSent(f)
+	s.e.frameBytes.countSent(f)
 	return nil
 }
 
-// Read returns the next frame, or io.EOF once the peer has closed the stream.
+// Read returns the next frame, or io.EOF once the peer has closed its side.
 func (s *Stream) Read() (Frame, error) {
 	f, err := ReadFrame(s.r)
 	if err != nil {
-		return Frame{}, s.fail(err)
+		return Frame{}, s.wrapError(err)
 	}
-	s.e.frames.countReceived(f)
+	s.e.frameBytes.countReceived(f)
 	return f, nil
 }
 
-// Close ends the own side of the stream.
+// Close closes this side of the stream.
 func (s *Stream) Close() error { return s.s.Close() }
 
-// ReadBy makes Read fail from a time on, one under way included.
+// ReadBy sets a deadline for Read, including a Read in progress.
 func (s *Stream) ReadBy(at time.Time) { _ = s.s.SetReadDeadline(at) }
 
-// Drain waits until the peer has closed its side, at most for d. No
-// other goroutine may read.
+// Drain waits until the peer has closed its side, at most for d. No other goroutine may read
+// concurrently.
 func (s *Stream) Drain(d time.Duration) {
 	_ = s.s.SetReadDeadline(time.Now().Add(d))
 	for {
@@ -355,22 +358,23 @@
 	}
 }
 
-// CancelRead makes Read fail and leaves what was written to arrive.
+// CancelRead makes Read fail. Frames that were already written are still delivered.
 func (s *Stream) CancelRead() { s.s.CancelRead(0) }
 
-// Cancel ends both sides at once.
+// Cancel aborts both directions of the stream immediately.
 func (s *Stream) Cancel() {
 	s.s.CancelRead(0)
 	s.s.CancelWrite(0)
 }
 
-// Context ends when the peer gives up reading the stream, cancels it, or when
-// the connection breaks.
+// Context returns a context that ends when the peer stops reading or cancels the stream, or
+// when the connection breaks.
 func (s *Stream) Context() context.Context { return s.s.Context() }
 
-// fail gives an error of the stream its kind.
-func (s *Stream) fail(err error) error {
-	if isEnd(err) {
+// wrapError returns io.EOF and an *Error unchanged and wraps any other error in an *Error of
+// kind Lost.
+func (s *Stream) wrapError(err error) error {
+	if isEOF(err) {
 		return err
 	}
 	if e, ok := errors.AsType[*Error](err); ok {
@@ -379,6 +383,7 @@
 	return &Error{Kind: Lost, Peer: s.peer, Err: err}
 }
 
+// orDefault returns d, or v if d is zero.
 func orDefault(d, v time.Duration) time.Duration {
 	if d == 0 {
 		return v
--- a/io/peer/endpoint_test.go
+++ b/io/peer/endpoint_test.go
@@ -14,15 +14,16 @@
 	"guavapaddle/io/peer"
 )
 
-// load makes keys for names under an authority of their own and loads those of
-// the first.
-func load(t *testing.T, names ...string) *keys.Files {
+// generateKeys generates keys for names under a new authority and loads the key of the first
+// name.
+func generateKeys(t *testing.T, names ...string) *keys.Files {
 	dir := t.TempDir()
 	require.NoError(t, keys.Generate(dir, names))
-	return files(t, dir, names[0])
+	return loadFiles(t, dir, names[0])
 }
 
-func files(t *testing.T, dir, name string) *keys.Files {
+// loadFiles loads the key of name from dir.
+func loadFiles(t *testing.T, dir, name string) *keys.Files {
 	f := &keys.Files{
 		CA:   filepath.Join(dir, "ca.pem"),
 		Cert: filepath.Join(dir, name+".pem"),
@@ -32,7 +33,7 @@
 	return f
 }
 
-// start runs an endpoint until the test ends.
+// start runs an endpoint until the test ends and returns its address.
 func start(t *testing.T, e *peer.Endpoint) string {
 	e.Address = "127.0.0.1:0"
 	if e.OnMessage == nil {
@@ -50,93 +51,93 @@
 	return address
 }
 
-// echo answers a call with its own frame.
+// echo replies to a call with the frame that it received.
 func echo(_ context.Context, _ string, f peer.Frame, s *peer.Stream) {
 	if s.Write(f) == nil {
 		_ = s.Close()
 	}
 }
 
-func TestCall(t *testing.T) {
+func TestSendAndCall(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.Generate(dir, []string{"a", "b"}))
-	heard := make(chan string, 1)
-	a := &peer.Endpoint{TLS: files(t, dir, "a"), OnCall: echo}
-	b := &peer.Endpoint{TLS: files(t, dir, "b"), OnCall: echo, OnMessage: func(from string, f peer.Frame) {
-		heard <- from + ":" + string(f.Body)
+	received := make(chan string, 1)
+	a := &peer.Endpoint{TLS: loadFiles(t, dir, "a"), OnCall: echo}
+	b := &peer.Endpoint{TLS: loadFiles(t, dir, "b"), OnCall: echo, OnMessage: func(from string, f peer.Frame) {
+		received <- from + ":" + string(f.Body)
 	}}
 	start(t, a)
-	at := start(t, b)
+	address := start(t, b)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	require.NoError(t, a.Send(ctx, at, peer.Frame{Kind: 1, Body: []byte("hello")}))
-	require.Equal(t, "a:hello", <-heard)
-	s, err := a.Open(ctx, at, peer.Frame{Kind: 2, Body: []byte("call")})
+	require.NoError(t, a.Send(ctx, address, peer.Frame{Kind: 1, Body: []byte("hello")}))
+	require.Equal(t, "a:hello", <-received)
+	s, err := a.Open(ctx, address, peer.Frame{Kind: 2, Body: []byte("call")})
 	require.NoError(t, err)
 	f, err := s.Read()
 	require.NoError(t, err)
 	require.Equal(t, "call", string(f.Body))
 }
 
-// TestForeignAuthority shows that neither side takes a certificate of another
-// authority.
+// TestForeignAuthority checks that neither side accepts a certificate of another authority.
 func TestForeignAuthority(t *testing.T) {
 	called := make(chan struct{}, 1)
-	a := &peer.Endpoint{TLS: load(t, "a"), OnCall: echo}
-	b := &peer.Endpoint{TLS: load(t, "b"), OnCall: func(context.Context, string, peer.Frame, *peer.Stream) {
+	a := &peer.Endpoint{TLS: generateKeys(t, "a"), OnCall: echo}
+	b := &peer.Endpoint{TLS: generateKeys(t, "b"), OnCall: func(context.Context, string, peer.Frame, *peer.Stream) {
 		called <- struct{}{}
 	}}
 	start(t, a)
-	at := start(t, b)
+	address := start(t, b)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	_, err := a.Open(ctx, at, peer.Frame{Kind: 2})
+	_, err := a.Open(ctx, address, peer.Frame{Kind: 2})
 	var e *peer.Error
 	require.ErrorAs(t, err, &e)
 	require.Equal(t, peer.Unreachable, e.Kind)
 	require.Empty(t, called)
 }
 
-// TestSilentPeer dials an address that takes packets and says nothing.
+// TestSilentPeer checks that dialling an address that receives packets but never replies
+// fails as unreachable.
 func TestSilentPeer(t *testing.T) {
-	hole, err := net.ListenPacket("udp", "127.0.0.1:0")
+	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = hole.Close() }()
-	a := &peer.Endpoint{TLS: load(t, "a"), OnCall: echo, DialTimeout: 100 * time.Millisecond}
+	defer func() { _ = silent.Close() }()
+	a := &peer.Endpoint{TLS: generateKeys(t, "a"), OnCall: echo, DialTimeout: 100 * time.Millisecond}
 	start(t, a)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	_, err = a.Open(ctx, hole.LocalAddr().String(), peer.Frame{Kind: 2})
+	_, err = a.Open(ctx, silent.LocalAddr().String(), peer.Frame{Kind: 2})
 	var e *peer.Error
 	require.ErrorAs(t, err, &e)
 	require.Equal(t, peer.Unreachable, e.Kind)
 	require.NoError(t, ctx.Err())
 }
 
-// TestKeysAreReplaced replaces a node's key while it runs: new connections use
-// the new one, and a broken file leaves the old one in use.
+// TestKeysAreReplaced replaces a node's key while it runs: new connections use the new key,
+// and an unreadable file leaves the old key in use.
 func TestKeysAreReplaced(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.Generate(dir, []string{"a", "b"}))
-	source := files(t, dir, "b")
-	a := &peer.Endpoint{TLS: files(t, dir, "a"), OnCall: echo}
+	source := loadFiles(t, dir, "b")
+	a := &peer.Endpoint{TLS: loadFiles(t, dir, "a"), OnCall: echo}
 	b := &peer.Endpoint{TLS: source, OnCall: echo}
 	start(t, a)
-	at := start(t, b)
+	address := start(t, b)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	_, err := a.Open(ctx, at, peer.Frame{Kind: 2})
+	_, err := a.Open(ctx, address, peer.Frame{Kind: 2})
 	require.NoError(t, err)
-	other := t.TempDir()
-	require.NoError(t, keys.Generate(other, []string{"b"}))
-	source.CA, source.Cert, source.Key = filepath.Join(other, "none"), filepath.Join(other, "none"), filepath.Join(other, "none")
+	otherDir := t.TempDir()
+	require.NoError(t, keys.Generate(otherDir, []string{"b"}))
+	source.CA, source.Cert, source.Key = filepath.Join(otherDir, "none"), filepath.Join(otherDir, "none"), filepath.Join(otherDir, "none")
 	require.Error(t, source.Load())
-	a.Forget(at)
-	_, err = a.Open(ctx, at, peer.Frame{Kind: 2})
-	require.NoError(t, err, "the old key is in use")
-	source.CA, source.Cert, source.Key = filepath.Join(other, "ca.pem"), filepath.Join(other, "b.pem"), filepath.Join(other, "b.key")
+	a.Forget(address)
+	_, err = a.Open(ctx, address, peer.Frame{Kind: 2})
+	require.NoError(t, err, "the old key is still in use")
+	source.CA, source.Cert, source.Key = filepath.Join(otherDir, "ca.pem"), filepath.Join(otherDir, "b.pem"), filepath.Join(otherDir, "b.key")
 	require.NoError(t, source.Load())
-	a.Forget(at)
-	_, err = a.Open(ctx, at, peer.Frame{Kind: 2})
-	require.Error(t, err, "the new key has another authority")
+	a.Forget(address)
+	_, err = a.Open(ctx, address, peer.Frame{Kind: 2})
+	require.Error(t, err, "the new key belongs to another authority")
 }
--- a/io/peer/errors.go
+++ b/io/peer/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ErrorKind tells what a failure between nodes means for a call.
+// ErrorKind classifies a failure by its consequence for a call.
 type ErrorKind string
 
 const (
@@ -10,24 +10,24 @@
 	Unreachable ErrorKind = "unreachable"
 	// Lost means that the connection broke after the call was sent.
 	Lost ErrorKind = "lost"
-	// Malformed means that a frame does not decode.
+	// Malformed means that a frame could not be decoded.
 	Malformed ErrorKind = "malformed"
 	// TooLarge means that a frame exceeds MaxFrameBytes.
 	TooLarge ErrorKind = "too-large"
-	// Identity means that the other end is not the node that was meant.
+	// Identity means that the peer is not the expected node.
 	Identity ErrorKind = "identity"
-	// Listen means that the endpoint's own address can't be used.
+	// Listen means that the endpoint cannot listen on its address.
 	Listen ErrorKind = "listen"
 )
 
-// Error is a failure between nodes.
+// Error is a communication failure between nodes.
 type Error struct {
 	Kind ErrorKind
 	Peer string // address, may be empty
 	Err  error  // cause, may be nil
 }
 
-// Error returns kind, peer and cause in one line.
+// Error returns the peer, the kind and the cause.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("peer %s: %s", e.Peer, e.Kind)
--- a/io/peer/frame_test.go
+++ b/io/peer/frame_test.go
@@ -26,9 +26,9 @@
 	r := bufio.NewReader(&b)
 	got, err := peer.ReadFrame(r)
 	require.NoError(t, err)
-	var back forward.Job
-	require.NoError(t, got.Decode(&back))
-	require.Equal(t, job, back)
+	var decoded forward.Job
+	require.NoError(t, got.Decode(&decoded))
+	require.Equal(t, job, decoded)
 	got, err = peer.ReadFrame(r)
 	require.NoError(t, err)
 	require.Equal(t, peer.Kind(2), got.Kind)
@@ -36,17 +36,17 @@
 	require.Equal(t, io.EOF, err)
 }
 
-func TestReadFrameRefuses(t *testing.T) {
+func TestReadFrameRejectsInvalidInput(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		in   []byte
-		kind peer.ErrorKind // empty for an unexpected end
+		kind peer.ErrorKind // empty for io.ErrUnexpectedEOF
 	}{
 		{"too large", []byte{0xff, 0xff, 0xff, 0xff, 0x7f, 1}, peer.TooLarge},
 		{"length overflows", bytes.Repeat([]byte{0xff}, 11), peer.Malformed},
-		{"cut in the length", []byte{0x80}, ""},
-		{"cut before the kind", []byte{3}, ""},
-		{"cut in the body", []byte{3, 1, 'a'}, ""},
+		{"truncated length", []byte{0x80}, ""},
+		{"missing kind", []byte{3}, ""},
+		{"truncated body", []byte{3, 1, 'a'}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := peer.ReadFrame(bufio.NewReader(bytes.NewReader(test.in)))
@@ -61,7 +61,8 @@
 	}
 }
 
-// FuzzFrame reads frames of any bytes as every type that nodes exchange.
+// FuzzFrame reads frames from arbitrary bytes and decodes them as each of the types that
+// nodes exchange.
 func FuzzFrame(f *testing.F) {
 	for _, v := range []any{
 		forward.Job{Server: "gpu-1", Prompt: "p"},
@@ -95,7 +96,7 @@
 	})
 }
 
-// TestLongFramesAreCompressed sends what a holder tells of a hundred servers.
+// TestLongFramesAreCompressed writes the state of a hundred servers, as the leader sends it.
 func TestLongFramesAreCompressed(t *testing.T) {
 	type entry struct{ Server, Value string }
 	var list []entry
@@ -106,13 +107,13 @@
 	require.NoError(t, err)
 	var b bytes.Buffer
 	require.NoError(t, peer.WriteFrame(&b, f))
-	require.Less(t, b.Len(), len(f.Body)/4, "a quarter of %d bytes", len(f.Body))
+	require.Less(t, b.Len(), len(f.Body)/4, "less than a quarter of %d bytes", len(f.Body))
 	got, err := peer.ReadFrame(bufio.NewReader(&b))
 	require.NoError(t, err)
 	require.Equal(t, f, got)
 }
 
-func TestCompressedFramesAreBounded(t *testing.T) {
+func TestCompressedFrameLimits(t *testing.T) {
 	e, err := zstd.NewWriter(nil)
 	require.NoError(t, err)
 	for _, test := range []struct {
@@ -120,17 +121,17 @@
 		body []byte
 		kind peer.ErrorKind
 	}{
-		{"beyond the bound once it is unpacked", e.EncodeAll(make([]byte, peer.MaxFrameBytes+1), nil), peer.TooLarge},
-		{"no compressed body", []byte("not compressed"), peer.Malformed},
-		{"cut short", e.EncodeAll(bytes.Repeat([]byte("abc"), 500), nil)[:20], peer.Malformed},
+		{"too large after decompression", e.EncodeAll(make([]byte, peer.MaxFrameBytes+1), nil), peer.TooLarge},
+		{"invalid compressed body", []byte("not compressed"), peer.Malformed},
+		{"truncated compressed body", e.EncodeAll(bytes.Repeat([]byte("abc"), 500), nil)[:20], peer.Malformed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			in := append(binary.AppendUvarint(nil, uint64(len(test.body))), 0x82)
 			_, err := peer.ReadFrame(bufio.NewReader(bytes.NewReader(append(in, test.body...))))
-			var bad *peer.Error
-			require.ErrorAs(t, err, &bad)
-			require.Equal(t, test.kind, bad.Kind)
+			var peerErr *peer.Error
+			require.ErrorAs(t, err, &peerErr)
+			require.Equal(t, test.kind, peerErr.Kind)
 		})
 	}
-	require.Panics(t, func() { _ = peer.WriteFrame(io.Discard, peer.Frame{Kind: 0x80}) }, "kinds stop below the mark")
+	require.Panics(t, func() { _ = peer.WriteFrame(io.Discard, peer.Frame{Kind: 0x80}) }, "the kind collides with the flag for compression")
 }
--- a/io/peer/silent_test.go
+++ b/io/peer/silent_test.go
@@ -14,38 +14,40 @@
 )
 
 const (
-	packetBytes  = 2048
-	shortHeader  = 0x80 // is zero in the first byte of a packet of an open connection
-	connIDLength = 4    // of the library's connection ids
+	packetBytes   = 2048
+	headerFormBit = 0x80 // bit of the first byte that is zero in packets of an established connection
+	connIDLength  = 4    // length of the connection IDs that quic-go generates
 )
 
-// relay carries packets between one endpoint and another and can lose track of
-// the connections that are open.
+// relay forwards packets between two endpoints and can drop all packets of the connections
+// that are open at a given time.
 type relay struct {
-	front net.PacketConn
-	back  net.Conn
+	clientSide net.PacketConn
+	serverSide net.Conn
 
 	mu     sync.Mutex
 	client net.Addr
-	seen   map[string]bool // connection ids
-	lost   map[string]bool
+	seen   map[string]bool // IDs of connections that sent packets
+	lost   map[string]bool // IDs of connections whose packets are dropped
 }
 
+// newRelay starts a relay to the address to and stops it when the test ends.
 func newRelay(t *testing.T, to string) *relay {
-	front, err := net.ListenPacket("udp", "127.0.0.1:0")
+	clientSide, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	back, err := net.Dial("udp", to)
+	serverSide, err := net.Dial("udp", to)
 	require.NoError(t, err)
-	r := &relay{front: front, back: back, seen: map[string]bool{}, lost: map[string]bool{}}
-	t.Cleanup(func() { _ = front.Close(); _ = back.Close() })
-	go r.forth()
-	go r.forthBack()
+	r := &relay{clientSide: clientSide, serverSide: serverSide, seen: map[string]bool{}, lost: map[string]bool{}}
+	t.Cleanup(func() { _ = clientSide.Close(); _ = serverSide.Close() })
+	go r.forwardToServer()
+	go r.forwardToClient()
 	return r
 }
 
-// pass tells whether a packet belongs to a connection that is not lost.
+// pass reports whether a packet belongs to a connection that is not lost, and records its
+// connection.
 func (r *relay) pass(b []byte) bool {
-	if len(b) <= connIDLength || b[0]&shortHeader != 0 {
+	if len(b) <= connIDLength || b[0]&headerFormBit != 0 {
 		return true
 	}
 	id := string(b[1 : 1+connIDLength])
@@ -58,10 +60,11 @@
 	return true
 }
 
-func (r *relay) forth() {
+// forwardToServer forwards packets of the client to the server.
+func (r *relay) forwardToServer() {
 	b := make([]byte, packetBytes)
 	for {
-		n, from, err := r.front.ReadFrom(b)
+		n, from, err := r.clientSide.ReadFrom(b)
 		if err != nil {
 			return
 		}
@@ -69,15 +72,16 @@
 		r.client = from
 		r.mu.Unlock()
 		if r.pass(b[:n]) {
-			_, _ = r.back.Write(b[:n])
+			_, _ = r.serverSide.Write(b[:n])
 		}
 	}
 }
 
-func (r *relay) forthBack() {
+// forwardToClient forwards packets of the server to the client.
+func (r *relay) forwardToClient() {
 	b := make([]byte, packetBytes)
 	for {
-		n, err := r.back.Read(b)
+		n, err := r.serverSide.Read(b)
 		if err != nil {
 			return
 		}
@@ -85,32 +89,32 @@
 		client := r.client
 		r.mu.Unlock()
 		if r.pass(b[:n]) {
-			_, _ = r.front.WriteTo(b[:n], client)
+			_, _ = r.clientSide.WriteTo(b[:n], client)
 		}
 	}
 }
 
-// lose makes the open connections silent for good.
-func (r *relay) lose() {
+// loseConnections drops all further packets of the connections that are open now.
+func (r *relay) loseConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost, r.seen = r.seen, map[string]bool{}
 }
 
-// TestInvariantSilentConnectionIsRenewed makes a connection between two nodes
-// go silent for good while new ones work: a call over it gets no answer, and
-// the next one after Renew is answered.
+// TestInvariantSilentConnectionIsRenewed makes a connection between two nodes permanently
+// unresponsive while new connections work: a call over it gets no reply, and the next call
+// after Renew succeeds.
 func TestInvariantSilentConnectionIsRenewed(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.Generate(dir, []string{"a", "b"}))
-	a := &peer.Endpoint{TLS: files(t, dir, "a"), OnCall: echo}
+	a := &peer.Endpoint{TLS: loadFiles(t, dir, "a"), OnCall: echo}
 	start(t, a)
-	between := newRelay(t, start(t, &peer.Endpoint{TLS: files(t, dir, "b"), OnCall: echo}))
-	at := between.front.LocalAddr().String()
+	relayed := newRelay(t, start(t, &peer.Endpoint{TLS: loadFiles(t, dir, "b"), OnCall: echo}))
+	address := relayed.clientSide.LocalAddr().String()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	call := func(wait time.Duration) error {
-		s, err := a.Open(ctx, at, peer.Frame{Kind: 2, Body: []byte("call")})
+		s, err := a.Open(ctx, address, peer.Frame{Kind: 2, Body: []byte("call")})
 		if err != nil {
 			return err
 		}
@@ -119,8 +123,8 @@
 		return err
 	}
 	require.NoError(t, call(10*time.Second))
-	between.lose()
+	relayed.loseConnections()
 	require.Error(t, call(500*time.Millisecond))
-	a.Renew(at)
+	a.Renew(address)
 	require.NoError(t, call(10*time.Second))
 }
