--- a/io/http1/exchange.go
+++ b/io/http1/exchange.go
@@ -18,7 +18,7 @@
 	maxPooledHead = 64 << 10 // maximum capacity, in bytes, of a head buffer that a connection keeps for reuse
 )
 
-// errDone reports a response that was started twice or written to after its end.
+// errResponseOrder reports a response that was started twice or written to after its end.
 var errResponseOrder = errors.New("http1: response started twice or written after its end")
 
 type (
@@ -37,6 +37,7 @@
 		state   state
 	}
 
+	// state is the progress of a response.
 	state int
 )
 
@@ -136,6 +137,7 @@
 	}
 }
 
+// flush writes the buffered bytes to the client. After an error the connection is closed.
 func (x *Exchange) flush() error {
 	if err := x.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
--- a/io/http1/server.go
+++ b/io/http1/server.go
@@ -66,6 +66,7 @@
 		active   sync.WaitGroup
 	}
 
+	// serverConn is a connection of a client.
 	serverConn struct {
 		s    *Server
 		nc   net.Conn
@@ -118,6 +119,8 @@
 	return len(s.conns)
 }
 
+// add registers a connection and returns false if the server is shutting down. At the limit
+// of connections it also closes an idle one.
 func (s *Server) add(c *serverConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,6 +149,7 @@
 	s.active.Done()
 }
 
+// limits returns the current limits with defaults applied.
 func (s *Server) limits() Limits {
 	var l Limits
 	if s.Limits != nil {
