--- a/io/jsonhttp/client.go
+++ b/io/jsonhttp/client.go
@@ -30,7 +30,7 @@
 )
 
 // errTooLarge is the cause of an Error with stage TooLarge.
-var errTooLarge = eris.New("response body exceeds the limit")
+var errTooLarge = eris.New("answer exceeds bound")
 
 type (
 	// Client makes calls to one address. Exported fields must be set before the first call.
