--- a/io/engine/bench_test.go
+++ b/io/engine/bench_test.go
@@ -11,8 +11,8 @@
 	"guavapaddle/io/engine"
 )
 
-// BenchmarkGenerate measures what a stream of 16 tokens costs on a connection
-// of its own, the server's side of it included.
+// BenchmarkGenerate measures a stream of 16 tokens on its own connection, including the cost
+// on the server side.
 func BenchmarkGenerate(b *testing.B) {
 	var body strings.Builder
 	for i := range 16 {
@@ -25,7 +25,7 @@
 	defer server.Close()
 	c := &engine.Client{Address: server.Listener.Addr().String()}
 	for b.Loop() {
-		if _, err := whole(c, ask("r", 16)); err != nil {
+		if _, err := generate(c, newRequest("r", 16)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/io/engine/client.go
+++ b/io/engine/client.go
@@ -16,10 +16,9 @@
 )
 
 const (
-	// NotRunHeader is set to "1" on answers that affirm that the request did
-	// not run.
+	// NotRunHeader is set to "1" on responses that state that the request did not run.
 	NotRunHeader = "Guavapaddle-Not-Run"
-	// DefaultTimeout bounds a call other than a stream.
+	// DefaultTimeout bounds calls other than streams.
 	DefaultTimeout = 2 * time.Second
 
 	statePath       = "/engine/v1/state"
@@ -33,49 +32,49 @@
 )
 
 type (
-	// Client makes calls to one engine. Its exported fields are set before the
-	// first call. It is safe for concurrent use.
+	// Client makes calls to one engine. Its exported fields must be set before the first
+	// call. It is safe for concurrent use.
 	Client struct {
 		Address string            // IP:port
-		Timeout time.Duration     // of calls other than streams, DefaultTimeout if zero
-		Traffic *jsonhttp.Traffic // counts the bytes of calls other than streams, may be nil
+		Timeout time.Duration     // for calls other than streams, DefaultTimeout if zero
+		Traffic *jsonhttp.Traffic // counts the bytes of calls other than streams; may be nil
 
 		calls   jsonhttp.Lazy // reuses connections
-		streams jsonhttp.Lazy // a connection for each stream
+		streams jsonhttp.Lazy // one connection per stream
 	}
 
-	// FenceRequest raises the fencing number.
+	// FenceRequest raises the fencing token of an engine.
 	FenceRequest struct {
 		Fence uint64 `json:"fence"`
 	}
 
-	// CancelRequest ends a request.
+	// CancelRequest cancels a request.
 	CancelRequest struct {
 		RequestID string `json:"request-id"`
 	}
 
-	// Refusal is the body of an answer that refuses an order or a fence.
+	// Refusal is the response body of a rejected order or fence.
 	Refusal struct {
-		Fence uint64 `json:"fence,omitempty"` // highest seen
+		Fence uint64 `json:"fence,omitempty"` // highest fencing token seen
 		Error string `json:"error,omitempty"` // "no-base", "in-use", "duplicate"
 	}
 
-	// CacheEvent tells that a prompt prefix was stored or evicted.
+	// CacheEvent reports that a prompt prefix was stored or evicted.
 	CacheEvent struct {
 		Sequence   uint64 `json:"sequence"`
 		PrefixHash uint64 `json:"prefix-hash"`
 		Stored     bool   `json:"stored"`
 	}
 
-	// CacheEvents is a part of an engine's cache events. Sequences that are
-	// missing never come.
+	// CacheEvents is a batch of an engine's cache events. Missing sequence numbers are lost
+	// and never delivered later.
 	CacheEvents struct {
 		Events []CacheEvent `json:"events"`
 		Last   uint64       `json:"last"`
 	}
 )
 
-// State returns inventory and load. Every failure is an *Error.
+// State returns the inventory and load of the engine. Every failure is an *Error.
 func (c *Client) State(ctx context.Context) (backend.State, error) {
 	var out backend.State
 	a, err := c.call(ctx, http.MethodGet, statePath, nil, &out)
@@ -85,9 +84,8 @@
 	return out, c.expect(a, http.StatusOK)
 }
 
-// Fence raises the engine's fencing number to fence and returns its inventory
-// after that. Every failure is an *Error, of kind StaleFence if the engine has
-// seen a higher number.
+// Fence raises the engine's fencing token to fence and returns the resulting inventory.
+// Every failure is an *Error, of kind StaleFence if the engine has seen a higher token.
 func (c *Client) Fence(ctx context.Context, fence uint64) (backend.Inventory, error) {
 	var out backend.Inventory
 	a, err := c.call(ctx, http.MethodPost, fencePath, FenceRequest{Fence: fence}, &out)
@@ -97,10 +95,10 @@
 	return out, c.expect(a, http.StatusOK)
 }
 
-// Order gives an order. It returns true if the order is done already and false
-// if the engine has accepted it. Every failure is an *Error: after StaleFence,
-// NoSpace, NoBase, InUse, Leaving and NotSent nothing was changed, after Lost
-// and others nobody knows.
+// Order sends an order. It returns true if the requested state already holds and false if
+// the engine has accepted the order. Every failure is an *Error. After StaleFence, NoSpace,
+// NoBase, InUse, Leaving and NotSent nothing was changed; after Lost and the other kinds the
+// outcome is unknown.
 func (c *Client) Order(ctx context.Context, o backend.Order) (done bool, err error) {
 	a, err := c.call(ctx, http.MethodPost, orderPath, o, nil)
 	if err != nil {
@@ -115,8 +113,8 @@
 	return false, c.refusal(a)
 }
 
-// Cancel ends a request; its stream finishes with "cancelled". Every failure
-// is an *Error.
+// Cancel cancels a request, whose stream then finishes with "cancelled". Every failure is an
+// *Error.
 func (c *Client) Cancel(ctx context.Context, requestID string) error {
 	a, err := c.call(ctx, http.MethodPost, cancelPath, CancelRequest{RequestID: requestID}, nil)
 	if err != nil {
@@ -125,8 +123,8 @@
 	return c.expect(a, http.StatusNoContent)
 }
 
-// CacheEvents returns the events after sequence since that are published by
-// now. Every failure is an *Error.
+// CacheEvents returns the events published so far after sequence number since. Every failure
+// is an *Error.
 func (c *Client) CacheEvents(ctx context.Context, since uint64) (CacheEvents, error) {
 	var out CacheEvents
 	a, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s?since=%d", cacheEventsPath, since), nil, &out)
@@ -136,48 +134,48 @@
 	return out, c.expect(a, http.StatusOK)
 }
 
-// ExportKV returns the KV cache of a request. Every failure is an *Error, of
-// kind UnknownRequest if there is no such request.
+// ExportKV returns the KV cache of a request. Every failure is an *Error, of kind
+// UnknownRequest if the request does not exist.
 func (c *Client) ExportKV(ctx context.Context, requestID string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
 	a, err := c.calls.Counted(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodGet, Path: kvPath + url.PathEscape(requestID)})
 	if err != nil {
-		return nil, c.lost(err)
+		return nil, c.transportError(err)
 	}
 	if a.Status == http.StatusNotFound {
-		return nil, c.fail(UnknownRequest, nil)
+		return nil, c.newError(UnknownRequest, nil)
 	}
 	return a.Body, c.expect(a, http.StatusOK)
 }
 
-// ImportKV gives an engine the KV cache of a request, which can be resumed
-// there from then on. Every failure is an *Error.
+// ImportKV sends the KV cache of a request to the engine, where the request can then be
+// resumed. Every failure is an *Error.
 func (c *Client) ImportKV(ctx context.Context, requestID string, kv []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
 	a, err := c.calls.Counted(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodPut, Path: kvPath + url.PathEscape(requestID), Body: kv})
 	if err != nil {
-		return c.lost(err)
+		return c.transportError(err)
 	}
 	return c.expect(a, http.StatusNoContent)
 }
 
-// Close closes unused connections. Streams go on.
+// Close closes idle connections. Open streams continue.
 func (c *Client) Close() { c.calls.Counted(c.Address, c.Traffic).Close() }
 
-// call makes one bounded call.
+// call makes one call, bounded by the timeout.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) (jsonhttp.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
 	a, err := c.calls.Counted(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
 	if err != nil {
-		return a, c.lost(err)
+		return a, c.transportError(err)
 	}
 	return a, nil
 }
 
-// expect returns an error unless the answer has the given status.
+// expect returns an error unless the response has the given status.
 func (c *Client) expect(a jsonhttp.Answer, status int) error {
 	if a.Status == status {
 		return nil
@@ -185,16 +183,16 @@
 	return c.refusal(a)
 }
 
-// refusal returns the error for an answer that refuses an order, a fence or a
-// call that is neither.
+// refusal returns the error for a response with an unexpected status, such as the rejection
+// of an order or a fence.
 func (c *Client) refusal(a jsonhttp.Answer) *Error {
-	e := c.fail(Failed, eris.Errorf("status %d", a.Status))
-	e.affirmed = a.Header.Get(NotRunHeader) == "1"
+	e := c.newError(Failed, eris.Errorf("status %d", a.Status))
+	e.statedNotRun = a.Header.Get(NotRunHeader) == "1"
 	switch a.Status {
 	case http.StatusConflict:
 		var r Refusal
 		if json.Unmarshal(a.Body, &r) != nil {
-			return c.fail(Malformed, eris.Errorf("%.200s", a.Body))
+			return c.newError(Malformed, eris.Errorf("%.200s", a.Body))
 		}
 		switch r.Error {
 		case "":
@@ -212,19 +210,19 @@
 	return e
 }
 
-// lost returns the error for a call without an answer.
-func (c *Client) lost(err error) *Error {
+// transportError returns the error for a call without a response.
+func (c *Client) transportError(err error) *Error {
 	switch jsonhttp.StageOf(err) {
 	case jsonhttp.NotSent:
-		return c.fail(NotSent, err)
+		return c.newError(NotSent, err)
 	case jsonhttp.Malformed, jsonhttp.TooLarge:
-		return c.fail(Malformed, err)
+		return c.newError(Malformed, err)
 	default:
-		return c.fail(Lost, err)
+		return c.newError(Lost, err)
 	}
 }
 
-// fail returns an *Error.
-func (c *Client) fail(k Kind, err error) *Error {
+// newError returns an *Error with the client's address.
+func (c *Client) newError(k Kind, err error) *Error {
 	return &Error{Kind: k, Address: c.Address, Err: err}
 }
--- a/io/engine/doc.go
+++ b/io/engine/doc.go
@@ -1,22 +1,21 @@
-// Package engine speaks to a model engine.
+// Package engine is a client for model engines.
 //
-// State, fence and order calls reuse connections; each stream has a connection
-// of its own, opened for it and closed after it. That costs one round trip and
-// rules out that a stream begins on a connection that has gone silent while it
-// was idle, that the transport replays a request, or that a late answer meets
-// a later request. It bounds the streams that one process can begin at one
-// engine to a system's local ports over its TIME_WAIT, some 470 a second with
-// Linux's defaults, far above what an engine's batch takes.
+// State, fence and order calls reuse connections. Each stream opens a connection of its own
+// and closes it at the end. That costs one round trip. It ensures that a stream never starts
+// on a connection that failed silently while idle, that the transport never replays a
+// request, and that a late response never reaches a later request. It also limits the
+// streams that one process can start at one engine to the number of local ports over the
+// TIME_WAIT period, about 470 per second with the defaults of Linux, far more than the batch
+// of an engine can serve.
 //
-// A stream is whole only with its event that has Finish set. One that ends
-// without it fails with Cut, one that stays silent for longer than its progress
-// timeout with Silent, one whose events carry another request id with
-// WrongRequest, and one with a token missing or doubled with WrongOffset. The
-// connection of a failed stream is closed at once. The engine goes on: after a
-// Cut or Silent stream Resume gets the rest.
+// A stream is complete only once it has delivered an event with Finish set. It fails with
+// Cut if it ends without one, with Silent if no event arrives within the progress timeout,
+// with WrongRequest if an event carries another request id, and with WrongOffset if a token
+// is missing or duplicated. The connection of a failed stream is closed at once, but the
+// engine continues to run the request: after Cut or Silent, Resume returns the rest.
 //
-// Error.NotRun tells whether a request certainly did not run: no byte of it was
-// written, or the engine affirmed that it did not run it.
+// Error.NotRun reports whether a request certainly did not run, either because no byte of it
+// was written or because the engine stated that it did not run it.
 //
 // # Usage
 //
--- a/io/engine/engine_test.go
+++ b/io/engine/engine_test.go
@@ -28,13 +28,13 @@
 )
 
 var (
-	// short bounds waits that a test wants to run out.
+	// short sets timeouts that the test expects to expire.
 	short = engine.StreamOptions{FirstTimeout: 200 * time.Millisecond, ProgressTimeout: 200 * time.Millisecond}
-	// patient bounds waits that must not run out on a busy machine.
+	// patient sets timeouts that must not expire on a busy machine.
 	patient = engine.StreamOptions{FirstTimeout: time.Minute, ProgressTimeout: time.Minute}
 )
 
-// start starts an engine with a resident model and returns it with a client.
+// start starts an engine with a resident model and returns a client for it.
 func start(t *testing.T, e *standin.Engine) *engine.Client {
 	t.Helper()
 	e.Name = "e"
@@ -49,7 +49,7 @@
 	t.Cleanup(e.Close)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the engine's counters: %v", e.Faults.Counters.All())
+			t.Logf("engine counters: %v", e.Faults.Counters.All())
 		}
 	})
 	require.True(t, e.Preload(model, 10))
@@ -58,12 +58,12 @@
 	return c
 }
 
-// ask returns a request for n tokens.
-func ask(id string, n int) backend.Generate {
+// newRequest returns a request for n tokens.
+func newRequest(id string, n int) backend.Generate {
 	return backend.Generate{RequestID: id, Item: model, Prompt: "prompt of " + id, MaxTokens: n}
 }
 
-// drain reads a stream to its end and returns the tokens.
+// drain reads a stream to its end and returns the tokens and the finish reason.
 func drain(s *engine.Stream) (tokens []string, finish string, err error) {
 	defer s.Close()
 	for {
@@ -78,8 +78,8 @@
 	}
 }
 
-// whole makes a request and reads its answer.
-func whole(c *engine.Client, g backend.Generate) (tokens []string, err error) {
+// generate makes a request and reads the complete response.
+func generate(c *engine.Client, g backend.Generate) (tokens []string, err error) {
 	s, err := c.Generate(context.Background(), g, patient)
 	if err != nil {
 		return nil, err
@@ -88,10 +88,10 @@
 	return tokens, err
 }
 
-// TestGenerate checks a whole answer and its end.
+// TestGenerate checks a complete response and its end.
 func TestGenerate(t *testing.T) {
 	c := start(t, &standin.Engine{})
-	s, err := c.Generate(t.Context(), ask("r", 5), engine.StreamOptions{})
+	s, err := c.Generate(t.Context(), newRequest("r", 5), engine.StreamOptions{})
 	require.NoError(t, err)
 	got, finish, err := drain(s)
 	require.NoError(t, err)
@@ -101,9 +101,8 @@
 	require.Equal(t, io.EOF, err)
 }
 
-// TestInvariantRefusalIsNotRun checks that each refusal that proves that the
-// request did not run says so, that the engine did not run it, and that no
-// other failure says so.
+// TestInvariantRefusalIsNotRun checks that exactly those failures that prove that the
+// request did not run are reported as such, and that the engine indeed did not run it.
 func TestInvariantRefusalIsNotRun(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -127,7 +126,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			client := start(t, c.engine)
 			c.engine.Faults.Put(c.faults)
-			g := ask("r", 3)
+			g := newRequest("r", 3)
 			g.Item = c.item
 			options := patient
 			if c.kind == engine.Silent {
@@ -144,38 +143,38 @@
 	}
 }
 
-// TestFull checks that a request which finds batch and queue full is affirmed
-// as not run.
+// TestFull checks that a request that finds the batch and the queue full is reported as not
+// run.
 func TestFull(t *testing.T) {
 	e := &standin.Engine{Slots: 1, QueueBound: -1, Step: 10 * time.Millisecond}
 	c := start(t, e)
-	s, err := c.Generate(t.Context(), ask("long", 10000), engine.StreamOptions{})
+	s, err := c.Generate(t.Context(), newRequest("long", 10000), engine.StreamOptions{})
 	require.NoError(t, err)
 	defer s.Close()
-	_, err = c.Generate(t.Context(), ask("more", 1), engine.StreamOptions{})
+	_, err = c.Generate(t.Context(), newRequest("more", 1), engine.StreamOptions{})
 	require.Equal(t, engine.Full, engine.KindOf(err))
 	require.True(t, engine.NotRun(err))
 }
 
-// TestInvariantNotSentWithoutListener checks that a request to an address where
-// nothing listens is known not to have run.
+// TestInvariantNotSentWithoutListener checks that a request to an address without a
+// listener, or with a cancelled context, is reported as not run.
 func TestInvariantNotSentWithoutListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
 	c := &engine.Client{Address: l.Addr().String()}
-	_, err = c.Generate(t.Context(), ask("r", 1), short)
+	_, err = c.Generate(t.Context(), newRequest("r", 1), short)
 	require.Equal(t, engine.NotSent, engine.KindOf(err))
 	require.True(t, engine.NotRun(err))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = c.Generate(ctx, ask("r", 1), short)
+	_, err = c.Generate(ctx, newRequest("r", 1), short)
 	require.True(t, engine.NotRun(err))
 }
 
-// TestInvariantStreamResumedWithoutGap breaks a stream in each way that leaves
-// the engine alive and checks that the rest of the answer is got on a new
-// connection, without a gap and without a second run.
+// TestInvariantStreamResumedWithoutGap interrupts a stream in each way that leaves the
+// engine running. It checks that the rest of the response arrives on a new connection,
+// without a gap and without a second run.
 func TestInvariantStreamResumedWithoutGap(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -190,7 +189,7 @@
 			e := &standin.Engine{Step: 2 * time.Millisecond}
 			client := start(t, e)
 			options := engine.StreamOptions{FirstTimeout: time.Minute, ProgressTimeout: c.progress}
-			s, err := client.Generate(t.Context(), ask("r", 600), options)
+			s, err := client.Generate(t.Context(), newRequest("r", 600), options)
 			require.NoError(t, err)
 			first, err := s.Next()
 			require.NoError(t, err)
@@ -211,25 +210,25 @@
 	}
 }
 
-// TestResumeUnknown checks that a request which the engine does not know can't
-// be resumed, and that one which it knows can't be made again.
+// TestResumeUnknown checks that a request unknown to the engine cannot be resumed, and that
+// a known one cannot be sent again.
 func TestResumeUnknown(t *testing.T) {
 	c := start(t, &standin.Engine{})
 	_, err := c.Resume(t.Context(), backend.Resume{RequestID: "r"}, short)
 	require.Equal(t, engine.UnknownRequest, engine.KindOf(err))
-	_, err = whole(c, ask("r", 1))
+	_, err = generate(c, newRequest("r", 1))
 	require.NoError(t, err)
-	_, err = whole(c, ask("r", 1))
+	_, err = generate(c, newRequest("r", 1))
 	require.Equal(t, engine.Duplicate, engine.KindOf(err))
 	require.False(t, engine.NotRun(err))
 }
 
-// TestInvariantFailedResumeIsNotNotRun checks that no failure to resume a
-// request, which has run, is taken as proof that it did not run.
-func TestInvariantFailedResumeIsNotNotRun(t *testing.T) {
+// TestInvariantFailedResumeMayHaveRun checks that no failed resume proves that the request
+// did not run, since a resumed request has run before.
+func TestInvariantFailedResumeMayHaveRun(t *testing.T) {
 	e := &standin.Engine{}
 	c := start(t, e)
-	_, err := whole(c, ask("r", 3))
+	_, err := generate(c, newRequest("r", 3))
 	require.NoError(t, err)
 	e.Faults.Put(fault.Faults{Refuse: true})
 	_, err = c.Resume(t.Context(), backend.Resume{RequestID: "r"}, short)
@@ -241,9 +240,9 @@
 	require.False(t, engine.NotRun(err))
 }
 
-// TestInvariantBadStreamIsNoAnswer feeds streams that are not the answer to the
-// request and checks that each gets a typed error.
-func TestInvariantBadStreamIsNoAnswer(t *testing.T) {
+// TestInvariantInvalidStreamFails feeds streams that are not a valid response to the request
+// and checks that each returns an error of the right kind.
+func TestInvariantInvalidStreamFails(t *testing.T) {
 	const token = `{"request-id":"r","offset":0,"token":" a"}` + "\n"
 	for _, c := range []struct {
 		name, body string
@@ -270,7 +269,7 @@
 			}))
 			defer server.Close()
 			client := &engine.Client{Address: server.Listener.Addr().String()}
-			s, err := client.Generate(t.Context(), ask("r", 2), patient)
+			s, err := client.Generate(t.Context(), newRequest("r", 2), patient)
 			require.NoError(t, err)
 			_, finish, err := drain(s)
 			require.Equal(t, c.kind, engine.KindOf(err), "%v", err)
@@ -281,24 +280,24 @@
 	}
 }
 
-// TestInvariantStatusIsNoProof checks that a refusal without the header that
-// affirms it does not prove that the request did not run.
+// TestInvariantStatusIsNoProof checks that an error status without NotRunHeader does not
+// prove that the request did not run.
 func TestInvariantStatusIsNoProof(t *testing.T) {
 	for _, status := range []int{http.StatusNotFound, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusBadGateway} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 		defer server.Close()
 		c := &engine.Client{Address: server.Listener.Addr().String()}
-		_, err := c.Generate(t.Context(), ask("r", 1), short)
+		_, err := c.Generate(t.Context(), newRequest("r", 1), short)
 		require.Equal(t, engine.Failed, engine.KindOf(err))
 		require.False(t, engine.NotRun(err))
 	}
 }
 
-// TestSlowReader checks that the time which the reader takes for itself does
-// not count as silence of the engine.
+// TestSlowReader checks that the time that the reader spends between calls of Next does not
+// count towards the progress timeout.
 func TestSlowReader(t *testing.T) {
 	c := start(t, &standin.Engine{})
-	s, err := c.Generate(t.Context(), ask("r", 5), engine.StreamOptions{ProgressTimeout: 500 * time.Millisecond})
+	s, err := c.Generate(t.Context(), newRequest("r", 5), engine.StreamOptions{ProgressTimeout: 500 * time.Millisecond})
 	require.NoError(t, err)
 	for range 3 {
 		_, err := s.Next()
@@ -307,21 +306,21 @@
 	}
 }
 
-// TestCallerGone checks that a stream ends when the caller's context ends or
-// another goroutine closes it, and that this is no fault of the engine.
+// TestCallerGone checks that a stream ends with Cancelled when the caller's context ends or
+// another goroutine closes it, and that this is not reported as a failure of the engine.
 func TestCallerGone(t *testing.T) {
 	e := &standin.Engine{Step: 10 * time.Millisecond}
 	c := start(t, e)
-	for name, leave := range map[string]func(context.CancelFunc, *engine.Stream){
+	for name, end := range map[string]func(context.CancelFunc, *engine.Stream){
 		"cancel": func(cancel context.CancelFunc, _ *engine.Stream) { cancel() },
 		"close":  func(_ context.CancelFunc, s *engine.Stream) { s.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			s, err := c.Generate(ctx, ask(name, 1000), engine.StreamOptions{})
+			s, err := c.Generate(ctx, newRequest(name, 1000), engine.StreamOptions{})
 			require.NoError(t, err)
-			go leave(cancel, s)
+			go end(cancel, s)
 			_, _, err = drain(s)
 			require.Equal(t, engine.Cancelled, engine.KindOf(err), "%v", err)
 			require.NoError(t, c.Cancel(t.Context(), name))
@@ -367,9 +366,9 @@
 	require.Equal(t, engine.Lost, engine.KindOf(err))
 }
 
-// TestInvariantMemoryNeverOvercommitted gives an engine random orders from many
-// sides, late, lost and repeated, and checks that it never has more in memory
-// than it has.
+// TestInvariantMemoryNeverOvercommitted sends random orders to an engine from several
+// goroutines, some of them delayed, lost or repeated, and checks that its memory is never
+// overcommitted.
 func TestInvariantMemoryNeverOvercommitted(t *testing.T) {
 	for seed := range uint64(3) {
 		e := &standin.Engine{MemoryBytes: 100, ChecksOrders: seed == 0, ColdStart: time.Millisecond}
@@ -389,7 +388,7 @@
 					}
 					_, err := c.Order(context.Background(), o)
 					if k := engine.KindOf(err); k != "" && k != engine.NoSpace && k != engine.InUse {
-						t.Errorf("order: %v", err)
+						t.Errorf("unexpected order error: %v", err)
 					}
 				}
 			})
@@ -401,9 +400,9 @@
 	}
 }
 
-// TestInvariantLateAnswerReachesNoOther lets calls time out and checks that
-// the next call gets its own answer, on a connection of its own.
-func TestInvariantLateAnswerReachesNoOther(t *testing.T) {
+// TestInvariantLateResponseIsDiscarded makes calls time out and checks that the next call
+// receives its own response, on its own connection.
+func TestInvariantLateResponseIsDiscarded(t *testing.T) {
 	e := &standin.Engine{}
 	c := start(t, e)
 	_, err := c.State(t.Context())
@@ -414,11 +413,11 @@
 		_, err := c.State(ctx)
 		cancel()
 		require.Equal(t, engine.Lost, engine.KindOf(err))
-		_, err = c.Generate(t.Context(), ask(fmt.Sprint("late", i), 3), engine.StreamOptions{FirstTimeout: 100 * time.Millisecond})
+		_, err = c.Generate(t.Context(), newRequest(fmt.Sprint("late", i), 3), engine.StreamOptions{FirstTimeout: 100 * time.Millisecond})
 		require.Equal(t, engine.Silent, engine.KindOf(err))
 		e.Faults.Put(fault.Faults{})
 		id := fmt.Sprint("next", i)
-		got, err := whole(c, ask(id, 3))
+		got, err := generate(c, newRequest(id, 3))
 		require.NoError(t, err)
 		require.Equal(t, standin.Answer(model, "prompt of "+id, 3), got)
 		events, err := c.CacheEvents(t.Context(), 0)
@@ -427,11 +426,10 @@
 	}
 }
 
-// TestInvariantAnswersLateAndOutOfOrder makes a thousand requests at once, many
-// with the same prompt and of three priorities, while streams break, and checks
-// that each gets its own whole answer: same prompts the same one, and nobody
-// another's.
-func TestInvariantAnswersLateAndOutOfOrder(t *testing.T) {
+// TestInvariantConcurrentResponses makes a thousand concurrent requests with three
+// priorities, many with the same prompt, while streams are cut. It checks that each request
+// receives its own complete response, which depends only on the prompt.
+func TestInvariantConcurrentResponses(t *testing.T) {
 	const requests = 1000
 	e := &standin.Engine{Slots: 100, QueueBound: requests, CacheBlocks: 100}
 	c := start(t, e)
@@ -443,7 +441,7 @@
 			RequestID: fmt.Sprintf("r%d", i), Item: model, Prompt: fmt.Sprintf("prompt %d", i%400),
 			MaxTokens: 1 + i%13, Priority: i % 3,
 		}
-		wg.Go(func() { failures <- persist(c, g) })
+		wg.Go(func() { failures <- generateWithRetry(c, g) })
 	}
 	wg.Wait()
 	for range requests {
@@ -453,14 +451,14 @@
 	require.EqualValues(t, 300, e.Faults.Counters.Get("streams-cut"))
 }
 
-// persist makes a request and resumes it until its answer is whole, and fails
-// if the answer is not that of its prompt. A call that could not be sent, as may
-// happen on a busy machine, is made again; runs are counted by the engine.
-func persist(c *engine.Client, g backend.Generate) error {
+// generateWithRetry makes a request and resumes it until the response is complete. It fails
+// if the response does not match the prompt. A call that could not be sent, as can happen on
+// a busy machine, is repeated; the engine counts the runs.
+func generateWithRetry(c *engine.Client, g backend.Generate) error {
 	var got []string
 	sent := false
 	for {
-		s, err := begin(c, g, sent, len(got))
+		s, err := openStream(c, g, sent, len(got))
 		if engine.KindOf(err) == engine.NotSent {
 			continue
 		}
@@ -484,8 +482,8 @@
 	return nil
 }
 
-// begin makes a request, or resumes it if it was sent before.
-func begin(c *engine.Client, g backend.Generate, sent bool, offset int) (*engine.Stream, error) {
+// openStream makes a request, or resumes it if it was sent before.
+func openStream(c *engine.Client, g backend.Generate, sent bool, offset int) (*engine.Stream, error) {
 	if sent {
 		return c.Resume(context.Background(), backend.Resume{RequestID: g.RequestID, Offset: offset}, patient)
 	}
--- a/io/engine/error.go
+++ b/io/engine/error.go
@@ -6,65 +6,66 @@
 	"fmt"
 )
 
-// Kind tells what a failure means.
+// Kind classifies a failure by its meaning for the request.
 type Kind string
 
 const (
-	// NotSent means that no byte was written to the engine: it did not run.
+	// NotSent means that no byte was written to the engine. The request did not run.
 	NotSent Kind = "not-sent"
-	// NotResident means that the item does not serve there: it did not run.
+	// NotResident means that the item is not resident on the engine. The request did not
+	// run.
 	NotResident Kind = "not-resident"
-	// Full means that batch and queue are full: it did not run.
+	// Full means that the batch and the queue are full. The request did not run.
 	Full Kind = "full"
-	// Leaving means that the engine takes no new work: it did not run.
+	// Leaving means that the engine accepts no new work. The request did not run.
 	Leaving Kind = "leaving"
-	// Refused means that the engine affirmed with another status that it did
-	// not run the request, or that it refused an order.
+	// Refused means that the engine stated with another status that it did not run the
+	// request, or that it rejected an order.
 	Refused Kind = "refused"
-	// Duplicate means that the engine knows the request id already.
+	// Duplicate means that the engine already knows the request id.
 	Duplicate Kind = "duplicate"
-	// UnknownRequest means that there is no such request to resume.
+	// UnknownRequest means that the request to resume or export does not exist.
 	UnknownRequest Kind = "unknown-request"
-	// StaleFence means that the fencing number is lower than the highest that
-	// the engine has seen, which is in Error.Fence.
+	// StaleFence means that the fencing token is lower than the highest that the engine has
+	// seen, which is in Error.Fence.
 	StaleFence Kind = "stale-fence"
-	// NoSpace means that the item does not fit; nothing was changed.
+	// NoSpace means that the item does not fit into memory. Nothing was changed.
 	NoSpace Kind = "no-space"
-	// NoBase means that the adapter's model is not resident.
+	// NoBase means that the base model of the adapter is not resident.
 	NoBase Kind = "no-base"
-	// InUse means that the order can't be done in the item's present state.
+	// InUse means that the order cannot be executed in the current state of the item.
 	InUse Kind = "in-use"
-	// Lost means that the request was sent and its connection broke without an
-	// answer, or timed out: it may have run.
+	// Lost means that the request was sent and that the connection broke or timed out before
+	// a response. The request may have run.
 	Lost Kind = "lost"
-	// Silent means that a stream made no progress in time.
+	// Silent means that a stream delivered no event within its timeout.
 	Silent Kind = "silent"
-	// Cut means that a stream ended without its finish.
+	// Cut means that a stream ended without a finish event.
 	Cut Kind = "cut"
-	// WrongRequest means that an answer belongs to another request.
+	// WrongRequest means that a response belongs to another request.
 	WrongRequest Kind = "wrong-request"
-	// WrongOffset means that a token is missing or doubled.
+	// WrongOffset means that a token is missing or duplicated.
 	WrongOffset Kind = "wrong-offset"
-	// Malformed means that an answer could not be understood.
+	// Malformed means that a response could not be parsed.
 	Malformed Kind = "malformed"
-	// Failed means that the engine answered with another status.
+	// Failed means that the engine responded with another status.
 	Failed Kind = "failed"
 	// Cancelled means that the caller's context ended.
 	Cancelled Kind = "cancelled"
 )
 
-// Error is the failure of a call to an engine.
+// Error is a failed call to an engine.
 type Error struct {
 	Kind    Kind
 	Address string
-	Fence   uint64 // highest fencing number seen, for StaleFence
-	Err     error  // cause, may be nil
+	Fence   uint64 // highest fencing token seen, for StaleFence
+	Err     error  // cause; may be nil
 
-	affirmed bool // the engine said that the call did not run
-	resumed  bool // the call was to resume a request, which has run before
+	statedNotRun bool // the engine stated that the call did not run
+	resumed      bool // the call resumes a request, which has therefore run
 }
 
-// Error returns kind, address and cause in one line.
+// Error returns the kind, the address and the cause.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("engine: %s: %s", e.Kind, e.Address)
@@ -75,12 +76,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotRun tells whether the request certainly did not run. It is false for every
-// failure to resume one.
-func (e *Error) NotRun() bool { return !e.resumed && (e.Kind == NotSent || e.affirmed) }
+// NotRun reports whether the request certainly did not run. It is false for every failed
+// resume.
+func (e *Error) NotRun() bool { return !e.resumed && (e.Kind == NotSent || e.statedNotRun) }
 
-// KindOf returns the kind of the *Error inside err, empty if err is nil. For
-// other errors it is Cancelled if a context ended and Failed otherwise.
+// KindOf returns the kind of the *Error in err, or empty if err is nil. For other errors it
+// returns Cancelled if a context ended and Failed otherwise.
 func KindOf(err error) Kind {
 	if err == nil {
 		return ""
@@ -94,7 +95,7 @@
 	return Failed
 }
 
-// NotRun tells whether err proves that the request did not run.
+// NotRun reports whether err proves that the request did not run.
 func NotRun(err error) bool {
 	e, ok := errors.AsType[*Error](err)
 	return ok && e.NotRun()
--- a/io/engine/fuzz_test.go
+++ b/io/engine/fuzz_test.go
@@ -15,11 +15,10 @@
 	"guavapaddle/io/engine"
 )
 
-// FuzzStream feeds any bytes as a stream and checks that what the client takes
-// for a whole answer is one: tokens of the request from offset zero on without
-// a gap, up to a finish. Run it with -fuzzminimizetime 1x: coverage differs from
-// run to run with the network in between, and the search for a smaller input
-// with the same coverage takes up all the time.
+// FuzzStream feeds arbitrary bytes as a stream and checks that any response accepted as
+// complete is valid: the tokens of the request from offset zero without a gap, up to a
+// finish event. Run it with -fuzzminimizetime 1x: coverage varies between runs because of
+// the network involved, so minimization would otherwise take up all the time.
 func FuzzStream(f *testing.F) {
 	const token, finish = `{"request-id":"r","offset":0,"token":" a"}`, `{"request-id":"r","offset":1,"finish":"stop"}`
 	for _, seed := range []string{"", token, token + "\n" + finish, token + "\n" + finish + "\n", token + "\n" + token + "\n" + finish, "null\n", token + "\n\n" + finish} {
@@ -31,7 +30,7 @@
 	c := &engine.Client{Address: server.Listener.Addr().String()}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		body.Store(&b)
-		tokens, err := whole(c, ask("r", 1))
+		tokens, err := generate(c, newRequest("r", 1))
 		if err != nil {
 			require.NotEmpty(t, engine.KindOf(err))
 			return
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -34,34 +34,33 @@
 )
 
 type (
-	// StreamOptions bounds the waits of a stream. The zero value takes the
-	// defaults.
+	// StreamOptions sets the timeouts of a stream. Zero values select the defaults.
 	StreamOptions struct {
 		FirstTimeout    time.Duration // from the call to the first event
 		ProgressTimeout time.Duration // from one event to the next
 	}
 
-	// Stream reads the answer to one request. Next is for one goroutine, Close
-	// for any.
+	// Stream reads the response to one request. Next must be called from one goroutine only;
+	// Close may be called from any.
 	Stream struct {
 		client   *Client
 		id       string
 		next     int  // offset of the next event
-		started  bool // the first event has come
+		started  bool // the first event has arrived
 		progress time.Duration
 		stream   *jsonhttp.Stream
 		scanner  *bufio.Scanner
 		ctx      context.Context
 		cancel   context.CancelCauseFunc
 		timer    *time.Timer
-		err      error // of the end, io.EOF after the finish
+		err      error // why the stream ended, io.EOF after the finish event
 		once     sync.Once
 	}
 )
 
-// Generate sends g and returns when it has started in the engine's batch, at
-// the latest after FirstTimeout. Every failure is an *Error whose NotRun tells
-// whether the request certainly did not run. The stream ends when ctx ends.
+// Generate sends g and returns once the request has started in the engine's batch, or with
+// an error after FirstTimeout. Every failure is an *Error whose NotRun reports whether the
+// request certainly did not run. The stream ends when ctx ends.
 func (c *Client) Generate(ctx context.Context, g backend.Generate, o StreamOptions) (*Stream, error) {
 	s, e := c.open(ctx, generatePath, g, g.RequestID, 0, o)
 	if e != nil {
@@ -70,9 +69,9 @@
 	return s, nil
 }
 
-// Resume returns the rest of an answer from r.Offset on. Every failure is an
-// *Error, of kind UnknownRequest if the engine does not know the request, and
-// none proves that the request did not run.
+// Resume returns the rest of a response from r.Offset. Every failure is an *Error, of kind
+// UnknownRequest if the engine does not know the request. No failure proves that the request
+// did not run.
 func (c *Client) Resume(ctx context.Context, r backend.Resume, o StreamOptions) (*Stream, error) {
 	s, e := c.open(ctx, resumePath, r, r.RequestID, r.Offset, o)
 	if e != nil {
@@ -82,9 +81,9 @@
 	return s, nil
 }
 
-// Next returns the next event; the one with Finish is the last. Every failure
-// is an *Error, and after it or after the finish Next returns the same error
-// or io.EOF again.
+// Next returns the next event; the one with Finish set is the last. Every failure is an
+// *Error. After a failure, Next keeps returning the same error; after the finish event it
+// returns io.EOF.
 func (s *Stream) Next() (backend.Event, error) {
 	if s.err != nil {
 		return backend.Event{}, s.err
@@ -106,20 +105,20 @@
 	return e, nil
 }
 
-// Close ends the stream and closes its connection. The engine goes on with the
-// request unless it is cancelled.
-func (s *Stream) Close() { s.shut(errClosed) }
+// Close ends the stream and closes its connection. The engine continues to run the request
+// unless it is cancelled.
+func (s *Stream) Close() { s.shutdown(errClosed) }
 
-// open sends a call whose answer is a stream.
+// open makes a call whose response is a stream.
 func (c *Client) open(ctx context.Context, path string, in any, id string, offset int, o StreamOptions) (*Stream, *Error) {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, c.fail(NotSent, err)
+		return nil, c.newError(NotSent, err)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &Stream{client: c, id: id, next: offset, progress: cmp.Or(o.ProgressTimeout, DefaultProgressTimeout), ctx: ctx, cancel: cancel}
-	// The timer runs until the first event; Next sets it anew for each further
-	// one, so that the time that the reader takes for itself does not count.
+	// The timer runs until the first event. Next restarts it for each further event, so that
+	// the time that the reader spends between calls does not count.
 	s.timer = time.AfterFunc(cmp.Or(o.FirstTimeout, DefaultFirstTimeout), func() { cancel(errSilent) })
 	s.stream, err = c.streams.Fresh(c.Address).Open(ctx, jsonhttp.Call{
 		Method: http.MethodPost, Path: path, Body: body,
@@ -128,43 +127,43 @@
 	if err != nil {
 		s.timer.Stop()
 		defer cancel(errClosed)
-		return nil, c.unopened(ctx, err)
+		return nil, c.openError(ctx, err)
 	}
 	if s.stream.Status != http.StatusOK {
-		defer s.shut(errClosed)
-		return nil, c.refused(s.stream, path)
+		defer s.shutdown(errClosed)
+		return nil, c.statusError(s.stream, path)
 	}
 	s.scanner = bufio.NewScanner(s.stream.Body)
 	s.scanner.Buffer(make([]byte, 0, readSize), maxLine)
 	return s, nil
 }
 
-// unopened returns the error of a stream that got no answer.
-func (c *Client) unopened(ctx context.Context, err error) *Error {
-	e := c.lost(err)
+// openError returns the error for a stream that received no response.
+func (c *Client) openError(ctx context.Context, err error) *Error {
+	e := c.transportError(err)
 	if e.Kind != Lost {
 		return e
 	}
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errSilent):
-		return c.fail(Silent, cause)
+		return c.newError(Silent, cause)
 	case cause != nil:
-		return c.fail(Cancelled, cause)
+		return c.newError(Cancelled, cause)
 	}
 	return e
 }
 
-// refused returns the error of a stream that was answered with another status.
-func (c *Client) refused(s *jsonhttp.Stream, path string) *Error {
+// statusError returns the error for a stream whose response has a status other than 200.
+func (c *Client) statusError(s *jsonhttp.Stream, path string) *Error {
 	body, _ := io.ReadAll(io.LimitReader(s.Body, readSize))
-	e := c.fail(Failed, eris.Errorf("status %d: %s", s.Status, body))
-	e.affirmed = s.Header.Get(NotRunHeader) == "1"
+	e := c.newError(Failed, eris.Errorf("status %d: %s", s.Status, body))
+	e.statedNotRun = s.Header.Get(NotRunHeader) == "1"
 	switch {
 	case s.Status == http.StatusConflict:
 		e.Kind = Duplicate
 	case s.Status == http.StatusNotFound && path == resumePath:
 		e.Kind = UnknownRequest
-	case !e.affirmed:
+	case !e.statedNotRun:
 	case s.Status == http.StatusNotFound:
 		e.Kind = NotResident
 	case s.Status == http.StatusTooManyRequests:
@@ -177,54 +176,54 @@
 	return e
 }
 
-// read reads and checks one event.
+// read reads and validates one event.
 func (s *Stream) read() (backend.Event, error) {
 	var e backend.Event
 	if !s.scanner.Scan() {
-		return e, s.broken(s.scanner.Err())
+		return e, s.endError(s.scanner.Err())
 	}
 	if err := json.Unmarshal(s.scanner.Bytes(), &e); err != nil {
 		if !s.scanner.Scan() {
-			return e, s.broken(s.scanner.Err()) // the last line was cut
+			return e, s.endError(s.scanner.Err()) // the last line is incomplete
 		}
-		return e, s.client.fail(Malformed, err)
+		return e, s.client.newError(Malformed, err)
 	}
 	if e.RequestID != s.id {
-		return e, s.client.fail(WrongRequest, eris.Errorf("answer of %q to %q", e.RequestID, s.id))
+		return e, s.client.newError(WrongRequest, eris.Errorf("answer of %q to %q", e.RequestID, s.id))
 	}
 	if e.Offset != s.next {
-		return e, s.client.fail(WrongOffset, eris.Errorf("offset %d after %d", e.Offset, s.next-1))
+		return e, s.client.newError(WrongOffset, eris.Errorf("offset %d after %d", e.Offset, s.next-1))
 	}
 	if (e.Token == "") == (e.Finish == "") {
-		return e, s.client.fail(Malformed, eris.New("event needs a token or a finish"))
+		return e, s.client.newError(Malformed, eris.New("event needs a token or a finish"))
 	}
 	return e, nil
 }
 
-// broken returns the error of a stream that ended too early.
-func (s *Stream) broken(err error) *Error {
+// endError returns the error for a stream that ended early.
+func (s *Stream) endError(err error) *Error {
 	cause := context.Cause(s.ctx)
 	switch {
 	case errors.Is(cause, errSilent):
-		return s.client.fail(Silent, cause)
+		return s.client.newError(Silent, cause)
 	case errors.Is(err, bufio.ErrTooLong):
-		return s.client.fail(Malformed, err)
+		return s.client.newError(Malformed, err)
 	case cause != nil:
-		return s.client.fail(Cancelled, cause)
+		return s.client.newError(Cancelled, cause)
 	case err == nil:
-		return s.client.fail(Cut, errNoFinish)
+		return s.client.newError(Cut, errNoFinish)
 	}
-	return s.client.fail(Cut, err)
+	return s.client.newError(Cut, err)
 }
 
-// end remembers how the stream ended and closes it.
+// end records the reason for the end of the stream and closes it.
 func (s *Stream) end(err error) {
 	s.err = err
-	s.shut(errClosed)
+	s.shutdown(errClosed)
 }
 
-// shut closes the connection once.
-func (s *Stream) shut(cause error) {
+// shutdown closes the connection. Calls after the first have no effect.
+func (s *Stream) shutdown(cause error) {
 	s.once.Do(func() {
 		s.timer.Stop()
 		s.cancel(cause)
