--- a/io/service/service.go
+++ b/io/service/service.go
@@ -14,37 +14,36 @@
 	"guavapaddle/io/jsonhttp"
 )
 
-// Kind tells what a failure means.
+// Kind classifies a failure by its meaning for the call.
 type Kind string
 
 const (
-	// NotSent means that no byte was written to the server: it did not run.
+	// NotSent means that no byte was written to the server. The call did not run.
 	NotSent Kind = "not-sent"
-	// Refused means that the server affirmed that it did not run the call.
+	// Refused means that the server stated that it did not run the call.
 	Refused Kind = "refused"
-	// Lost means that the call was sent and no whole answer came: it may have
+	// Lost means that the call was sent and no complete response arrived. The call may have
 	// run.
 	Lost Kind = "lost"
-	// Timeout means that the call was sent and no answer came in time: it may
-	// have run or run later.
+	// Timeout means that the call was sent and no response arrived in time. The call may
+	// have run or may still run.
 	Timeout Kind = "timeout"
 	// Cancelled means that the caller's context ended after the call was sent.
 	Cancelled Kind = "cancelled"
-	// WrongRequest means that the answer belongs to another request.
+	// WrongRequest means that the response belongs to another request.
 	WrongRequest Kind = "wrong-request"
-	// Malformed means that the answer is too long or could not be understood.
+	// Malformed means that the response is too large or could not be parsed.
 	Malformed Kind = "malformed"
 )
 
 const (
-	// NotRunHeader is set to "1" on a 503 that affirms that the call did not
-	// run.
+	// NotRunHeader is set to "1" on a 503 response that states that the call did not run.
 	NotRunHeader = "Guavapaddle-Not-Run"
-	// RequestIDHeader carries the request id, which the answer echoes.
+	// RequestIDHeader carries the request id, which the response echoes.
 	RequestIDHeader = "X-Request-Id"
 	// KeyHeader carries the idempotency key.
 	KeyHeader = "Idempotency-Key"
-	// LoadPath is the path of a server's report of its load.
+	// LoadPath is the path of a server's load report.
 	LoadPath = "/load"
 	// DefaultTimeout bounds a call.
 	DefaultTimeout = 10 * time.Second
@@ -54,43 +53,44 @@
 var errTimeout = eris.New("no whole answer in time")
 
 type (
-	// Client makes calls to one backend server. Its exported fields are set
-	// before the first call. It is safe for concurrent use.
+	// Client makes calls to one backend server. Its exported fields must be set before the
+	// first call. It is safe for concurrent use.
 	Client struct {
 		Address string        // IP:port
-		Timeout time.Duration // of each call, DefaultTimeout if zero
+		Timeout time.Duration // per call, DefaultTimeout if zero
 
-		reused jsonhttp.Lazy
-		fresh  jsonhttp.Lazy
+		reusing    jsonhttp.Lazy
+		nonReusing jsonhttp.Lazy
 	}
 
-	// Request is one call.
+	// Request is a call.
 	Request struct {
 		Method         string
-		Path           string // escaped, with query if any
+		Path           string // escaped, including the query
 		RequestID      string
-		IdempotencyKey string // passed on if set
+		IdempotencyKey string // sent if not empty
 		Header         http.Header
 		Body           []byte
-		Repeatable     bool // false: never sent twice by anyone below
+		Repeatable     bool // if false, no lower layer may send it twice
 	}
 
-	// Response is a whole answer, of any status but an affirmed 503.
+	// Response is a complete response with any status other than a 503 that states that the
+	// call did not run.
 	Response struct {
 		Status int
 		Header http.Header
 		Body   []byte
 	}
 
-	// Error is the failure of a call.
+	// Error is a failed call.
 	Error struct {
 		Kind    Kind
 		Address string
-		Err     error // cause, may be nil
+		Err     error // cause; may be nil
 	}
 )
 
-// Error returns kind, address and cause in one line.
+// Error returns the kind, the address and the cause.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("service: %s: %s", e.Kind, e.Address)
@@ -101,11 +101,11 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotRun tells whether the call certainly did not run.
+// NotRun reports whether the call certainly did not run.
 func (e *Error) NotRun() bool { return e.Kind == NotSent || e.Kind == Refused }
 
-// KindOf returns the kind of the *Error inside err, empty if err is nil and
-// Lost if there is none.
+// KindOf returns the kind of the *Error in err. It returns empty if err is nil, and Lost if
+// err contains no *Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return ""
@@ -116,60 +116,60 @@
 	return Lost
 }
 
-// NotRun tells whether err proves that the call did not run.
+// NotRun reports whether err proves that the call did not run.
 func NotRun(err error) bool {
 	e, ok := errors.AsType[*Error](err)
 	return ok && e.NotRun()
 }
 
-// Do makes one call and returns its whole answer. Every failure is an *Error.
+// Do makes one call and returns the complete response. Every failure is an *Error.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, cmp.Or(c.Timeout, DefaultTimeout), errTimeout)
 	defer cancel()
-	a, err := c.http(r).Do(ctx, jsonhttp.Call{Method: r.Method, Path: r.Path, Header: header(r), Body: r.Body})
+	a, err := c.httpClient(r).Do(ctx, jsonhttp.Call{Method: r.Method, Path: r.Path, Header: requestHeader(r), Body: r.Body})
 	if err != nil {
-		return Response{}, c.failed(ctx, err)
+		return Response{}, c.transportError(ctx, err)
 	}
 	echo := a.Header.Get(RequestIDHeader)
 	refused := a.Status == http.StatusServiceUnavailable && a.Header.Get(NotRunHeader) == "1"
 	if echo != r.RequestID && (echo != "" || !refused) {
-		return Response{}, c.fail(WrongRequest, eris.Errorf("answer of %q to %q", echo, r.RequestID))
+		return Response{}, c.newError(WrongRequest, eris.Errorf("answer of %q to %q", echo, r.RequestID))
 	}
 	if refused {
-		return Response{}, c.fail(Refused, nil)
+		return Response{}, c.newError(Refused, nil)
 	}
 	return Response{Status: a.Status, Header: a.Header, Body: a.Body}, nil
 }
 
-// Load returns the server's report of its load, which lags. Every failure is
-// an *Error.
+// Load returns the server's load report, which is not up to date. Every failure is an
+// *Error.
 func (c *Client) Load(ctx context.Context) (backend.LoadReport, error) {
 	var out backend.LoadReport
 	ctx, cancel := context.WithTimeoutCause(ctx, cmp.Or(c.Timeout, DefaultTimeout), errTimeout)
 	defer cancel()
-	a, err := c.reused.Get(c.Address).JSON(ctx, http.MethodGet, LoadPath, nil, &out)
+	a, err := c.reusing.Get(c.Address).JSON(ctx, http.MethodGet, LoadPath, nil, &out)
 	if err != nil {
-		return out, c.failed(ctx, err)
+		return out, c.transportError(ctx, err)
 	}
 	if a.Status != http.StatusOK {
-		return out, c.fail(Malformed, eris.Errorf("status %d", a.Status))
+		return out, c.newError(Malformed, eris.Errorf("status %d", a.Status))
 	}
 	return out, nil
 }
 
-// Close closes unused connections.
-func (c *Client) Close() { c.reused.Get(c.Address).Close() }
+// Close closes idle connections.
+func (c *Client) Close() { c.reusing.Get(c.Address).Close() }
 
-// http returns the client that fits the call.
-func (c *Client) http(r Request) *jsonhttp.Client {
+// httpClient returns the client with the connection policy that the call requires.
+func (c *Client) httpClient(r Request) *jsonhttp.Client {
 	if r.Repeatable {
-		return c.reused.Get(c.Address)
+		return c.reusing.Get(c.Address)
 	}
-	return c.fresh.Fresh(c.Address)
+	return c.nonReusing.Fresh(c.Address)
 }
 
-// header returns the header to send.
-func header(r Request) http.Header {
+// requestHeader returns the header to send.
+func requestHeader(r Request) http.Header {
 	h := r.Header.Clone()
 	if h == nil {
 		h = http.Header{}
@@ -181,24 +181,24 @@
 	return h
 }
 
-// failed returns the error of a call without a whole answer.
-func (c *Client) failed(ctx context.Context, err error) *Error {
+// transportError returns the error for a call without a complete response.
+func (c *Client) transportError(ctx context.Context, err error) *Error {
 	switch jsonhttp.StageOf(err) {
 	case jsonhttp.NotSent:
-		return c.fail(NotSent, err)
+		return c.newError(NotSent, err)
 	case jsonhttp.Malformed, jsonhttp.TooLarge:
-		return c.fail(Malformed, err)
+		return c.newError(Malformed, err)
 	}
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errTimeout):
-		return c.fail(Timeout, err)
+		return c.newError(Timeout, err)
 	case cause != nil:
-		return c.fail(Cancelled, err)
+		return c.newError(Cancelled, err)
 	}
-	return c.fail(Lost, err)
+	return c.newError(Lost, err)
 }
 
-// fail returns an *Error.
-func (c *Client) fail(k Kind, err error) *Error {
+// newError returns an *Error with the client's address.
+func (c *Client) newError(k Kind, err error) *Error {
 	return &Error{Kind: k, Address: c.Address, Err: err}
 }
--- a/io/service/service_test.go
+++ b/io/service/service_test.go
@@ -20,14 +20,14 @@
 	"guavapaddle/io/service"
 )
 
-// start starts a plain service and returns it with a client.
+// start starts a plain service and returns it with a client for it.
 func start(t *testing.T) (*standin.Service, *service.Client) {
 	t.Helper()
 	s := &standin.Service{Name: "s"}
 	return s, serve(t, s)
 }
 
-// serve starts s and returns a client of it.
+// serve starts s and returns a client for it.
 func serve(t *testing.T, s *standin.Service) *service.Client {
 	t.Helper()
 	address, err := s.Start()
@@ -38,13 +38,13 @@
 	return c
 }
 
-// confirm returns a booking confirmation, which may not be repeated.
+// confirm returns a booking confirmation, which must not be repeated.
 func confirm(id string) service.Request {
 	return service.Request{Method: http.MethodPost, Path: "/bookings/confirm", RequestID: id,
 		IdempotencyKey: "key-" + id, Body: []byte(`{"booking":"` + id + `"}`)}
 }
 
-// runs returns how often anything ran.
+// runs returns the total number of executions.
 func runs(s *standin.Service) int {
 	n := 0
 	for _, r := range s.Journal() {
@@ -53,9 +53,8 @@
 	return n
 }
 
-// TestInvariantCallRunsAtMostOnce makes calls that may not be repeated to a
-// server that breaks in each way after it has run them, and checks that none
-// runs twice and that none that ran is said not to have run.
+// TestInvariantCallRunsAtMostOnce makes non-repeatable calls to a server with each kind of
+// fault. It checks that no call runs twice and that no call that ran is reported as not run.
 func TestInvariantCallRunsAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -95,10 +94,10 @@
 	}
 }
 
-// TestReusedConnectionReplays shows what the client avoids: a transport of
-// net/http that reuses connections and may read the body again runs a call
-// twice when the server closes the connection. Were this to pass without a
-// second run, the test of the client would prove nothing.
+// TestReusedConnectionReplays demonstrates the failure that the client avoids: a net/http
+// Transport that reuses connections and can read the body again runs a call twice when the
+// server closes the connection. Without this second run, TestInvariantCallRunsAtMostOnce
+// would prove nothing.
 func TestReusedConnectionReplays(t *testing.T) {
 	s, c := start(t)
 	transport := &http.Transport{}
@@ -121,9 +120,8 @@
 	require.Equal(t, 2, journal[1].Count)
 }
 
-// TestInvariantRepeatableIsNotReplayed checks that the connection that a
-// repeatable call with a body uses again leads to no second run below the
-// client.
+// TestInvariantRepeatableIsNotReplayed checks that a repeatable call with a body is not
+// replayed below the client when the reused connection breaks.
 func TestInvariantRepeatableIsNotReplayed(t *testing.T) {
 	s, c := start(t)
 	s.Faults.Put(fault.Faults{CloseReused: true})
@@ -138,8 +136,8 @@
 	require.Equal(t, 2, runs(s))
 }
 
-// TestInvariantNotSent checks that a call to an address where nothing listens,
-// and one whose context has ended, are known not to have run.
+// TestInvariantNotSent checks that a call to an address without a listener, or with a
+// cancelled context, is reported as not run.
 func TestInvariantNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -155,9 +153,9 @@
 	require.Zero(t, runs(s))
 }
 
-// TestInvariantCancelledCallIsHonest cancels calls at all moments and checks
-// that none which is said not to have run did run, then or later.
-func TestInvariantCancelledCallIsHonest(t *testing.T) {
+// TestInvariantCancelledCallIsNotMisreported cancels calls at different times and checks
+// that no call reported as not run has run or runs later.
+func TestInvariantCancelledCallIsNotMisreported(t *testing.T) {
 	s, c := start(t)
 	const calls = 400
 	var wg sync.WaitGroup
@@ -184,10 +182,9 @@
 	}
 }
 
-// TestInvariantForeignAnswer checks that an answer which does not echo the
-// request's id is an error, and no proof that the call did not run if it is the
-// refusal of another.
-func TestInvariantForeignAnswer(t *testing.T) {
+// TestInvariantForeignResponse checks that a response that does not echo the request id is
+// an error, and that a refusal of another request does not prove that the call did not run.
+func TestInvariantForeignResponse(t *testing.T) {
 	for _, c := range []struct {
 		name, echo string
 		status     int
@@ -216,8 +213,7 @@
 	}
 }
 
-// TestSlots checks that a server without a free slot is said not to have run
-// the call.
+// TestSlots checks that a call to a server without a free slot is reported as not run.
 func TestSlots(t *testing.T) {
 	s := &standin.Service{Work: time.Second, Slots: 1}
 	c := serve(t, s)
@@ -230,8 +226,8 @@
 	require.Equal(t, 1, runs(s))
 }
 
-// TestInvariantCutAnswer checks that an answer which ends early is an error.
-func TestInvariantCutAnswer(t *testing.T) {
+// TestInvariantTruncatedResponse checks that a response that ends early is an error.
+func TestInvariantTruncatedResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(service.RequestIDHeader, "a")
 		w.Header().Set("Content-Length", "100")
@@ -243,9 +239,9 @@
 	require.Equal(t, service.Lost, service.KindOf(err))
 }
 
-// TestInvariantOwnAnswer makes lookups at once while answers are late and some
-// calls time out, and checks that each gets its own record or an error.
-func TestInvariantOwnAnswer(t *testing.T) {
+// TestInvariantResponseMatchesRequest makes concurrent lookups while responses are delayed
+// and some calls time out. It checks that each lookup returns its own record or an error.
+func TestInvariantResponseMatchesRequest(t *testing.T) {
 	s, c := start(t)
 	c.Timeout = 30 * time.Millisecond
 	var wg sync.WaitGroup
@@ -274,8 +270,8 @@
 	require.Zero(t, load.Running)
 }
 
-// TestSilentConnections checks that connections which have gone silent while
-// they were idle cost one call at most: after it the next opens another.
+// TestSilentConnections checks that idle connections that fail silently cost at most one
+// call: the next call opens a new connection.
 func TestSilentConnections(t *testing.T) {
 	s, c := start(t)
 	c.Timeout = time.Second
