--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -19,19 +19,19 @@
 const DefaultTimeout = 3 * time.Second
 
 type (
-	// Client asks one node. Its exported fields are set before the first call.
-	// It is safe for concurrent use.
+	// Client queries one node. Its exported fields must be set before the first call. It is
+	// safe for concurrent use.
 	Client struct {
 		Address string        // IP:port of the node's operator endpoint
-		Timeout time.Duration // of each call, DefaultTimeout if zero
+		Timeout time.Duration // per call, DefaultTimeout if zero
 
 		http jsonhttp.Lazy
 	}
 
-	// Error is the failure of a call.
+	// Error is a failed call.
 	Error struct {
 		Address string
-		Status  int // of the answer, zero if there was none
+		Status  int // status of the response, zero if there was none
 		Err     error
 	}
 )
@@ -42,30 +42,29 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotFound tells whether err means that the node answered that it doesn't have
-// what was asked for.
+// NotFound reports whether err means that the node does not have what was requested.
 func NotFound(err error) bool {
 	e, ok := errors.AsType[*Error](err)
 	return ok && e.Status == http.StatusNotFound
 }
 
-// Status returns what the node knows. Every failure is an *Error.
+// Status returns the status of the node. Every failure is an *Error.
 func (c *Client) Status(ctx context.Context) (status.Report, error) {
 	var r status.Report
 	_, err := c.get(ctx, statusPath, &r)
 	return r, err
 }
 
-// Explain returns what the node knows of a request. Every failure is an
-// *Error, for which NotFound holds if that is nothing.
+// Explain returns the node's record of a request. Every failure is an *Error, for which
+// NotFound is true if the node has no record.
 func (c *Client) Explain(ctx context.Context, requestID string) (status.Explanation, error) {
 	var e status.Explanation
 	_, err := c.get(ctx, explainPath+url.PathEscape(requestID), &e)
 	return e, err
 }
 
-// Config returns the canonical document with a hash, checked. Every failure is
-// an *Error, for which NotFound holds if the node has another in force.
+// Config returns the canonical document with the given hash and verifies it. Every failure
+// is an *Error, for which NotFound is true if the node has another document in force.
 func (c *Client) Config(ctx context.Context, hash string) ([]byte, error) {
 	body, err := c.get(ctx, configPath+url.PathEscape(hash), nil)
 	if err != nil {
@@ -77,8 +76,7 @@
 	return body, nil
 }
 
-// get makes one call; an answer with status 200 is decoded into out unless
-// that is nil.
+// get makes one call. A response with status 200 is decoded into out unless out is nil.
 func (c *Client) get(ctx context.Context, path string, out any) ([]byte, error) {
 	timeout := c.Timeout
 	if timeout == 0 {
--- a/io/operator/doc.go
+++ b/io/operator/doc.go
@@ -1,14 +1,14 @@
-// Package operator serves a node's operator endpoint, and asks it.
+// Package operator implements the operator endpoint of a node and a client for it.
 //
 //	GET /healthz                   200 while the process runs
-//	GET /readyz                    200 if the node takes requests, else 503 with the reason
-//	GET /metrics                   Prometheus text
+//	GET /readyz                    200 if the node accepts requests, else 503 with the reason
+//	GET /metrics                   metrics in the Prometheus text format
 //	GET /operator/v1/status        status.Report
-//	GET /operator/v1/explain/ID    status.Explanation, 404 if nothing is known
-//	GET /operator/v1/config/HASH   the canonical document in force, 404 if it has another hash
+//	GET /operator/v1/explain/ID    status.Explanation, 404 if the request is unknown
+//	GET /operator/v1/config/HASH   the canonical document in force, 404 if its hash differs
 //
-// The endpoint has no keys: it belongs on an address that only operators
-// reach. It shows key hashes (in the document) and never keys or bodies.
+// The endpoint has no authentication: it must listen on an address that only operators can
+// reach. It exposes key hashes, as part of the document, but never keys or request bodies.
 //
 // # Usage
 //
--- a/io/operator/handler.go
+++ b/io/operator/handler.go
@@ -22,29 +22,29 @@
 )
 
 type (
-	// Readiness tells whether the node takes requests.
+	// Readiness reports whether the node accepts requests.
 	Readiness interface {
-		// Ready returns nil, or why the node takes none.
+		// Ready returns nil, or the reason why the node accepts none.
 		Ready() error
 	}
 
-	// Reporter tells what the node knows.
+	// Reporter returns the status of the node.
 	Reporter interface {
 		Status() status.Report
 	}
 
-	// Explainer tells what was decided about a request.
+	// Explainer returns the decisions recorded about a request.
 	Explainer interface {
 		Explain(requestID string) (status.Explanation, bool)
 	}
 
-	// Bodies gives the document in force by its hash.
+	// Bodies returns the document in force by its hash.
 	Bodies interface {
 		Body(hash string) ([]byte, bool)
 	}
 
-	// Handler answers operators. Its exported fields are set before the first
-	// request; a nil Gatherer is the default one.
+	// Handler serves the operator endpoint. Its exported fields must be set before the first
+	// request. A nil Gatherer selects the default one.
 	Handler struct {
 		Readiness Readiness
 		Reporter  Reporter
@@ -56,13 +56,13 @@
 		mux  *http.ServeMux
 	}
 
-	// failure is the body of an answer that is not what was asked for.
+	// failure is the body of an error response.
 	failure struct {
 		Error string `json:"error"`
 	}
 )
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.once.Do(h.init)
 	h.mux.ServeHTTP(w, r)
@@ -83,48 +83,49 @@
 }
 
 func (h *Handler) health(w http.ResponseWriter, _ *http.Request) {
-	text(w, http.StatusOK, "ok\n")
+	writeText(w, http.StatusOK, "ok\n")
 }
 
 func (h *Handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if err := h.Readiness.Ready(); err != nil {
-		text(w, http.StatusServiceUnavailable, err.Error()+"\n")
+		writeText(w, http.StatusServiceUnavailable, err.Error()+"\n")
 		return
 	}
-	text(w, http.StatusOK, "ok\n")
+	writeText(w, http.StatusOK, "ok\n")
 }
 
 func (h *Handler) status(w http.ResponseWriter, _ *http.Request) {
-	write(w, http.StatusOK, h.Reporter.Status())
+	writeJSON(w, http.StatusOK, h.Reporter.Status())
 }
 
 func (h *Handler) explain(w http.ResponseWriter, r *http.Request) {
 	e, ok := h.Explainer.Explain(r.PathValue("id"))
 	if !ok {
-		write(w, http.StatusNotFound, failure{Error: "nothing is known of this request"})
+		writeJSON(w, http.StatusNotFound, failure{Error: "nothing is known of this request"})
 		return
 	}
-	write(w, http.StatusOK, e)
+	writeJSON(w, http.StatusOK, e)
 }
 
 func (h *Handler) config(w http.ResponseWriter, r *http.Request) {
 	body, ok := h.Bodies.Body(r.PathValue("hash"))
 	if !ok {
-		write(w, http.StatusNotFound, failure{Error: "this hash is not in force here"})
+		writeJSON(w, http.StatusNotFound, failure{Error: "this hash is not in force here"})
 		return
 	}
 	w.Header().Set(contentType, jsonType)
 	_, _ = w.Write(body)
 }
 
-// write sends v as JSON. A broken connection is the asker's matter.
-func write(w http.ResponseWriter, code int, v any) {
+// writeJSON sends v as JSON. Errors are ignored: they mean that the client closed the
+// connection.
+func writeJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set(contentType, jsonType)
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func text(w http.ResponseWriter, code int, s string) {
+func writeText(w http.ResponseWriter, code int, s string) {
 	w.Header().Set(contentType, textType)
 	w.WriteHeader(code)
 	_, _ = w.Write([]byte(s))
--- a/io/operator/operator_test.go
+++ b/io/operator/operator_test.go
@@ -18,29 +18,29 @@
 
 var errDraining = errors.New("draining")
 
-// fake is a node.
-type fake struct {
+// fakeNode is a node with a settable readiness and document.
+type fakeNode struct {
 	ready error
 	body  []byte
 }
 
-func (f *fake) Ready() error { return f.ready }
+func (f *fakeNode) Ready() error { return f.ready }
 
-func (f *fake) Status() status.Report { return status.Report{Node: "n1", ConfigVersion: 7} }
+func (f *fakeNode) Status() status.Report { return status.Report{Node: "n1", ConfigVersion: 7} }
 
-func (f *fake) Explain(id string) (status.Explanation, bool) {
+func (f *fakeNode) Explain(id string) (status.Explanation, bool) {
 	if !strings.HasPrefix(id, "known") {
 		return status.Explanation{}, false
 	}
 	return status.Explanation{RequestID: id, Events: []status.Event{{Node: "n1", Event: "done"}}}, true
 }
 
-func (f *fake) Body(hash string) ([]byte, bool) {
+func (f *fakeNode) Body(hash string) ([]byte, bool) {
 	return f.body, hash == config.HashBytes([]byte(`{}`))
 }
 
-// serve serves a node and returns its address.
-func serve(t *testing.T, f *fake) string {
+// serve starts a server for a node and returns its address.
+func serve(t *testing.T, f *fakeNode) string {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(prometheus.NewCounter(prometheus.CounterOpts{Name: "guavapaddle_test_total", Help: "Test."}))
 	server := httptest.NewServer(&operator.Handler{Readiness: f, Reporter: f, Explainer: f, Bodies: f, Gatherer: registry})
@@ -49,7 +49,7 @@
 }
 
 func TestHealthReadinessAndMetrics(t *testing.T) {
-	f := &fake{}
+	f := &fakeNode{}
 	address := serve(t, f)
 	get := func(path string) (int, string) {
 		r, err := http.Get("http://" + address + path)
@@ -74,8 +74,8 @@
 	require.Equal(t, http.StatusNotFound, code)
 }
 
-func TestClientAsksHandler(t *testing.T) {
-	f := &fake{body: []byte(`{}`)}
+func TestClientAndHandler(t *testing.T) {
+	f := &fakeNode{body: []byte(`{}`)}
 	c := &operator.Client{Address: serve(t, f)}
 	r, err := c.Status(t.Context())
 	require.NoError(t, err)
