--- a/io/table/doc.go
+++ b/io/table/doc.go
@@ -1,9 +1,9 @@
-// Package table speaks to the platform's transactional table service.
+// Package table is a client for the platform's transactional table service.
 //
-// A failed transaction is either surely not done (Unavailable) or of unknown
-// fate (Uncertain): the answer may have been lost after the write took effect.
-// The client never repeats a call; who gets Uncertain reads back what was
-// written, by an attempt id inside the value.
+// A failed transaction was either certainly not committed (Unavailable) or has an unknown
+// outcome (Uncertain), because the response may have been lost after the write took effect.
+// The client never repeats a call. After Uncertain, the caller reads back what was written,
+// identified by an attempt id in the value.
 //
 // # Usage
 //
@@ -11,9 +11,9 @@
 //	res, err := c.Transact(ctx, row.Tx{}.When("head", 3).Put("head", value))
 //	switch table.KindOf(err) {
 //	case "":
-//		// res tells whether the conditions held.
+//		// res reports whether the conditions held.
 //	case table.Unavailable:
-//		// Not done; may be tried again.
+//		// Not committed; may be retried.
 //	case table.Uncertain:
 //		// Read back.
 //	}
--- a/io/table/table.go
+++ b/io/table/table.go
@@ -14,15 +14,15 @@
 	"guavapaddle/io/jsonhttp"
 )
 
-// Kind tells what a failure means for the transaction.
+// Kind classifies a failure by its meaning for the transaction.
 type Kind string
 
 const (
-	// Unavailable means that the call was surely not done.
+	// Unavailable means that the call was certainly not executed.
 	Unavailable Kind = "unavailable"
-	// Uncertain means that the call may have been done.
+	// Uncertain means that the call may have been executed.
 	Uncertain Kind = "uncertain"
-	// Invalid means that the table refused the call as malformed: not done.
+	// Invalid means that the table rejected the call as malformed. It was not executed.
 	Invalid Kind = "invalid"
 )
 
@@ -36,47 +36,47 @@
 )
 
 type (
-	// Client makes calls to the table. Its exported fields are set before the
+	// Client makes calls to the table service. Its exported fields must be set before the
 	// first call. It is safe for concurrent use.
 	Client struct {
 		Address string            // IP:port
-		Timeout time.Duration     // of each call, DefaultTimeout if zero
-		Traffic *jsonhttp.Traffic // counts the bytes of calls, may be nil
+		Timeout time.Duration     // per call, DefaultTimeout if zero
+		Traffic *jsonhttp.Traffic // counts the bytes of calls; may be nil
 
 		http jsonhttp.Lazy
 	}
 
-	// Error is the failure of a call.
+	// Error is a failed call.
 	Error struct {
 		Kind Kind
 		Call string // path of the call
 		Err  error
 	}
 
-	// ReadRequest asks for rows by key.
+	// ReadRequest requests rows by key.
 	ReadRequest struct {
 		Keys []string `json:"keys"`
 	}
 
-	// ScanRequest asks for rows by prefix.
+	// ScanRequest requests rows by key prefix.
 	ScanRequest struct {
 		Prefix string `json:"prefix"`
 	}
 
-	// Rows is the answer to ReadRequest and ScanRequest.
+	// Rows is the response to a ReadRequest or a ScanRequest.
 	Rows struct {
 		Rows []row.Row `json:"rows"`
 	}
 )
 
-// Error returns kind, call and cause in one line.
+// Error returns the kind, the call and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("table: %s: %s: %v", e.Kind, e.Call, e.Err) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// KindOf returns the kind of the *Error inside err, empty if err is nil and
-// Uncertain if there is none.
+// KindOf returns the kind of the *Error in err. It returns empty if err is nil, and
+// Uncertain if err contains no *Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return ""
@@ -94,8 +94,8 @@
 	return out, err
 }
 
-// Read returns the rows of keys in their order, with revision zero for those
-// that are absent. Every failure is an *Error.
+// Read returns the rows of keys, in the same order. Absent rows have revision zero. Every
+// failure is an *Error.
 func (c *Client) Read(ctx context.Context, keys ...string) ([]row.Row, error) {
 	if len(keys) == 0 {
 		return nil, nil
@@ -110,18 +110,18 @@
 	return out.Rows, nil
 }
 
-// Scan returns the rows whose key begins with prefix in key order. Every
-// failure is an *Error.
+// Scan returns the rows whose key starts with prefix, in key order. Every failure is an
+// *Error.
 func (c *Client) Scan(ctx context.Context, prefix string) ([]row.Row, error) {
 	var out Rows
 	err := c.call(ctx, scanPath, ScanRequest{Prefix: prefix}, &out)
 	return out.Rows, err
 }
 
-// Close closes unused connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.Counted(c.Address, c.Traffic).Close() }
 
-// call makes one call and sorts its failure.
+// call makes one call and classifies its failure.
 func (c *Client) call(ctx context.Context, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
--- a/io/table/table_test.go
+++ b/io/table/table_test.go
@@ -16,7 +16,7 @@
 	"guavapaddle/io/table"
 )
 
-// start starts a table and returns it with a client.
+// start starts a table service and returns it with a client for it.
 func start(t *testing.T) (*standin.Table, *table.Client) {
 	t.Helper()
 	s := &standin.Table{WriteRate: 1e6, ReadRate: 1e6, KeepHistory: true}
@@ -49,9 +49,10 @@
 	require.Len(t, rows, 1)
 }
 
-// TestInvariantFateIsHonest checks that a transaction is said not to be done
-// only if it was not, and that one whose answer was lost is uncertain.
-func TestInvariantFateIsHonest(t *testing.T) {
+// TestInvariantOutcomeIsNotMisreported checks that a transaction is reported as not
+// committed only if it was not, and that one whose response was lost is reported as
+// uncertain.
+func TestInvariantOutcomeIsNotMisreported(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults fault.Faults
@@ -84,8 +85,8 @@
 	require.Equal(t, table.Unavailable, table.KindOf(err))
 }
 
-// TestInvariantNoReplay checks that a transaction on a connection which breaks
-// is committed once.
+// TestInvariantNoReplay checks that a transaction is committed only once when its connection
+// breaks.
 func TestInvariantNoReplay(t *testing.T) {
 	s, c := start(t)
 	s.Faults.Put(fault.Faults{CloseReused: true})
@@ -95,14 +96,14 @@
 	require.Len(t, s.History(), 10)
 }
 
-// TestSerial lets many writers add to one row and checks that no addition is
-// lost or doubled, though answers are.
-func TestSerial(t *testing.T) {
+// TestSerializable lets many writers append to one row while responses are dropped, and
+// checks that no append is lost or duplicated.
+func TestSerializable(t *testing.T) {
 	s, c := start(t)
 	s.Faults.Put(fault.Faults{DropAnswers: 20})
 	var wg sync.WaitGroup
 	for i := range 20 {
-		wg.Go(func() { add(context.Background(), t, c, fmt.Sprint(i)) })
+		wg.Go(func() { appendOnce(context.Background(), t, c, fmt.Sprint(i)) })
 	}
 	wg.Wait()
 	rows := s.Rows("sum")
@@ -115,9 +116,9 @@
 	}
 }
 
-// add appends one byte to the sum, once, by a row that marks the writer's own
-// transaction.
-func add(ctx context.Context, t *testing.T, c *table.Client, writer string) {
+// appendOnce appends one byte to the row "sum" exactly once. A marker row written in the
+// same transaction identifies the writer's append.
+func appendOnce(ctx context.Context, t *testing.T, c *table.Client, writer string) {
 	for {
 		rows, err := c.Read(ctx, "sum", "mark/"+writer)
 		if err != nil {
