--- a/io/object/doc.go
+++ b/io/object/doc.go
@@ -1,4 +1,4 @@
-// Package object speaks to the platform's object store.
+// Package object is a client for the platform's object store.
 //
 // # Usage
 //
@@ -6,6 +6,6 @@
 //	err := c.Put(ctx, "config/"+hash, body)
 //	body, err := c.Get(ctx, "config/"+hash)
 //	if object.KindOf(err) == object.NotFound {
-//		// No such object.
+//		// The object does not exist.
 //	}
 package object
--- a/io/object/object.go
+++ b/io/object/object.go
@@ -14,15 +14,15 @@
 	"guavapaddle/io/jsonhttp"
 )
 
-// Kind tells what a failure means.
+// Kind classifies a failure by its meaning for the call.
 type Kind string
 
 const (
-	// NotFound means that there is no such object.
+	// NotFound means that the object does not exist.
 	NotFound Kind = "not-found"
-	// Unavailable means that the call was surely not done.
+	// Unavailable means that the call was certainly not executed.
 	Unavailable Kind = "unavailable"
-	// Uncertain means that the call may have been done.
+	// Uncertain means that the call may have been executed.
 	Uncertain Kind = "uncertain"
 )
 
@@ -30,21 +30,21 @@
 	// DefaultTimeout bounds a call.
 	DefaultTimeout = 5 * time.Second
 
-	prefix = "/object/v1/"
+	pathPrefix = "/object/v1/"
 )
 
 type (
-	// Client makes calls to the object store. Its exported fields are set
-	// before the first call. It is safe for concurrent use.
+	// Client makes calls to the object store. Its exported fields must be set before the
+	// first call. It is safe for concurrent use.
 	Client struct {
 		Address string            // IP:port
-		Timeout time.Duration     // of each call, DefaultTimeout if zero
-		Traffic *jsonhttp.Traffic // counts the bytes of calls, may be nil
+		Timeout time.Duration     // per call, DefaultTimeout if zero
+		Traffic *jsonhttp.Traffic // counts the bytes of calls; may be nil
 
 		http jsonhttp.Lazy
 	}
 
-	// Error is the failure of a call.
+	// Error is a failed call.
 	Error struct {
 		Kind Kind
 		Key  string
@@ -52,14 +52,14 @@
 	}
 )
 
-// Error returns kind, key and cause in one line.
+// Error returns the kind, the key and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("object: %s: %s: %v", e.Kind, e.Key, e.Err) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// KindOf returns the kind of the *Error inside err, empty if err is nil and
-// Uncertain if there is none.
+// KindOf returns the kind of the *Error in err. It returns empty if err is nil, and
+// Uncertain if err contains no *Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return ""
@@ -70,27 +70,27 @@
 	return Uncertain
 }
 
-// Put stores body under key. Every failure is an *Error. Storing the same body
-// again does no harm.
+// Put stores body under key. Storing the same body again has no further effect. Every
+// failure is an *Error.
 func (c *Client) Put(ctx context.Context, key string, body []byte) error {
 	_, err := c.call(ctx, http.MethodPut, key, body, http.StatusNoContent)
 	return err
 }
 
-// Get returns the object under key. Every failure is an *Error, of kind
-// NotFound if there is no such object.
+// Get returns the object stored under key. Every failure is an *Error, of kind NotFound if
+// the object does not exist.
 func (c *Client) Get(ctx context.Context, key string) ([]byte, error) {
 	return c.call(ctx, http.MethodGet, key, nil, http.StatusOK)
 }
 
-// Close closes unused connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.Counted(c.Address, c.Traffic).Close() }
 
-// call makes one call and sorts its failure.
+// call makes one call, which succeeds with status want, and classifies its failure.
 func (c *Client) call(ctx context.Context, method, key string, body []byte, want int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.http.Counted(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: method, Path: prefix + url.PathEscape(key), Body: body})
+	a, err := c.http.Counted(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: method, Path: pathPrefix + url.PathEscape(key), Body: body})
 	if err != nil {
 		kind := Uncertain
 		if jsonhttp.StageOf(err) == jsonhttp.NotSent {
--- a/io/object/object_test.go
+++ b/io/object/object_test.go
@@ -12,7 +12,8 @@
 	"guavapaddle/io/table"
 )
 
-// TestObject checks the calls on a platform whose parts fail apart.
+// TestObject checks reads and writes on a platform whose table and object store fail
+// independently.
 func TestObject(t *testing.T) {
 	p := &platform.Platform{}
 	address, err := p.Start()
