--- a/io/vmlist/doc.go
+++ b/io/vmlist/doc.go
@@ -1,4 +1,5 @@
-// Package vmlist speaks to the platform's list of VMs, which lags.
+// Package vmlist is a client for the platform's list of VMs, which lags behind the actual
+// state.
 //
 // # Usage
 //
--- a/io/vmlist/vmlist.go
+++ b/io/vmlist/vmlist.go
@@ -12,17 +12,17 @@
 	"guavapaddle/io/jsonhttp"
 )
 
-// Role tells what a VM runs.
+// Role is the kind of process that a VM runs.
 type Role string
 
-// State tells whether a VM takes new work.
+// State reports whether a VM accepts new work.
 type State string
 
-// Kind tells what a failure means.
+// Kind classifies a failure by its meaning for the call.
 type Kind string
 
 const (
-	// Node is a VM that runs a node of guavapaddle.
+	// Node is a VM that runs a guavapaddle node.
 	Node Role = "node"
 	// Engine is a VM that runs a model engine.
 	Engine Role = "engine"
@@ -31,18 +31,18 @@
 )
 
 const (
-	// Live means that the VM takes new work.
+	// Live means that the VM accepts new work.
 	Live State = "live"
 	// Leaving means that the VM will stop soon.
 	Leaving State = "leaving"
-	// Gone removes a VM from the list.
+	// Gone removes the VM from the list.
 	Gone State = "gone"
 )
 
 const (
-	// Unavailable means that the call was surely not done.
+	// Unavailable means that the call was certainly not executed.
 	Unavailable Kind = "unavailable"
-	// Uncertain means that the call may have been done.
+	// Uncertain means that the call may have been executed.
 	Uncertain Kind = "uncertain"
 )
 
@@ -56,7 +56,7 @@
 )
 
 type (
-	// VM is one entry of the list.
+	// VM is an entry of the list.
 	VM struct {
 		Name       string `json:"name"`
 		Address    string `json:"address"` // IP:port
@@ -65,27 +65,27 @@
 		State      State  `json:"state"`
 	}
 
-	// List is the answer to a call that reads the list.
+	// List is the response to a call of ListPath.
 	List struct {
 		VMs []VM `json:"vms"`
 	}
 
-	// Set is a call that sets one entry.
+	// Set is the body of a call of SetPath.
 	Set struct {
 		VM VM `json:"vm"`
 	}
 
-	// Client makes calls to the list. Its exported fields are set before the
+	// Client reads and sets entries of the list. Its exported fields must be set before the
 	// first call. It is safe for concurrent use.
 	Client struct {
 		Address string            // IP:port
-		Timeout time.Duration     // of each call, DefaultTimeout if zero
-		Traffic *jsonhttp.Traffic // counts the bytes of calls, may be nil
+		Timeout time.Duration     // per call, DefaultTimeout if zero
+		Traffic *jsonhttp.Traffic // counts the bytes of calls; may be nil
 
 		http jsonhttp.Lazy
 	}
 
-	// Error is the failure of a call.
+	// Error is a failed call.
 	Error struct {
 		Kind Kind
 		Call string // path of the call
@@ -93,30 +93,29 @@
 	}
 )
 
-// Error returns kind, call and cause in one line.
+// Error returns the kind, the call and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("vmlist: %s: %s: %v", e.Kind, e.Call, e.Err) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// List returns the VMs that the platform lists now, in order of name. Every
-// failure is an *Error.
+// List returns the VMs currently listed, ordered by name. Every failure is an *Error.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
 	var out List
 	err := c.call(ctx, http.MethodGet, ListPath, nil, &out)
 	return out.VMs, err
 }
 
-// Set sets the entry of one VM, or removes it if its state is Gone. Every
-// failure is an *Error.
+// Set sets the entry of a VM, or removes it if its state is Gone. Every failure is an
+// *Error.
 func (c *Client) Set(ctx context.Context, vm VM) error {
 	return c.call(ctx, http.MethodPost, SetPath, Set{VM: vm}, nil)
 }
 
-// Close closes unused connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.Counted(c.Address, c.Traffic).Close() }
 
-// call makes one call and sorts its failure.
+// call makes one call and classifies its failure.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
--- a/io/vmlist/vmlist_test.go
+++ b/io/vmlist/vmlist_test.go
@@ -10,7 +10,7 @@
 	"guavapaddle/io/vmlist"
 )
 
-// TestList checks setting and removing an entry, and failures.
+// TestList checks setting, listing and removing an entry, and the error of a refused call.
 func TestList(t *testing.T) {
 	l := &standin.List{}
 	address, err := l.Start()
