--- a/io/service/service.go
+++ b/io/service/service.go
@@ -141,7 +141,7 @@
 	return Response{Status: a.Status, Header: a.Header, Body: a.Body}, nil
 }
 
-// Load returns the server's load report, which is not up to date. Every failure is an
+// Load returns the server's load report, which lags behind. Every failure is an
 // *Error.
 func (c *Client) Load(ctx context.Context) (backend.LoadReport, error) {
 	var out backend.LoadReport
