--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -15,7 +15,7 @@
 	defaultTimeout  = 30 * time.Second
 	defaultWait     = 30 * time.Second
 	defaultOperator = "operator"
-	askPeriod       = 200 * time.Millisecond
+	pollPeriod      = 200 * time.Millisecond
 )
 
 const applyHelp = `Checks a document, makes it the newest accepted one, and waits until every
@@ -41,7 +41,7 @@
   guavapaddle apply -file corella.json -settings ops.json -output json`
 
 type (
-	// applyCommand is a run of apply.
+	// applyCommand holds the flags of one run of the apply command.
 	applyCommand struct {
 		*Environment
 		platform platform
@@ -53,14 +53,14 @@
 		wait     time.Duration
 	}
 
-	// application is the result of apply.
-	application struct {
+	// applyResult is the result of the apply command.
+	applyResult struct {
 		Version      uint64     `json:"version"`
 		Hash         string     `json:"hash"`
 		ApplyID      string     `json:"apply-id"`
-		Unchanged    bool       `json:"unchanged"` // it was the newest before
+		Unchanged    bool       `json:"unchanged"` // the same document was already the newest
 		Confirmed    bool       `json:"confirmed"` // reported by every live node
-		Nodes        int        `json:"nodes"`     // live nodes that report it
+		Nodes        int        `json:"nodes"`     // live nodes that report the version
 		SupersededBy *head.Head `json:"superseded-by,omitempty"`
 	}
 )
@@ -68,7 +68,7 @@
 func (e *Environment) apply() *ffcli.Command {
 	c := &applyCommand{Environment: e}
 	fs := e.flagSet(program + " apply")
-	e.common(fs)
+	e.registerCommon(fs)
 	c.platform.define(fs)
 	c.nodes.define(fs)
 	fs.StringVar(&c.file, "file", "", "the document, - for standard input")
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	result := application{
+	result := applyResult{
 		Version: applied.Head.Version, Hash: applied.Head.Hash, ApplyID: applied.Head.ApplyID, Unchanged: applied.Unchanged,
 	}
 	if applied.Newest.Version > 0 {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// accept makes the document the newest.
+// accept validates the document and writes it as the newest accepted version.
 func (c *applyCommand) accept(ctx context.Context) (configsync.Applied, error) {
 	doc, err := c.load(c.file)
 	if err != nil {
@@ -131,14 +131,14 @@
 	return a.Apply(ctx, doc)
 }
 
-// confirm waits until every live node reports the version and returns how many
-// do. The error is an *UnconfirmedError.
+// confirm waits until every live node reports the version and returns the
+// number of these nodes. The error is an *UnconfirmedError.
 func (c *applyCommand) confirm(ctx context.Context, version uint64) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
 	c.errorf("version %d is accepted, waiting for the nodes\n", version)
 	unconfirmed := &UnconfirmedError{Version: version, Err: &NoNodeError{}}
-	shown := -1
+	lastShown := -1
 	for {
 		r, err := c.nodes.status(ctx)
 		if err != nil && ctx.Err() == nil {
@@ -146,26 +146,26 @@
 		}
 		if err == nil {
 			behind := r.NotAt(version)
-			have := live(r) - len(behind)
-			if len(behind) == 0 && have > 0 {
-				return have, nil
+			reporting := countLive(r) - len(behind)
+			if len(behind) == 0 && reporting > 0 {
+				return reporting, nil
 			}
 			unconfirmed = &UnconfirmedError{Version: version, Behind: behind}
-			if have != shown {
-				c.errorf("in force on %d of %d live nodes, waiting for %s\n", have, live(r), names(behind))
-				shown = have
+			if reporting != lastShown {
+				c.errorf("in force on %d of %d live nodes, waiting for %s\n", reporting, countLive(r), nodeNames(behind))
+				lastShown = reporting
 			}
 		}
 		select {
-		case <-time.After(askPeriod):
+		case <-time.After(pollPeriod):
 		case <-ctx.Done():
 			return 0, unconfirmed
 		}
 	}
 }
 
-// live returns the number of live nodes.
-func live(r status.Report) int {
+// countLive returns the number of live nodes in r.
+func countLive(r status.Report) int {
 	n := 0
 	for _, node := range r.Nodes {
 		if node.State == status.Live {
@@ -175,16 +175,16 @@
 	return n
 }
 
-func (c *applyCommand) print(r application) {
+func (c *applyCommand) print(r applyResult) {
 	if c.output == outputJSON {
 		c.printJSON(r)
 		return
 	}
-	what := "accepted"
+	state := "accepted"
 	if r.Unchanged {
-		what = "already accepted"
+		state = "already accepted"
 	}
-	c.printf("version %d %s, hash %s\n", r.Version, what, r.Hash)
+	c.printf("version %d %s, hash %s\n", r.Version, state, r.Hash)
 	if r.SupersededBy != nil {
 		c.printf("superseded by version %d of %s\n", r.SupersededBy.Version, r.SupersededBy.Operator)
 	}
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -27,7 +27,7 @@
   guavapaddle diff -file new.json -table 10.0.0.1:9000 -objects 10.0.0.1:9000 -output json`
 
 type (
-	// diffCommand is a run of diff.
+	// diffCommand holds the flags of one run of the diff command.
 	diffCommand struct {
 		*Environment
 		platform platform
@@ -37,9 +37,9 @@
 		timeout  time.Duration
 	}
 
-	// difference is the result of diff.
-	difference struct {
-		AgainstVersion uint64          `json:"against-version"` // zero for a file or if there is none
+	// diffResult is the result of the diff command.
+	diffResult struct {
+		AgainstVersion uint64          `json:"against-version"` // zero if the other document is a file or does not exist
 		Changes        []config.Change `json:"changes"`
 	}
 )
@@ -47,7 +47,7 @@
 func (e *Environment) diff() *ffcli.Command {
 	c := &diffCommand{Environment: e}
 	fs := e.flagSet(program + " diff")
-	e.common(fs)
+	e.registerCommon(fs)
 	c.platform.define(fs)
 	c.nodes.define(fs)
 	fs.StringVar(&c.file, "file", "", "the new document, - for standard input")
@@ -74,11 +74,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	old, version, err := c.old(ctx)
+	baseline, version, err := c.baseline(ctx)
 	if err != nil {
 		return err
 	}
-	d := difference{AgainstVersion: version, Changes: append([]config.Change{}, config.Diff(old, doc)...)}
+	d := diffResult{AgainstVersion: version, Changes: append([]config.Change{}, config.Diff(baseline, doc)...)}
 	c.print(d)
 	if len(d.Changes) > 0 {
 		return differsError{}
@@ -86,8 +86,9 @@
 	return nil
 }
 
-// old returns the document to compare with.
-func (c *diffCommand) old(ctx context.Context) (*config.Document, uint64, error) {
+// baseline returns the document to compare with and its version. The version is
+// zero for a file.
+func (c *diffCommand) baseline(ctx context.Context) (*config.Document, uint64, error) {
 	switch {
 	case c.against != "":
 		b, err := c.readFile(c.against)
@@ -96,7 +97,7 @@
 		}
 		doc, err := config.Parse(b)
 		return doc, 0, err
-	case c.platform.given():
+	case c.platform.configured():
 		return c.platform.newest(ctx)
 	case len(c.nodes.addresses) > 0:
 		if err := c.nodes.require(); err != nil {
@@ -108,7 +109,7 @@
 	}
 }
 
-func (c *diffCommand) print(d difference) {
+func (c *diffCommand) print(d diffResult) {
 	if c.output == outputJSON {
 		c.printJSON(d)
 		return
--- a/internal/cli/environment.go
+++ b/internal/cli/environment.go
@@ -39,17 +39,17 @@
   guavapaddle status -nodes 10.0.0.11:7001,10.0.0.12:7001
   guavapaddle COMMAND -help`
 
-// Environment is what a run of the command line gets from outside.
+// Environment holds the standard streams of one run of the command line.
 type Environment struct {
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
 
 	output outputFormat
-	usage  bytes.Buffer // what package flag prints
+	usage  bytes.Buffer // output of package flag
 }
 
-// Commands returns the subcommands.
+// Commands returns all subcommands.
 func (e *Environment) Commands() []*ffcli.Command {
 	return []*ffcli.Command{
 		e.apply(),
@@ -64,7 +64,7 @@
 	}
 }
 
-// Run runs the command line args, without the program's name, and returns the
+// Run runs the command line args, which exclude the program name, and returns the
 // exit code.
 func (e *Environment) Run(ctx context.Context, args []string) int {
 	root := &ffcli.Command{
@@ -92,20 +92,20 @@
 	return e.fail(err)
 }
 
-// help prints what package flag prepared.
+// help writes the buffered usage text to standard output.
 func (e *Environment) help() int {
 	_, _ = e.usage.WriteTo(e.Stdout)
 	return ExitOK
 }
 
-// flagSet returns an empty set of flags whose usage is kept for -help.
+// flagSet returns an empty flag set that writes its usage text to e.usage.
 func (e *Environment) flagSet(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(&e.usage)
 	return fs
 }
 
-// options are the sources of settings besides flags.
+// options returns the sources of settings other than flags.
 func options() []ff.Option {
 	return []ff.Option{
 		ff.WithEnvVarPrefix(variablePrefix),
@@ -114,7 +114,7 @@
 	}
 }
 
-// noArguments refuses arguments that no flag takes.
+// noArguments returns a *UsageError if positional arguments are given.
 func noArguments(args []string) error {
 	if len(args) > 0 {
 		return &UsageError{Problem: "unexpected argument " + args[0]}
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -12,23 +12,25 @@
 
 // Exit codes.
 const (
-	// ExitOK means that what was asked for is done.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed means that it failed; nothing was changed.
+	// ExitFailed means that the command failed and changed nothing.
 	ExitFailed = 1
-	// ExitInvalid means wrong usage or an invalid document.
+	// ExitInvalid means a usage error or an invalid document.
 	ExitInvalid = 2
-	// ExitLost means that another operator's document was accepted.
+	// ExitLost means that another operator's document was accepted instead.
 	ExitLost = 3
-	// ExitUnconfirmed means that some live node doesn't report the version.
+	// ExitUnconfirmed means that at least one live node does not report the
+	// version.
 	ExitUnconfirmed = 4
 	// ExitDiffers means that two documents differ.
 	ExitDiffers = 5
-	// ExitUnknown means that the document may or may not take effect.
+	// ExitUnknown means that the document was sent and may or may not take
+	// effect.
 	ExitUnknown = 6
 )
 
-// Types of errors in JSON output.
+// Error types in JSON output.
 const (
 	typeUsage       = "usage"
 	typeInvalid     = "invalid-document"
@@ -39,44 +41,46 @@
 )
 
 type (
-	// UsageError means that the command line can't be understood.
+	// UsageError reports an invalid command line.
 	UsageError struct {
 		Problem string
 	}
 
-	// UnconfirmedError means that a version is not reported by every live node.
+	// UnconfirmedError reports a version that is accepted but not reported by
+	// every live node.
 	UnconfirmedError struct {
 		Version uint64
 		Behind  []status.Node // live nodes that report a lower version
-		Err     error         // why no node could be asked, nil if one answered
+		Err     error         // why no node could be queried; nil if one answered
 	}
 
-	// NoNodeError means that none of the given nodes answered.
+	// NoNodeError reports that none of the given nodes answered.
 	NoNodeError struct {
 		Errs []error
 	}
 
-	// FileError means that a file could not be read.
+	// FileError reports a file that could not be read.
 	FileError struct {
 		Err error
 	}
 
-	// NotFoundError means that no node knows a request.
+	// NotFoundError reports a request that no node has events of.
 	NotFoundError struct {
 		RequestID string
-		Asked     int
-		Silent    int // of those asked
+		Asked     int // nodes queried
+		Silent    int // queried nodes that did not answer
 	}
 
-	// behindError means that some live nodes are behind, which was printed.
+	// behindError reports live nodes with an older version, after the status
+	// report that shows them was printed.
 	behindError struct {
 		UnconfirmedError
 	}
 
-	// differsError ends diff when there are differences; they were printed.
+	// differsError reports that diff found differences and printed them.
 	differsError struct{}
 
-	// failure is an error in JSON output.
+	// failure is the JSON encoding of an error.
 	failure struct {
 		Type     string           `json:"type"`
 		Message  string           `json:"message"`
@@ -89,26 +93,27 @@
 	}
 )
 
-// Error returns the problem.
+// Error describes the problem.
 func (e *UsageError) Error() string { return e.Problem }
 
-// Error names the nodes that are behind.
+// Error returns the version and the nodes that do not report it, or why no node
+// could be queried.
 func (e *UnconfirmedError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("version %d is accepted, but not confirmed: %v", e.Version, e.Err)
 	}
-	return fmt.Sprintf("version %d is accepted, but not reported by %s", e.Version, names(e.Behind))
+	return fmt.Sprintf("version %d is accepted, but not reported by %s", e.Version, nodeNames(e.Behind))
 }
 
 // Unwrap returns the cause.
 func (e *UnconfirmedError) Unwrap() error { return e.Err }
 
-// Error returns the failure of each node.
+// Error returns the errors of all nodes.
 func (e *NoNodeError) Error() string {
 	return fmt.Sprintf("no node answered: %v", errors.Join(e.Errs...))
 }
 
-// Unwrap returns the failure of each node.
+// Unwrap returns the errors of all nodes.
 func (e *NoNodeError) Unwrap() []error { return e.Errs }
 
 // Error returns the cause.
@@ -117,15 +122,15 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Error tells how many nodes were asked.
+// Error returns the request ID and how many nodes were queried.
 func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("nothing is known of request %s: %d nodes asked, %d of them gave no answer", e.RequestID, e.Asked, e.Silent)
 }
 
-// Error says that there are differences.
+// Error returns a fixed text.
 func (differsError) Error() string { return "the documents differ" }
 
-// fail prints err, if any, and returns the exit code.
+// fail prints err, if it is not nil, and returns the exit code.
 func (e *Environment) fail(err error) int {
 	if err == nil {
 		return ExitOK
@@ -135,8 +140,8 @@
 	}
 	code, f := classify(err)
 	if b, ok := errors.AsType[*behindError](err); ok {
-		// The report was printed and shows them.
-		e.errorf("%s: version %d is not reported by %s\n", program, b.Version, names(b.Behind))
+		// The nodes are marked in the status report, which was printed before.
+		e.errorf("%s: version %d is not reported by %s\n", program, b.Version, nodeNames(b.Behind))
 		return ExitUnconfirmed
 	}
 	if e.output == outputJSON {
@@ -149,7 +154,7 @@
 	return code
 }
 
-// classify returns the exit code and the description of err.
+// classify returns the exit code of err and its JSON encoding.
 func classify(err error) (int, failure) {
 	f := failure{Type: typeFailed, Message: err.Error()}
 	if _, ok := errors.AsType[*UsageError](err); ok {
@@ -190,7 +195,7 @@
 	}
 }
 
-func names(nodes []status.Node) string {
+func nodeNames(nodes []status.Node) string {
 	s := ""
 	for i, n := range nodes {
 		if i > 0 {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -14,7 +14,8 @@
 	"guavapaddle/io/operator"
 )
 
-const askedAtOnce = 32
+// maxConcurrentQueries bounds the number of concurrent queries to nodes.
+const maxConcurrentQueries = 32
 
 const explainHelp = `Shows what was decided about one request, where and why: asks the given nodes
 and all live nodes that they know, and prints their events in order of time.
@@ -31,25 +32,26 @@
   guavapaddle explain -nodes 10.0.0.11:7001 -output json 3f0c55d1`
 
 type (
-	// explainCommand is a run of explain.
+	// explainCommand holds the flags of one run of the explain command.
 	explainCommand struct {
 		*Environment
 		nodes   nodes
 		timeout time.Duration
 	}
 
-	// answers gathers what nodes say.
-	answers struct {
-		mu     sync.Mutex
-		parts  []status.Explanation
-		silent []error
+	// queryResults collects the replies and the errors of nodes that are queried
+	// concurrently.
+	queryResults struct {
+		mu           sync.Mutex
+		explanations []status.Explanation
+		failures     []error
 	}
 )
 
 func (e *Environment) explain() *ffcli.Command {
 	c := &explainCommand{Environment: e}
 	fs := e.flagSet(program + " explain")
-	e.common(fs)
+	e.registerCommon(fs)
 	c.nodes.define(fs)
 	fs.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long to try")
 	return &ffcli.Command{
@@ -77,14 +79,14 @@
 	if err != nil {
 		return err
 	}
-	asked := c.addresses(r)
-	a := ask(ctx, asked, id)
-	for _, err := range a.silent {
+	queried := c.addresses(r)
+	a := queryNodes(ctx, queried, id)
+	for _, err := range a.failures {
 		c.errorf("%s: %v\n", program, err)
 	}
-	e := status.Merge(id, a.parts...)
+	e := status.Merge(id, a.explanations...)
 	if len(e.Events) == 0 {
-		return &NotFoundError{RequestID: id, Asked: len(asked), Silent: len(a.silent)}
+		return &NotFoundError{RequestID: id, Asked: len(queried), Silent: len(a.failures)}
 	}
 	if c.output == outputJSON {
 		c.printJSON(e)
@@ -94,8 +96,9 @@
 	return nil
 }
 
-// addresses returns the given nodes and those that r knows, each once. Leaving
-// nodes may still know the request.
+// addresses returns the addresses of the nodes given by flag and of the nodes
+// in r, without duplicates. Nodes that are leaving are included because they may
+// still have events of the request.
 func (c *explainCommand) addresses(r status.Report) []string {
 	all := slices.Clone(c.nodes.addresses)
 	for _, n := range r.Nodes {
@@ -107,11 +110,11 @@
 	return slices.Compact(all)
 }
 
-// ask asks all addresses for a request.
-func ask(ctx context.Context, addresses []string, id string) *answers {
-	a := &answers{}
+// queryNodes queries all addresses for the events of a request.
+func queryNodes(ctx context.Context, addresses []string, id string) *queryResults {
+	a := &queryResults{}
 	var g errgroup.Group
-	g.SetLimit(askedAtOnce)
+	g.SetLimit(maxConcurrentQueries)
 	for _, address := range addresses {
 		g.Go(func() error {
 			e, err := (&operator.Client{Address: address}).Explain(ctx, id)
@@ -120,22 +123,22 @@
 		})
 	}
 	_ = g.Wait()
-	slices.SortFunc(a.silent, func(x, y error) int { return strings.Compare(x.Error(), y.Error()) })
+	slices.SortFunc(a.failures, func(x, y error) int { return strings.Compare(x.Error(), y.Error()) })
 	return a
 }
 
-func (a *answers) add(e status.Explanation, err error) {
+func (a *queryResults) add(e status.Explanation, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case err == nil:
-		a.parts = append(a.parts, e)
+		a.explanations = append(a.explanations, e)
 	case !operator.NotFound(err):
-		a.silent = append(a.silent, err)
+		a.failures = append(a.failures, err)
 	}
 }
 
-// print prints the events, one a line, with the time since the first.
+// print writes one line per event, with the time since the first event.
 func (c *explainCommand) print(e status.Explanation) {
 	c.printf("request %s\n", e.RequestID)
 	first := e.Events[0].AtUnixMS
@@ -143,7 +146,7 @@
 		at := time.UnixMilli(ev.AtUnixMS).UTC().Format("2006-01-02T15:04:05.000Z")
 		c.printf("%s  %+6d ms  %s  %s", at, ev.AtUnixMS-first, ev.Node, ev.Event)
 		for _, f := range ev.Fields {
-			c.printf(" %s=%s", f.Name, quoted(f.Value))
+			c.printf(" %s=%s", f.Name, quoteIfNeeded(f.Value))
 		}
 		c.printf("\n")
 	}
--- a/internal/cli/front.go
+++ b/internal/cli/front.go
@@ -41,12 +41,12 @@
 	}
 }
 
-// runFront runs a node until ctx ends.
+// runFront runs a node until ctx is cancelled.
 func (e *Environment) runFront(ctx context.Context, file string) error {
 	s, err := front.Load(file)
-	var bad *front.SettingsError
-	if errors.As(err, &bad) {
-		return &UsageError{Problem: bad.Error()}
+	var settingsErr *front.SettingsError
+	if errors.As(err, &settingsErr) {
+		return &UsageError{Problem: settingsErr.Error()}
 	}
 	log, err := logging.NewBounded(e.Stdout, s.LogLevel)
 	if err != nil {
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -31,29 +31,29 @@
   guavapaddle losses node-1.log node-2.log
   guavapaddle losses -every 2s -output json < all.log`
 
-	// lineMost bounds a line of a log.
-	lineMost = 1 << 20
+	// maxLineBytes is the maximum length of a log line in bytes.
+	maxLineBytes = 1 << 20
 )
 
 type (
-	// NoRequestsError means that no line of a log tells of a request.
+	// NoRequestsError reports that the logs contain no line about a request.
 	NoRequestsError struct{ Files []string }
 
-	// lossReport is the result of losses.
-	lossReport struct {
+	// lossesResult is the result of the losses command.
+	lossesResult struct {
 		Reasons []losses.Reason `json:"reasons"`
 		Windows []losses.Window `json:"windows"`
 	}
 )
 
-// Error tells the files that were read.
+// Error lists the files that were read.
 func (e *NoRequestsError) Error() string {
 	return "no line tells of a request: " + cmp.Or(strings.Join(e.Files, ", "), "standard input")
 }
 
 func (e *Environment) losses() *ffcli.Command {
 	fs := e.flagSet(program + " losses")
-	e.common(fs)
+	e.registerCommon(fs)
 	every := fs.Duration("every", time.Second, "length of a window of time")
 	return &ffcli.Command{
 		Name:       "losses",
@@ -83,7 +83,7 @@
 			return eris.Wrap(err, name)
 		}
 	}
-	r := lossReport{t.Reasons(), t.Windows()}
+	r := lossesResult{t.Reasons(), t.Windows()}
 	if len(r.Reasons) == 0 {
 		return &NoRequestsError{Files: files}
 	}
@@ -109,13 +109,13 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file is only read
 	return addLines(t, f)
 }
 
 func addLines(t *losses.Table, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		t.Add(s.Text())
 	}
--- a/internal/cli/losses_test.go
+++ b/internal/cli/losses_test.go
@@ -13,7 +13,7 @@
 	"guavapaddle/internal/cli"
 )
 
-func TestLossesAreCountedFromLogs(t *testing.T) {
+func TestLossesFromLogs(t *testing.T) {
 	const log = `time=2026-04-08T08:31:14.2Z level=info event=request request-id=a route=r-1 reason=served
 time=2026-04-08T08:31:15.2Z level=info event=request request-id=b route=r-1 reason=busy
 time=2026-04-08T08:31:15.3Z level=info event=start node=n
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// runNode runs a node until ctx ends.
+// runNode runs a node until ctx is cancelled.
 func (e *Environment) runNode(ctx context.Context, s node.Settings) error {
 	if err := s.Check(); err != nil {
 		return &UsageError{Problem: err.Error()}
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// outputFormat is the form of results.
+// outputFormat is the format of results.
 type outputFormat string
 
 const (
@@ -20,31 +20,32 @@
 	outputJSON outputFormat = "json"
 )
 
-// errOutput is the refusal of an unknown form.
-var errOutput = eris.New("must be text or json")
+// errOutputFormat is the error for an unknown output format.
+var errOutputFormat = eris.New("must be text or json")
 
-// String returns the form's name.
+// String returns the name of the format.
 func (o *outputFormat) String() string { return string(*o) }
 
-// Set takes the form's name.
+// Set parses the name of a format.
 func (o *outputFormat) Set(s string) error {
 	switch outputFormat(s) {
 	case outputText, outputJSON:
 		*o = outputFormat(s)
 		return nil
 	default:
-		return errOutput
+		return errOutputFormat
 	}
 }
 
-// list is a flag of several values, separated by commas or given repeatedly.
-type list []string
+// listFlag is a flag with several values, separated by commas or given by
+// repeating the flag.
+type listFlag []string
 
-// String returns the values separated by commas.
-func (l *list) String() string { return strings.Join(*l, ",") }
+// String returns the values, separated by commas.
+func (l *listFlag) String() string { return strings.Join(*l, ",") }
 
-// Set adds values.
-func (l *list) Set(s string) error {
+// Set appends the comma-separated values in s. Empty values are ignored.
+func (l *listFlag) Set(s string) error {
 	for v := range strings.SplitSeq(s, ",") {
 		if v = strings.TrimSpace(v); v != "" {
 			*l = append(*l, v)
@@ -53,14 +54,14 @@
 	return nil
 }
 
-// common defines the flags that every subcommand has.
-func (e *Environment) common(fs *flag.FlagSet) {
+// registerCommon registers the flags -output and -settings.
+func (e *Environment) registerCommon(fs *flag.FlagSet) {
 	e.output = outputText
 	fs.Var(&e.output, "output", "form of the result: text or json")
 	fs.String(settingsFlag, "", "JSON `file` of settings, named as the flags")
 }
 
-// printJSON prints v as one indented JSON value.
+// printJSON writes v as indented JSON.
 func (e *Environment) printJSON(v any) {
 	enc := json.NewEncoder(e.Stdout)
 	enc.SetEscapeHTML(false)
@@ -76,7 +77,7 @@
 	_, _ = fmt.Fprintf(e.Stderr, format, args...)
 }
 
-// readFile reads a file, "-" is the standard input.
+// readFile reads the named file, or standard input if the name is "-".
 func (e *Environment) readFile(name string) ([]byte, error) {
 	if name == "" {
 		return nil, &UsageError{Problem: "flag -file is required"}
@@ -95,15 +96,16 @@
 	return b, nil
 }
 
-// quoted returns s, in quotes if it could be taken for something else.
-func quoted(s string) string {
-	plain := s != ""
+// quoteIfNeeded returns s, quoted if it is empty or contains spaces, quotes, equal
+// signs or unprintable characters.
+func quoteIfNeeded(s string) string {
+	needsNoQuotes := s != ""
 	for _, r := range s {
 		if r <= ' ' || r == '"' || r == '=' || !strconv.IsPrint(r) {
-			plain = false
+			needsNoQuotes = false
 		}
 	}
-	if plain {
+	if needsNoQuotes {
 		return s
 	}
 	return strconv.Quote(s)
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -11,23 +11,23 @@
 	"guavapaddle/io/table"
 )
 
-// platform is where documents are kept.
+// platform holds the addresses of the services that store documents.
 type platform struct {
 	tableAddress string
 	storeAddress string
 }
 
-// define defines the flags.
+// define registers the flags -table and -objects.
 func (p *platform) define(fs *flag.FlagSet) {
 	fs.StringVar(&p.tableAddress, "table", "", "`address` (IP:port) of the table service")
 	fs.StringVar(&p.storeAddress, "objects", "", "`address` (IP:port) of the object store")
 }
 
-// given tells whether both addresses are given.
-func (p *platform) given() bool { return p.tableAddress != "" && p.storeAddress != "" }
+// configured reports whether both addresses are set.
+func (p *platform) configured() bool { return p.tableAddress != "" && p.storeAddress != "" }
 
 func (p *platform) require() error {
-	if !p.given() {
+	if !p.configured() {
 		return &UsageError{Problem: "flags -table and -objects are required"}
 	}
 	return nil
@@ -37,8 +37,8 @@
 
 func (p *platform) store() *object.Client { return &object.Client{Address: p.storeAddress} }
 
-// newest returns the document that the head row names and its version, nil if
-// there is none yet.
+// newest returns the document that the head row refers to, and its version. The
+// document is nil if none was accepted yet.
 func (p *platform) newest(ctx context.Context) (*config.Document, uint64, error) {
 	rows, err := p.table().Read(ctx, head.Key)
 	if err != nil {
--- a/internal/cli/session_test.go
+++ b/internal/cli/session_test.go
@@ -35,23 +35,24 @@
 var (
 	errNotFresh = errors.New("the configuration is not confirmed")
 	applyID     = regexp.MustCompile(`\b[A-Z2-7]{26}\b`)
-	unixMS      = regexp.MustCompile(`("applied-at-unix-ms": )\d+`)
+	appliedAt   = regexp.MustCompile(`("applied-at-unix-ms": )\d+`)
 	progress    = regexp.MustCompile(`(?m)^in force on .*\n`)
 )
 
 type (
-	// system is a platform, and nodes that follow and answer operators.
+	// system is a stand-in platform with nodes that follow its configuration
+	// and serve the operator endpoint.
 	system struct {
-		t          *testing.T
-		platform   *platform.Platform
-		address    string // of the platform
-		nodes      []*node
-		laggard    atomic.Bool // a further node is live and stays at version 1
-		masks      *strings.Replacer
-		transcript strings.Builder
+		t              *testing.T
+		platform       *platform.Platform
+		address        string // of the platform
+		nodes          []*node
+		hasLaggingNode atomic.Bool // report an additional live node that stays at version 1
+		masks          *strings.Replacer
+		transcript     strings.Builder
 	}
 
-	// node is the operators' side of one node.
+	// node serves the operator endpoint of one node.
 	node struct {
 		*trace.Recorder
 		*configsync.Follower
@@ -80,13 +81,13 @@
 	for _, o := range n.system.nodes {
 		r.Nodes = append(r.Nodes, status.Node{Name: o.Node, Address: o.address, DataCentre: "dc-1", State: status.Live, ConfigVersion: o.InForce().Version})
 	}
-	if n.system.laggard.Load() {
+	if n.system.hasLaggingNode.Load() {
 		r.Nodes = append(r.Nodes, status.Node{Name: "n3", DataCentre: "dc-2", State: status.Live, ConfigVersion: 1})
 	}
 	return r
 }
 
-// newSystem starts a platform and two nodes.
+// newSystem starts a stand-in platform and two nodes.
 func newSystem(t *testing.T) *system {
 	s := &system{t: t, platform: &platform.Platform{}}
 	address, err := s.platform.Start()
@@ -114,8 +115,8 @@
 	return s
 }
 
-// run runs a command line and writes it with its outcome into the transcript.
-// PLATFORM and NODES in it are replaced by addresses.
+// run runs a command line and appends it with its output and exit code to the
+// transcript. The words PLATFORM and NODES are replaced by addresses.
 func (s *system) run(want int, line string) {
 	s.t.Helper()
 	words := strings.Fields(line)
@@ -135,12 +136,13 @@
 func (s *system) mask(text string) string {
 	text = s.masks.Replace(text)
 	text = applyID.ReplaceAllString(text, "APPLY-ID")
-	text = unixMS.ReplaceAllString(text, "${1}0")
+	text = appliedAt.ReplaceAllString(text, "${1}0")
 	return progress.ReplaceAllString(text, "")
 }
 
-// changed writes a changed copy of the valid document and returns its name.
-func changed(t *testing.T, old, replacement string) string {
+// writeModified writes a copy of the valid document with the first occurrence of
+// old replaced, and returns its file name.
+func writeModified(t *testing.T, old, replacement string) string {
 	text, err := os.ReadFile("testdata/valid.json")
 	require.NoError(t, err)
 	require.Contains(t, string(text), old)
@@ -149,7 +151,7 @@
 	return name
 }
 
-func TestOperatorsSession(t *testing.T) {
+func TestOperatorSession(t *testing.T) {
 	s := newSystem(t)
 	first, second := "testdata/valid.json", "testdata/second.json"
 	s.run(cli.ExitInvalid, "apply -file "+first+" -table PLATFORM -objects PLATFORM")
@@ -162,10 +164,10 @@
 	s.run(cli.ExitOK, "status -nodes NODES")
 	s.run(cli.ExitLost, "apply -file "+second+" -base 7 -table PLATFORM -objects PLATFORM -nodes NODES")
 	s.run(cli.ExitLost, "apply -file "+second+" -base 7 -table PLATFORM -objects PLATFORM -nodes NODES -output json")
-	s.laggard.Store(true)
+	s.hasLaggingNode.Store(true)
 	s.run(cli.ExitUnconfirmed, "apply -file "+second+" -base 1 -wait 500ms -table PLATFORM -objects PLATFORM -nodes NODES -output json")
 	s.run(cli.ExitUnconfirmed, "status -nodes 127.0.0.1:1,"+s.nodes[1].address)
-	s.laggard.Store(false)
+	s.hasLaggingNode.Store(false)
 	s.run(cli.ExitOK, "apply -file "+second+" -wait 0 -table PLATFORM -objects PLATFORM")
 
 	s.nodes[0].Add("r-17", "admitted", trace.String("kind", "live"), trace.String("model", "drafter"))
@@ -182,16 +184,16 @@
 	golden(t, "testdata/session.golden", transcript)
 }
 
-// TestApplySentAndNeverAnswered shows the exit code when the fate of the write
-// can't be read back.
-func TestApplySentAndNeverAnswered(t *testing.T) {
+// TestApplyWithoutReply checks the exit code when the connection is lost
+// after the write was sent, so that its outcome can't be read back.
+func TestApplyWithoutReply(t *testing.T) {
 	s := newSystem(t)
-	broken := atomic.Bool{}
+	disconnected := atomic.Bool{}
 	proxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/transact") {
-			broken.Store(true)
+			disconnected.Store(true)
 		}
-		if broken.Load() {
+		if disconnected.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = w.Write([]byte(`{"rows":[{"key":"config/head","revision":0}]}`))
@@ -203,7 +205,7 @@
 	require.Contains(t, stdout, `"type": "unknown"`)
 }
 
-func TestSettingsComeFromFlagEnvironmentAndFile(t *testing.T) {
+func TestSettingsPrecedence(t *testing.T) {
 	s := newSystem(t)
 	file := filepath.Join(t.TempDir(), "settings.json")
 	settings := func(text string) {
@@ -226,7 +228,7 @@
 	require.Contains(t, stderr, "noodles")
 }
 
-func TestHelp(t *testing.T) {
+func TestHelpAndUsageErrors(t *testing.T) {
 	for _, command := range []string{"", "apply", "validate", "diff", "status", "explain"} {
 		code, stdout, stderr := run(t, strings.Fields(command+" -help")...)
 		require.Equal(t, cli.ExitOK, code)
@@ -234,13 +236,13 @@
 		require.Contains(t, stdout, "EXIT CODES")
 		require.Contains(t, stdout, "EXAMPLES")
 	}
-	for _, wrong := range []string{"", "aply", "status -colour red", "validate -output yaml", "validate extra"} {
-		code, stdout, stderr := run(t, strings.Fields(wrong)...)
-		require.Equal(t, cli.ExitInvalid, code, wrong)
+	for _, line := range []string{"", "aply", "status -colour red", "validate -output yaml", "validate extra"} {
+		code, stdout, stderr := run(t, strings.Fields(line)...)
+		require.Equal(t, cli.ExitInvalid, code, line)
 		require.Empty(t, stdout)
-		require.Contains(t, stderr, "-help", wrong)
+		require.Contains(t, stderr, "-help", line)
 	}
-	name := changed(t, `"deployment": "small"`, `"deployment": "other"`)
+	name := writeModified(t, `"deployment": "small"`, `"deployment": "other"`)
 	code, _, _ := run(t, "diff", "-file", name, "-against", "testdata/valid.json")
 	require.Equal(t, cli.ExitDiffers, code)
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -24,7 +24,7 @@
   guavapaddle status -nodes 10.0.0.11:7001,10.0.0.12:7001
   guavapaddle status -nodes 10.0.0.11:7001 -output json`
 
-// statusCommand is a run of status.
+// statusCommand holds the flags of one run of the status command.
 type statusCommand struct {
 	*Environment
 	nodes   nodes
@@ -34,7 +34,7 @@
 func (e *Environment) status() *ffcli.Command {
 	c := &statusCommand{Environment: e}
 	fs := e.flagSet(program + " status")
-	e.common(fs)
+	e.registerCommon(fs)
 	c.nodes.define(fs)
 	fs.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long to try")
 	return &ffcli.Command{
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// print prints a report as text.
+// print writes the report as text tables.
 func (c *statusCommand) print(r status.Report) {
 	c.printf("node %s: ready %t, fresh %t, table up %t, configuration %d %s\n\n", r.Node, r.Ready, r.Fresh, r.TableUp, r.ConfigVersion, r.ConfigHash)
 	w := tabwriter.NewWriter(c.Stdout, 0, 8, 2, ' ', 0)
@@ -87,7 +87,7 @@
 	}
 	row("\nBACKEND SERVER\tOWNER\tEPOCH\tRESIDENT\tLOADING\tRUNNING\tQUEUED\tSLOTS\tFREE BYTES\tSTATE")
 	for _, s := range r.Servers {
-		row("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s", s.Server, dash(s.Owner), s.Epoch, len(s.Resident), len(s.Loading), s.Running, s.Queued, s.Slots, s.FreeBytes, serverState(s.Reachable, s.Leaving))
+		row("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s", s.Server, dashIfEmpty(s.Owner), s.Epoch, len(s.Resident), len(s.Loading), s.Running, s.Queued, s.Slots, s.FreeBytes, serverState(s.Reachable, s.Leaving))
 	}
 	row("\nLEASE OF\tHOLDER\tEPOCH\tEXPIRES IN")
 	for _, l := range r.Leases {
@@ -96,7 +96,7 @@
 	_ = w.Flush()
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/cli/validate.go
+++ b/internal/cli/validate.go
@@ -21,8 +21,8 @@
   guavapaddle validate -file corella.json -output json
   generate | guavapaddle validate -file -`
 
-// validity is the result of validate.
-type validity struct {
+// validateResult is the result of the validate command.
+type validateResult struct {
 	Valid      bool   `json:"valid"`
 	Deployment string `json:"deployment"`
 	Hash       string `json:"hash"`
@@ -34,7 +34,7 @@
 
 func (e *Environment) validate() *ffcli.Command {
 	fs := e.flagSet(program + " validate")
-	e.common(fs)
+	e.registerCommon(fs)
 	file := fs.String("file", "", "the document, - for standard input")
 	return &ffcli.Command{
 		Name:       "validate",
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	v := validity{
+	v := validateResult{
 		Valid: true, Deployment: doc.Deployment, Hash: doc.Hash(),
 		Teams: len(doc.Teams), Models: len(doc.Models), Adapters: len(doc.Adapters), Servers: len(doc.Servers),
 	}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// load reads and checks a document.
+// load reads and validates a document.
 func (e *Environment) load(file string) (*config.Document, error) {
 	b, err := e.readFile(file)
 	if err != nil {
--- a/internal/cli/validate_test.go
+++ b/internal/cli/validate_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// run runs a command line in this process.
+// run runs a command line in this process and returns its exit code and output.
 func run(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -24,7 +24,7 @@
 	return code, out.String(), errs.String()
 }
 
-// golden compares got with a golden file, or rewrites that.
+// golden compares got with a golden file, which -update rewrites first.
 func golden(t *testing.T, file, got string) {
 	t.Helper()
 	if *update {
@@ -35,7 +35,7 @@
 	require.Equal(t, string(want), got)
 }
 
-func TestValidateRefusesBrokenDocuments(t *testing.T) {
+func TestValidateRejectsInvalidDocuments(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.json")
 	require.NoError(t, err)
 	require.Greater(t, len(files), 20)
