--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -12,35 +12,35 @@
 	"guavapaddle/internal/testbed/await"
 )
 
-// stuck is a reader of the output that doesn't read until it is told to.
-type stuck struct {
+// blockedWriter is an output that blocks all writes until release is closed.
+type blockedWriter struct {
 	bytes.Buffer
-	free chan struct{}
+	release chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	return s.Buffer.Write(p)
 }
 
-func TestALoggerNeverWaitsForItsReader(t *testing.T) {
-	w := &stuck{free: make(chan struct{})}
+func TestBoundedDropsLinesWhenOutputBlocks(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	log, err := logging.NewBounded(w, "info")
 	require.NoError(t, err)
-	for i := range 5000 { // more than wait at most; each event has its own name
+	for i := range 5000 { // more than the queue holds; 50 event names, to stay below the sampling rate
 		log.Info("event-"+strings.Repeat("x", i%50), zap.Int("n", i))
 	}
-	close(w.free)
+	close(w.release)
 	log.Close()
 	text := w.String()
-	require.True(t, strings.Contains(text, "event=log-lines-dropped"), "the lines that were dropped are counted")
+	require.True(t, strings.Contains(text, "event=log-lines-dropped"), "dropped lines are counted")
 	require.Less(t, strings.Count(text, "\n"), 3000)
 }
 
-// TestCloseDoesNotWaitForItsReader guards against a process that stays after its
-// planned stop because nobody reads its log.
-func TestCloseDoesNotWaitForItsReader(t *testing.T) {
-	w := &stuck{free: make(chan struct{})}
+// TestCloseReturnsWhenOutputBlocks guards against a process that does not exit
+// after a planned stop because nobody reads its log output.
+func TestCloseReturnsWhenOutputBlocks(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	log, err := logging.NewBounded(w, "info")
 	require.NoError(t, err)
 	log.Info("event")
@@ -49,24 +49,24 @@
 		defer close(closed)
 		log.Close()
 	}()
-	await.Value(t, closed, "the end of Close")
-	close(w.free)
+	await.Value(t, closed, "return of Close")
+	close(w.release)
 }
 
-func TestSyncWaitsForTheLinesBeforeIt(t *testing.T) {
-	w := &stuck{free: make(chan struct{})}
+func TestSyncWaitsForQueuedLines(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	log, err := logging.NewBounded(w, "info")
 	require.NoError(t, err)
 	log.Info("event")
-	var late *logging.SyncError
-	require.ErrorAs(t, log.Sync(), &late, "the reader doesn't read")
-	close(w.free)
+	var syncErr *logging.SyncError
+	require.ErrorAs(t, log.Sync(), &syncErr, "the output is blocked")
+	close(w.release)
 	require.NoError(t, log.Sync())
 	require.Contains(t, w.String(), "event=event")
 	log.Close()
 }
 
-func TestLinesOfOneEventAreThinnedAndCounted(t *testing.T) {
+func TestFrequentEventsAreSampledAndCounted(t *testing.T) {
 	w := &bytes.Buffer{}
 	log, err := logging.NewBounded(w, "info")
 	require.NoError(t, err)
@@ -80,6 +80,6 @@
 	require.Contains(t, text, "event=other")
 	require.Contains(t, text, "event=log-lines-thinned of=same count=")
 	_, err = logging.NewBounded(w, "loud")
-	var level *logging.LevelError
-	require.ErrorAs(t, err, &level)
+	var levelErr *logging.LevelError
+	require.ErrorAs(t, err, &levelErr)
 }
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,11 +1,11 @@
-// Package logging makes the logger of all programs: one line of key=value
-// pairs (logfmt) for each event.
+// Package logging provides the logger of all programs. It writes one line of
+// key=value pairs (logfmt) per event.
 //
 // # Usage
 //
 //	log, err := logging.New(os.Stderr, "info")
 //	log.Info("request-done", logging.Request(id), logging.Outcome(o))
 //
-// The message of a line is the event's name in kebab-case and stands under the
-// key "event". Bodies, prompts and keys are never logged.
+// The message is the name of the event in kebab-case and is written under the key
+// "event". Bodies, prompts and keys must never be logged.
 package logging
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,7 +13,7 @@
 	"guavapaddle/internal/logging"
 )
 
-func TestOneLineForEachEvent(t *testing.T) {
+func TestOneLinePerEvent(t *testing.T) {
 	var b bytes.Buffer
 	log, err := logging.New(&b, "info")
 	require.NoError(t, err)
@@ -26,6 +26,6 @@
 	_, rest, _ := strings.Cut(text, "level=")
 	require.Equal(t, `info event=request-done request-id="r\n1=\"x\"" team=shire kind=live model=drafter server=engine-1 outcome=refused-not-run reason=queue-full node=n1 waited=1.5s bytes=7`+"\n", rest)
 	_, err = logging.New(&b, "loud")
-	var level *logging.LevelError
-	require.ErrorAs(t, err, &level)
+	var levelErr *logging.LevelError
+	require.ErrorAs(t, err, &levelErr)
 }
