--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Work is a kind of control work, as the label "kind" names it.
+// Work is a kind of control work: a value of the label "kind".
 type Work string
 
 // Kinds of control work.
@@ -19,10 +19,11 @@
 	Configuration Work = "configuration"
 )
 
-// Control times control work. A nil Control times nothing.
+// Control measures the time spent on control work. A nil Control measures
+// nothing.
 type Control struct{ seconds *prometheus.CounterVec }
 
-// NewControl returns counters at zero.
+// NewControl returns a Control with all counters at zero.
 func NewControl() *Control {
 	c := &Control{seconds: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "control_seconds_total",
@@ -34,15 +35,15 @@
 	return c
 }
 
-// Collectors returns all metrics to register.
+// Collectors returns the metrics to register.
 func (c *Control) Collectors() []prometheus.Collector { return []prometheus.Collector{c.seconds} }
 
-// Time returns a function that counts the time since the call as w. The time
-// that a goroutine waits for a processor or a lock counts too.
+// Time starts a measurement of w and returns the function that ends it. The
+// measured time includes waits of the goroutine for a processor or a lock.
 func (c *Control) Time(w Work) func() {
 	if c == nil {
 		return func() {}
 	}
-	began := time.Now()
-	return func() { c.seconds.WithLabelValues(string(w)).Add(time.Since(began).Seconds()) }
+	start := time.Now()
+	return func() { c.seconds.WithLabelValues(string(w)).Add(time.Since(start).Seconds()) }
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics holds the counters and histograms of the request path.
+// Package metrics defines the Prometheus counters and histograms of the request
+// path and of control work.
 //
 // # Usage
 //
@@ -17,40 +18,40 @@
 
 const namespace = "guavapaddle"
 
-// seconds are the bounds of the histograms' buckets, in seconds.
-var seconds = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 1.5, 2.5, 5, 10, 20, 40, 80}
+// durationBuckets are the upper bounds of the histogram buckets, in seconds.
+var durationBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 1.5, 2.5, 5, 10, 20, 40, 80}
 
-// Requests counts and times requests.
+// Requests holds the metrics of requests.
 type Requests struct {
-	ended   *prometheus.CounterVec   // by kind, outcome and reason
-	retries *prometheus.CounterVec   // by decision
-	first   *prometheus.HistogramVec // seconds to the first token, by kind
-	whole   *prometheus.HistogramVec // seconds to the end, by kind
-	missed  *prometheus.CounterVec   // done after the deadline, by kind
-	open    prometheus.Gauge
-	answers *prometheus.CounterVec // by outcome and reason, whether the kind is known or not
+	completed      *prometheus.CounterVec   // completed requests, by kind, outcome and reason
+	retryDecisions *prometheus.CounterVec   // by decision and reason
+	firstToken     *prometheus.HistogramVec // time to the first token in seconds, by kind
+	duration       *prometheus.HistogramVec // time to the end in seconds, by kind
+	deadlineMissed *prometheus.CounterVec   // completed after the deadline, by kind
+	open           prometheus.Gauge
+	answers        *prometheus.CounterVec // by outcome and reason, also when the kind is not known
 }
 
-// New returns counters at zero.
+// New returns a Requests with all metrics at zero.
 func New() *Requests {
 	return &Requests{
-		ended: prometheus.NewCounterVec(prometheus.CounterOpts{
+		completed: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total",
 			Help: "Requests that ended, by kind of work, outcome and reason.",
 		}, []string{"kind", "outcome", "reason"}),
-		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
+		retryDecisions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "retry_decisions_total",
 			Help: "Decisions about failed attempts, by reason.",
 		}, []string{"decision", "reason"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstToken: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "first_token_seconds",
-			Help: "Time from arrival to the first token.", Buckets: seconds,
+			Help: "Time from arrival to the first token.", Buckets: durationBuckets,
 		}, []string{"kind"}),
-		whole: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds",
-			Help: "Time from arrival to the end of a request that is done.", Buckets: seconds,
+			Help: "Time from arrival to the end of a request that is done.", Buckets: durationBuckets,
 		}, []string{"kind"}),
-		missed: prometheus.NewCounterVec(prometheus.CounterOpts{
+		deadlineMissed: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "deadline_missed_total",
 			Help: "Requests that were done after their deadline.",
 		}, []string{"kind"}),
@@ -65,32 +66,32 @@
 	}
 }
 
-// Collectors returns all metrics to register.
+// Collectors returns the metrics to register.
 func (r *Requests) Collectors() []prometheus.Collector {
-	return []prometheus.Collector{r.ended, r.retries, r.first, r.whole, r.missed, r.open, r.answers}
+	return []prometheus.Collector{r.completed, r.retryDecisions, r.firstToken, r.duration, r.deadlineMissed, r.open, r.answers}
 }
 
-// Begin counts a request as open.
+// Begin records the start of a request.
 func (r *Requests) Begin() { r.open.Inc() }
 
-// End counts the end of a request; err is nil for done. late tells that it was
-// done after its deadline.
-func (r *Requests) End(kind string, err error, took time.Duration, late bool) {
+// End records the end of a request. err is nil if it succeeded; afterDeadline
+// reports whether it then completed after its deadline.
+func (r *Requests) End(kind string, err error, took time.Duration, afterDeadline bool) {
 	r.open.Dec()
 	e := outcome.From(err)
 	if e != nil {
-		r.ended.WithLabelValues(kind, string(e.Outcome), string(e.Reason)).Inc()
+		r.completed.WithLabelValues(kind, string(e.Outcome), string(e.Reason)).Inc()
 		return
 	}
-	r.ended.WithLabelValues(kind, string(outcome.Done), "").Inc()
-	r.whole.WithLabelValues(kind).Observe(took.Seconds())
-	if late {
-		r.missed.WithLabelValues(kind).Inc()
+	r.completed.WithLabelValues(kind, string(outcome.Done), "").Inc()
+	r.duration.WithLabelValues(kind).Observe(took.Seconds())
+	if afterDeadline {
+		r.deadlineMissed.WithLabelValues(kind).Inc()
 	}
 }
 
-// Answered counts an answer, also one that no part but the listener saw; err is
-// nil for done.
+// Answered counts an answer to a caller, including one that the listener gave
+// before any other component saw the request. err is nil if it succeeded.
 func (r *Requests) Answered(err error) {
 	if e := outcome.From(err); e != nil {
 		r.answers.WithLabelValues(string(e.Outcome), string(e.Reason)).Inc()
@@ -99,12 +100,12 @@
 	r.answers.WithLabelValues(string(outcome.Done), "").Inc()
 }
 
-// First times the first token of a request.
+// First records the time to the first token of a request.
 func (r *Requests) First(kind string, took time.Duration) {
-	r.first.WithLabelValues(kind).Observe(took.Seconds())
+	r.firstToken.WithLabelValues(kind).Observe(took.Seconds())
 }
 
-// Retry counts a decision about a failed attempt.
+// Retry counts a retry decision after a failed attempt.
 func (r *Requests) Retry(decision, reason string) {
-	r.retries.WithLabelValues(decision, reason).Inc()
+	r.retryDecisions.WithLabelValues(decision, reason).Inc()
 }
