--- a/internal/trace/doc.go
+++ b/internal/trace/doc.go
@@ -1,8 +1,8 @@
-// Package trace keeps the last events of requests in memory, so that operators
-// can ask a node what was decided about one request.
+// Package trace holds the latest events of requests in memory, so that operators
+// can query what a node decided about a request.
 //
-// A Recorder holds a bounded number of events in a ring; the oldest are
-// forgotten first. Nothing of a request's body or key may be recorded.
+// A Recorder holds a bounded number of events in a ring buffer and overwrites the
+// oldest first. Events must not contain any part of a request's body or key.
 //
 // # Usage
 //
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -8,27 +8,29 @@
 )
 
 const (
-	// DefaultCapacity is how many events a Recorder keeps: about seven minutes
-	// at 6 requests a second and node and 6 events each.
+	// DefaultCapacity is the default number of events that a Recorder holds:
+	// about seven minutes at 6 requests per second and node and 6 events per
+	// request.
 	DefaultCapacity = 16384
-	// DefaultPerRequest bounds the events of one request, so that one that is
-	// retried without end can't push out all others.
+	// DefaultPerRequest is the default maximum number of events of one request.
+	// It prevents a request that is retried endlessly from evicting the events
+	// of all others.
 	DefaultPerRequest = 64
 )
 
 type (
-	// Recorder is a ring of events. Its exported fields are set before the
-	// first call. It is safe for concurrent use.
+	// Recorder is a ring buffer of events. Its exported fields must be set before
+	// the first call. It is safe for concurrent use.
 	Recorder struct {
-		Node       string           // name of this node
-		Capacity   int              // events in all, DefaultCapacity if zero
-		PerRequest int              // events of one request, DefaultPerRequest if zero
-		Now        func() time.Time // time.Now if nil
+		Node       string           // name of the local node
+		Capacity   int              // maximum number of events; DefaultCapacity if zero
+		PerRequest int              // maximum number of events of one request; DefaultPerRequest if zero
+		Now        func() time.Time // clock; time.Now if nil
 
 		mu       sync.Mutex
 		ring     []entry
-		sequence uint64              // of the next event
-		byID     map[string][]uint64 // sequences of the events kept, oldest first
+		sequence uint64              // sequence number of the next event
+		byID     map[string][]uint64 // sequence numbers of the events held, oldest first
 	}
 
 	entry struct {
@@ -37,32 +39,33 @@
 	}
 )
 
-// String returns a field.
+// String returns a field of an event.
 func String(name, value string) status.Field { return status.Field{Name: name, Value: value} }
 
-// Add records an event of the request id. Beyond PerRequest events of one
-// request the last one kept is replaced, so that its end can always be seen.
+// Add records an event of the request with the given ID. Once a request has
+// PerRequest events, each further event replaces the latest one, so that the
+// final event of a request is always held.
 func (r *Recorder) Add(id, event string, fields ...status.Field) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.init()
 	e := status.Event{AtUnixMS: r.Now().UnixMilli(), Sequence: r.sequence, Node: r.Node, Event: event, Fields: fields}
-	if kept := r.byID[id]; len(kept) >= r.PerRequest {
-		last := kept[len(kept)-1]
+	if sequences := r.byID[id]; len(sequences) >= r.PerRequest {
+		last := sequences[len(sequences)-1]
 		e.Sequence = last
 		r.ring[last%uint64(len(r.ring))].event = e
 		return
 	}
 	slot := &r.ring[r.sequence%uint64(len(r.ring))]
 	if r.sequence >= uint64(len(r.ring)) {
-		r.forget(slot.id)
+		r.removeOldest(slot.id)
 	}
 	*slot = entry{id: id, event: e}
 	r.byID[id] = append(r.byID[id], r.sequence)
 	r.sequence++
 }
 
-// init fills in the defaults.
+// init sets the defaults and allocates the buffer on first use.
 func (r *Recorder) init() {
 	if r.ring != nil {
 		return
@@ -80,23 +83,24 @@
 	r.byID = make(map[string][]uint64)
 }
 
-// forget drops the oldest event of a request.
-func (r *Recorder) forget(id string) {
-	kept := r.byID[id]
-	if len(kept) <= 1 {
+// removeOldest removes the oldest event of a request from the index.
+func (r *Recorder) removeOldest(id string) {
+	sequences := r.byID[id]
+	if len(sequences) <= 1 {
 		delete(r.byID, id)
 		return
 	}
-	r.byID[id] = kept[1:]
+	r.byID[id] = sequences[1:]
 }
 
-// Explain returns what is kept of the request id, and whether that is anything.
+// Explain returns the events held of the request with the given ID, and whether
+// there are any.
 func (r *Recorder) Explain(id string) (status.Explanation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	kept, ok := r.byID[id]
-	e := status.Explanation{RequestID: id, Events: make([]status.Event, 0, len(kept))}
-	for _, s := range kept {
+	sequences, ok := r.byID[id]
+	e := status.Explanation{RequestID: id, Events: make([]status.Event, 0, len(sequences))}
+	for _, s := range sequences {
 		e.Events = append(e.Events, r.ring[s%uint64(len(r.ring))].event)
 	}
 	return e, ok
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -10,7 +10,7 @@
 	"guavapaddle/internal/trace"
 )
 
-func TestRecorderKeepsTheLastEvents(t *testing.T) {
+func TestRecorderKeepsLatestEvents(t *testing.T) {
 	now := time.UnixMilli(0)
 	r := &trace.Recorder{Node: "n1", Capacity: 4, Now: func() time.Time { return now }}
 	for i := range 6 {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestRecorderBoundsOneRequest(t *testing.T) {
+func TestRecorderLimitsEventsPerRequest(t *testing.T) {
 	r := &trace.Recorder{Capacity: 100, PerRequest: 3}
 	r.Add("other", "done")
 	for i := range 1000 {
@@ -39,9 +39,9 @@
 	}
 	e, _ := r.Explain("busy")
 	require.Len(t, e.Events, 3)
-	require.Equal(t, "retry-999", e.Events[2].Event, "its end can be seen")
+	require.Equal(t, "retry-999", e.Events[2].Event, "the final event is held")
 	_, ok := r.Explain("other")
-	require.True(t, ok, "others were not pushed out")
+	require.True(t, ok, "events of other requests are not evicted")
 }
 
 func BenchmarkAdd(b *testing.B) {
