--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock holds what the parts of a node need of time beside package
-// time: a wait that a context ends, and a clock that never stands still.
+// Package clock supplements package time with a sleep that a context can cancel
+// and a clock that includes the time for which the VM was suspended.
 //
 // # Usage
 //
@@ -13,7 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sleep waits for d and tells whether ctx is still open.
+// Sleep waits for d or until ctx is cancelled. It reports whether the full time has
+// elapsed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -25,12 +26,12 @@
 	}
 }
 
-// Boot returns the time since the VM started, with the time for which it was
-// suspended, which the monotonic clock of package time leaves out.
+// Boot returns the time since the VM booted. Unlike the monotonic clock of package
+// time, it includes the time for which the VM was suspended.
 func Boot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("clock: no boot clock: " + err.Error())
+		panic("clock: cannot read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,19 +11,19 @@
 	"guavapaddle/internal/clock"
 )
 
-func TestSleepEndsWithItsContext(t *testing.T) {
+func TestSleepStopsWhenContextIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		require.True(t, clock.Sleep(t.Context(), time.Second))
-		require.Equal(t, time.Second, time.Since(began))
+		require.Equal(t, time.Second, time.Since(start))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		require.False(t, clock.Sleep(ctx, time.Hour))
-		require.Equal(t, 2*time.Second, time.Since(began))
+		require.Equal(t, 2*time.Second, time.Since(start))
 	})
 }
 
-func TestBootNeverGoesBack(t *testing.T) {
+func TestBootIsMonotonic(t *testing.T) {
 	last := clock.Boot()
 	for range 100 {
 		now := clock.Boot()
