--- a/internal/keys/memory.go
+++ b/internal/keys/memory.go
@@ -13,33 +13,36 @@
 )
 
 type (
-	// Memory is a key pair that a process makes for itself at its start.
-	// Nothing is signed by an authority: a peer is who it says if the store's
-	// row of that peer holds the fingerprint of the certificate it shows.
+	// Memory is a key pair with a self-signed certificate that a process
+	// generates at its start. No authority is involved: a peer is authenticated
+	// if its row in the store holds the fingerprint of the certificate that it
+	// presents.
 	Memory struct {
-		// Trusted tells whether a fingerprint stands in the store's rows. It is
-		// set before the first use.
+		// Trusted reports whether a row of the store holds the fingerprint. It
+		// must be set before the first use.
 		Trusted func(fingerprint string) bool
 
 		cert        tls.Certificate
 		fingerprint string
 	}
 
-	// UntrustedError means that a peer showed a certificate whose fingerprint
-	// no row of the store holds.
+	// UntrustedError reports a peer that presented a certificate whose
+	// fingerprint is in no row of the store, or no certificate.
 	UntrustedError struct{ Fingerprint string }
 )
 
-// Error tells the fingerprint.
-func (e *UntrustedError) Error() string { return "keys: no node has the key " + e.Fingerprint }
+// Error returns the fingerprint.
+func (e *UntrustedError) Error() string {
+	return "keys: no node is registered with certificate fingerprint " + e.Fingerprint
+}
 
-// NewMemory makes a key pair for a node.
+// NewMemory generates a key pair and a self-signed certificate for a node.
 func NewMemory(name string) (*Memory, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, eris.Wrap(err, "make key")
 	}
-	t := template(name, nodeLife)
+	t := certTemplate(name, nodeValidity)
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
 		return nil, eris.Wrap(err, "make certificate")
@@ -50,16 +53,17 @@
 	}, nil
 }
 
-// Fingerprint returns the SHA-256 of a certificate in hexadecimal.
+// Fingerprint returns the SHA-256 hash of a DER-encoded certificate in
+// hexadecimal.
 func Fingerprint(der []byte) string {
-	sum := sha256.Sum256(der)
-	return hex.EncodeToString(sum[:])
+	hash := sha256.Sum256(der)
+	return hex.EncodeToString(hash[:])
 }
 
-// Fingerprint returns that of the own certificate.
+// Fingerprint returns the fingerprint of the own certificate.
 func (m *Memory) Fingerprint() string { return m.fingerprint }
 
-// Server returns settings that demand a trusted certificate of the peer.
+// Server returns a TLS configuration that requires a trusted client certificate.
 func (m *Memory) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
@@ -69,14 +73,14 @@
 	}
 }
 
-// Client returns settings that check the peer in the same way. Names and
-// validity by date are not checked: the wall clocks of VMs jump, and the row
-// in the store ends with its node.
+// Client returns a TLS configuration that verifies the server in the same way.
+// Host names and validity dates are not checked: the wall clocks of VMs jump, and
+// the row in the store is removed with its node.
 func (m *Memory) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		Certificates:       []tls.Certificate{m.cert},
-		InsecureSkipVerify: true, // verify compares fingerprints instead
+		InsecureSkipVerify: true, // VerifyConnection checks the fingerprint instead
 		VerifyConnection:   m.verify,
 	}
 }
