--- a/internal/parts/doc.go
+++ b/internal/parts/doc.go
@@ -1,9 +1,10 @@
-// Package parts runs the long-lived parts of a process and bounds how long
-// their end takes.
+// Package parts runs the long-lived tasks of a process and limits how long their
+// shutdown may take.
 //
-// A process that is asked to stop ends its requests first and its parts then.
-// A part that does not end would keep the process, and the VM that it runs on,
-// until it is killed from outside, without a line that names the part.
+// A process that shuts down first completes its requests and then stops its
+// tasks. Without a limit, a task that does not return would keep the process, and
+// the VM that it runs on, alive until it is killed from outside, and no log line
+// would name the task.
 //
 // # Usage
 //
--- a/internal/parts/group.go
+++ b/internal/parts/group.go
@@ -10,59 +10,61 @@
 	"go.uber.org/zap"
 )
 
-// stacksBytes bounds the stacks in the line of parts that have not ended.
-const stacksBytes = 32 << 10
+// maxStackBytes limits the size of the stack traces that are logged when tasks have
+// not returned in time.
+const maxStackBytes = 32 << 10
 
 type (
-	// Group is the parts of a process that run. Its exported fields are set
-	// before the first Go.
+	// Group is a set of running tasks. Its exported fields must be set before
+	// the first call of Go.
 	Group struct {
 		Log *zap.Logger
 
-		mu      sync.Mutex
-		running map[string]int // by name
-		changed chan struct{}  // closed when a part ends
+		mu           sync.Mutex
+		running      map[string]int // number of running tasks by name
+		taskReturned chan struct{}  // closed and replaced when a task returns
 	}
 
-	// StuckError reports parts that have not ended in time.
+	// StuckError reports tasks that did not return within the limit.
 	StuckError struct {
-		Parts []string // sorted
+		Parts []string // sorted names
 		Limit time.Duration
 	}
 )
 
-// Error names the parts and the limit.
+// Error returns the names of the tasks and the limit.
 func (e *StuckError) Error() string {
 	return "not ended within " + e.Limit.String() + ": " + strings.Join(e.Parts, ", ")
 }
 
-// Go runs a part.
-func (g *Group) Go(name string, part func()) {
+// Go runs a task in its own goroutine. Several tasks may have the same name.
+func (g *Group) Go(name string, task func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.running == nil {
 		g.running = map[string]int{}
-		g.changed = make(chan struct{})
+		g.taskReturned = make(chan struct{})
 	}
 	g.running[name]++
 	go func() {
-		defer g.ended(name)
-		part()
+		defer g.taskDone(name)
+		task()
 	}()
 }
 
-func (g *Group) ended(name string) {
+func (g *Group) taskDone(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.running[name]--; g.running[name] == 0 {
 		delete(g.running, name)
 	}
-	close(g.changed)
-	g.changed = make(chan struct{})
+	close(g.taskReturned)
+	g.taskReturned = make(chan struct{})
 }
 
-// left returns the parts that run, sorted, and what is closed when one ends.
-func (g *Group) left() ([]string, <-chan struct{}) {
+// runningTasks returns the sorted names of the running tasks and a channel that is closed
+// when a task returns.
+func (g *Group) runningTasks() ([]string, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var names []string
@@ -70,23 +72,23 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	return names, g.changed
+	return names, g.taskReturned
 }
 
-// Wait returns when all parts have ended. Past limit it logs those that have
-// not, with the stacks of all goroutines, and returns a *StuckError.
+// Wait blocks until all tasks have returned. After limit it logs the tasks that
+// are still running, with the stacks of all goroutines, and returns a *StuckError.
 func (g *Group) Wait(limit time.Duration) error {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
-		names, changed := g.left()
+		names, taskReturned := g.runningTasks()
 		if len(names) == 0 {
 			return nil
 		}
 		select {
-		case <-changed:
+		case <-taskReturned:
 		case <-timer.C:
-			stacks := make([]byte, stacksBytes)
+			stacks := make([]byte, maxStackBytes)
 			stacks = stacks[:runtime.Stack(stacks, true)]
 			g.Log.Error("parts-not-ended", zap.Strings("parts", names), zap.Duration("limit", limit), zap.ByteString("stacks", stacks))
 			return &StuckError{Parts: names, Limit: limit}
--- a/internal/parts/group_test.go
+++ b/internal/parts/group_test.go
@@ -12,27 +12,27 @@
 	"guavapaddle/internal/parts"
 )
 
-func TestWaitReturnsWhenAllHaveEnded(t *testing.T) {
+func TestWaitReturnsWhenAllTasksHaveReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &parts.Group{Log: zap.NewNop()}
-		require.NoError(t, g.Wait(time.Second), "none was started")
-		began := time.Now()
+		require.NoError(t, g.Wait(time.Second), "no task was started")
+		start := time.Now()
 		for _, d := range []time.Duration{3 * time.Second, time.Second, 2 * time.Second} {
 			g.Go("same", func() { <-time.After(d) })
 		}
 		require.NoError(t, g.Wait(time.Minute))
-		require.Equal(t, 3*time.Second, time.Since(began))
+		require.Equal(t, 3*time.Second, time.Since(start))
 	})
 }
 
-// TestStuckPartIsNamed guards against a process that stays after its planned
-// stop without saying why.
-func TestStuckPartIsNamed(t *testing.T) {
+// TestWaitNamesStuckTask guards against a process that does not exit after a planned
+// stop and does not log which task is still running.
+func TestWaitNamesStuckTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zap.ErrorLevel)
 		g := &parts.Group{Log: zap.New(core)}
-		free := make(chan struct{})
-		g.Go("stuck", func() { <-free })
+		release := make(chan struct{})
+		g.Go("stuck", func() { <-release })
 		g.Go("quick", func() {})
 		began := time.Now()
 		err := g.Wait(5 * time.Second)
@@ -43,8 +43,8 @@
 		require.EqualError(t, err, "not ended within 5s: stuck")
 		line := lines.FilterMessage("parts-not-ended").All()
 		require.Len(t, line, 1)
-		require.Contains(t, line[0].ContextMap()["stacks"], "TestStuckPartIsNamed")
-		close(free)
+		require.Contains(t, line[0].ContextMap()["stacks"], "TestWaitNamesStuckTask")
+		close(release)
 		require.NoError(t, g.Wait(time.Second))
 	})
 }
