--- a/cmd/bench/compare.go
+++ b/cmd/bench/compare.go
@@ -19,14 +19,15 @@
 
 const dirMode = 0o755
 
-// comparison runs several policies, prices and seeds side by side.
+// comparison holds the flags of the compare command, which runs all combinations
+// of policies, move prices and seeds.
 type comparison struct {
-	common
+	commonFlags
 	policies, planner, seeds, prices, curve, dir string
 	parallel                                     int
 }
 
-// job is one run of a comparison.
+// job holds the parameters of one run of a comparison.
 type job struct {
 	policy string
 	seed   uint64
@@ -34,7 +35,7 @@
 }
 
 func (c *comparison) register(f *flag.FlagSet) {
-	c.common.register(f)
+	c.commonFlags.register(f)
 	f.StringVar(&c.policies, "policies", strings.Join(route.Names(), ","), "routing policies, by commas")
 	f.StringVar(&c.planner, "planner", "", "placement of all; default by policy")
 	f.StringVar(&c.seeds, "seeds", "1,2,3", "seeds, by commas")
@@ -45,11 +46,11 @@
 }
 
 func (c *comparison) run(ctx context.Context, out io.Writer) error {
-	seeds, err := numbers[uint64](c.seeds, func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 64) })
+	seeds, err := parseNumbers[uint64](c.seeds, func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 64) })
 	if err != nil {
 		return err
 	}
-	prices, err := numbers[float64](c.prices, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) })
+	prices, err := parseNumbers[float64](c.prices, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) })
 	if err != nil {
 		return err
 	}
@@ -66,7 +67,7 @@
 	group.SetLimit(max(1, c.parallel))
 	for i, j := range jobs {
 		group.Go(func() error {
-			r, err := c.one(ctx, j.policy, j.seed, j.price)
+			r, err := c.runJob(ctx, j.policy, j.seed, j.price)
 			runs[i] = r
 			return err
 		})
@@ -74,22 +75,23 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	all := report.Compare(runs)
+	result := report.Compare(runs)
 	if c.curve != "" {
-		if err := writeCurve(c.curve, c.deployment, all); err != nil {
+		if err := writeCurve(c.curve, c.deployment, result); err != nil {
 			return err
 		}
 	}
-	return write(out, c.output, all)
+	return write(out, c.output, result)
 }
 
-// one runs once, and keeps the result if there is a directory for it.
-func (c *comparison) one(ctx context.Context, policy string, seed uint64, price float64) (*report.Summary, error) {
-	set, err := c.settings(policy, c.planner, seed, price)
+// runJob executes one run and, if a directory is set, writes its result and plot
+// there.
+func (c *comparison) runJob(ctx context.Context, policy string, seed uint64, price float64) (*report.Summary, error) {
+	cfg, err := c.settings(policy, c.planner, seed, price)
 	if err != nil {
 		return nil, err
 	}
-	r, err := set.Run(ctx)
+	r, err := cfg.Run(ctx)
 	if err != nil || c.dir == "" {
 		return r, err
 	}
@@ -108,7 +110,7 @@
 	return r, r.WritePlot(name + ".png")
 }
 
-// writeCurve draws one line for each policy.
+// writeCurve plots attainment against moves, with one line per policy.
 func writeCurve(file, title string, c *report.Comparison) error {
 	var names []string
 	lines := map[string]plotter.XYs{}
@@ -121,11 +123,11 @@
 	return report.WriteCurve(file, title, names, lines)
 }
 
-// numbers reads a list of numbers.
-func numbers[T any](list string, read func(string) (T, error)) ([]T, error) {
+// parseNumbers parses a comma-separated list of numbers.
+func parseNumbers[T any](list string, parse func(string) (T, error)) ([]T, error) {
 	var out []T
 	for _, s := range strings.Split(list, ",") {
-		n, err := read(strings.TrimSpace(s))
+		n, err := parse(strings.TrimSpace(s))
 		if err != nil {
 			return nil, &UsageError{Text: "not a number: " + s}
 		}
--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench measures deadline attainment and moves: it runs a seeded load
-// against whole nodes and stand-ins in one process, and compares policies.
+// Command bench measures deadline attainment and model moves. It runs a seeded
+// load against complete nodes and stand-ins in one process, and compares policies.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	bench compare -policies home,direct,round-robin,static -seeds 1,2,3
 //	bench compare -prices 0,5,20,100 -curve curve.png -deployment kabinaki
 //
-// Every run prints the bound: the same arrivals through one pooled deadline
-// queue in which every server holds every model.
+// Every run also prints an upper bound: the same arrivals served from one shared
+// deadline queue by servers that hold all models.
 package main
 
 import (
@@ -29,10 +29,10 @@
 
 const envPrefix = "GUAVAPADDLE_BENCH"
 
-// UsageError tells that the command line can't be used.
+// UsageError reports an invalid command line.
 type UsageError struct{ Text string }
 
-// Error returns what is wrong.
+// Error describes the problem.
 func (e *UsageError) Error() string { return e.Text }
 
 func main() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// command runs the bench with the given arguments.
+// command runs a single run or, if the first argument is "compare", a comparison.
 func command(ctx context.Context, args []string, out io.Writer) error {
 	if len(args) > 0 && args[0] == "compare" {
 		c := &comparison{}
@@ -66,7 +66,8 @@
 	return s.run(ctx, out)
 }
 
-// parse reads flags and environment.
+// parse reads the flags from args and the environment. It returns a *UsageError
+// for positional arguments.
 func parse(name string, args []string, register func(*flag.FlagSet)) error {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	register(fs)
--- a/cmd/bench/single.go
+++ b/cmd/bench/single.go
@@ -22,8 +22,8 @@
 )
 
 type (
-	// common are the flags of a run and of a comparison.
-	common struct {
+	// commonFlags holds the flags shared by single runs and comparisons.
+	commonFlags struct {
 		deployment string
 		fault      string
 		limit      string
@@ -35,9 +35,9 @@
 		logs       string
 	}
 
-	// single runs once.
+	// single holds the flags of a single run.
 	single struct {
-		common
+		commonFlags
 		policy, planner string
 		seed            uint64
 		price           float64
@@ -45,7 +45,7 @@
 	}
 )
 
-func (c *common) register(f *flag.FlagSet) {
+func (c *commonFlags) register(f *flag.FlagSet) {
 	names := slices.Sorted(maps.Keys(experiment.Deployments()))
 	f.StringVar(&c.deployment, "deployment", "corella", strings.Join(names, " or "))
 	f.StringVar(&c.fault, "fault", "", "fault at a third of the run: "+strings.Join(experiment.Faults(), ", "))
@@ -58,8 +58,8 @@
 	f.StringVar(&c.output, "output", outputTable, "table or json")
 }
 
-// settings returns the settings of a run.
-func (c *common) settings(policy, planner string, seed uint64, price float64) (experiment.Settings, error) {
+// settings validates the flags and returns the settings of a run.
+func (c *commonFlags) settings(policy, planner string, seed uint64, price float64) (experiment.Settings, error) {
 	d, ok := experiment.Deployments()[c.deployment]
 	if !ok {
 		return experiment.Settings{}, &UsageError{Text: "unknown deployment " + c.deployment}
@@ -74,7 +74,7 @@
 }
 
 func (s *single) register(f *flag.FlagSet) {
-	s.common.register(f)
+	s.commonFlags.register(f)
 	f.StringVar(&s.policy, "policy", route.NameHome, "routing: "+strings.Join(route.Names(), ", "))
 	f.StringVar(&s.planner, "planner", "", "placement: "+strings.Join(place.Names(), ", ")+"; default by policy")
 	f.Uint64Var(&s.seed, "seed", 1, "seed of the load")
@@ -83,11 +83,11 @@
 }
 
 func (s *single) run(ctx context.Context, out io.Writer) error {
-	set, err := s.settings(s.policy, s.planner, s.seed, s.price)
+	cfg, err := s.settings(s.policy, s.planner, s.seed, s.price)
 	if err != nil {
 		return err
 	}
-	r, err := set.Run(ctx)
+	r, err := cfg.Run(ctx)
 	if err != nil {
 		return err
 	}
@@ -99,13 +99,13 @@
 	return write(out, s.output, r)
 }
 
-// writer is a summary or a comparison.
-type writer interface {
+// resultWriter is a result that can be printed as JSON or as a table.
+type resultWriter interface {
 	WriteJSON(w io.Writer) error
 	WriteTable(w io.Writer) error
 }
 
-func write(out io.Writer, output string, w writer) error {
+func write(out io.Writer, output string, w resultWriter) error {
 	if output == outputJSON {
 		return w.WriteJSON(out)
 	}
@@ -113,6 +113,6 @@
 }
 
 var (
-	_ writer = (*report.Summary)(nil)
-	_ writer = (*report.Comparison)(nil)
+	_ resultWriter = (*report.Summary)(nil)
+	_ resultWriter = (*report.Comparison)(nil)
 )
--- a/cmd/demo/document.go
+++ b/cmd/demo/document.go
@@ -1,7 +1,7 @@
 package main
 
-// document is the configuration of the demonstration. Its servers' addresses
-// are replaced by those of the stand-ins.
+// document is the configuration of the demonstration. The addresses of its backend
+// servers are replaced by those of the stand-ins.
 const document = `{
   "deployment": "demo",
   "teams": [{
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,6 +1,7 @@
-// Command demo shows the main job on embedded stand-ins, in one process and in
-// a few seconds: a streamed answer that goes through two nodes, a booking that
-// lands once however often it is sent, and a configuration being applied.
+// Command demo demonstrates the main functions on embedded stand-ins, in one
+// process and in a few seconds: a streamed answer that passes through two nodes, a
+// booking that is executed once although it is sent several times, and the
+// application of a new configuration.
 //
 // # Usage
 //
@@ -24,15 +25,15 @@
 )
 
 const (
-	timeout      = time.Minute
-	key          = "demo-key"
-	conflictWait = 50 * time.Millisecond
+	timeout    = time.Minute
+	apiKey     = "demo-key"
+	retryDelay = 50 * time.Millisecond
 )
 
-// Unexpected is an answer that the demonstration did not expect.
+// Unexpected reports a result that the demonstration does not expect.
 type Unexpected struct{ What string }
 
-// Error tells what was not expected.
+// Error describes the unexpected result.
 func (e *Unexpected) Error() string { return "unexpected: " + e.What }
 
 func main() {
@@ -67,8 +68,8 @@
 	return apply(ctx, out, l)
 }
 
-// stream asks the node that does not own the model's server, so that the
-// answer comes through two nodes.
+// stream sends a chat request to a node that does not own the model's backend
+// server, so that the answer passes through two nodes.
 func stream(ctx context.Context, out io.Writer, l *lab.Lab) error {
 	r, err := l.Status(ctx, 0)
 	if err != nil {
@@ -92,16 +93,17 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	lines := bufio.NewScanner(resp.Body)
-	for lines.Scan() {
-		if lines.Text() != "" {
-			_, _ = fmt.Fprintln(out, "   "+lines.Text())
+	scanner := bufio.NewScanner(resp.Body)
+	for scanner.Scan() {
+		if scanner.Text() != "" {
+			_, _ = fmt.Fprintln(out, "   "+scanner.Text())
 		}
 	}
-	return lines.Err()
+	return scanner.Err()
 }
 
-// book sends the same booking three times, to both nodes.
+// book sends the same booking three times, alternating between the two nodes, and
+// checks that the service executed it once.
 func book(ctx context.Context, out io.Writer, l *lab.Lab) error {
 	_, _ = fmt.Fprintln(out, "== one booking, sent three times with the same Idempotency-Key")
 	for i := range 3 {
@@ -130,13 +132,14 @@
 	return nil
 }
 
-// apply puts a new version of a model in force.
+// apply applies a configuration with a new version of a model and waits until the
+// new version is resident.
 func apply(ctx context.Context, out io.Writer, l *lab.Lab) error {
 	_, _ = fmt.Fprintln(out, "== a configuration with a new version of the model is applied")
 	next := *l.Document
 	next.Models = append([]config.Model(nil), l.Document.Models...)
 	next.Models[0].Version = "2"
-	began := time.Now()
+	start := time.Now()
 	if err := l.Apply(ctx, &next); err != nil {
 		return err
 	}
@@ -156,16 +159,18 @@
 	if err := l.WaitResident(ctx); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(out, "   drafter@2 serves %s after apply; drafter@1 served until then\n", time.Since(began).Round(100*time.Millisecond))
+	_, _ = fmt.Fprintf(out, "   drafter@2 serves %s after apply; drafter@1 served until then\n", time.Since(start).Round(100*time.Millisecond))
 	return nil
 }
 
+// post sends a request and retries it while an earlier attempt with the same
+// idempotency key is still running.
 func post(ctx context.Context, address, path, idempotencyKey, body string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+key)
+	req.Header.Set("Authorization", "Bearer "+apiKey)
 	if idempotencyKey != "" {
 		req.Header.Set("Idempotency-Key", idempotencyKey)
 	}
@@ -173,9 +178,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if resp.StatusCode == http.StatusConflict { // still running: ask again
+	if resp.StatusCode == http.StatusConflict { // an earlier attempt is still running
 		_ = resp.Body.Close()
-		time.Sleep(conflictWait)
+		time.Sleep(retryDelay)
 		return post(ctx, address, path, idempotencyKey, body)
 	}
 	if resp.StatusCode != http.StatusOK {
--- a/cmd/guavapaddle/main.go
+++ b/cmd/guavapaddle/main.go
@@ -1,5 +1,5 @@
-// Command guavapaddle serves models on fewer accelerators and is the command
-// line of its operators. See guavapaddle -help.
+// Command guavapaddle runs nodes, which serve many models on fewer accelerators,
+// and provides the commands for operators. See guavapaddle -help.
 package main
 
 import (
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure measures what control costs a node: it runs whole nodes at
-// several sizes and fits a line to each figure.
+// Command measure measures the cost of control work per node. It runs complete
+// nodes at several system sizes and fits a line to each figure.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	measure -vary servers -at 10,20,50,100 -nodes 8
 //	measure -vary models -at 50,200,600,1200 -servers 40 -output json
 //
-// Each point is a process with all nodes in it, and another with the stand-ins.
-// See package guavapaddle/internal/testbed/measure.
+// Each point runs all nodes in one process and the stand-ins in a second one. See
+// package guavapaddle/internal/testbed/measure.
 package main
 
 import (
@@ -37,14 +37,14 @@
 	standInsCommand = "stand-ins"
 )
 
-// options is the command line.
+// options holds the parsed command line.
 type options struct {
-	size    measure.Size
-	set     measure.Settings
-	vary    string
-	at      string
-	output  string
-	busiest bool
+	size     measure.Size
+	settings measure.Settings
+	vary     string
+	values   string
+	output   string
+	busiest  bool
 }
 
 func main() {
@@ -57,17 +57,17 @@
 	}
 }
 
-// command runs the tool, or the part of it that the first argument names.
+// command runs a sweep, or the internal subcommand that the first argument names.
 func command(ctx context.Context, args []string, in io.Reader, out io.Writer) error {
-	part := ""
+	subcommand := ""
 	if len(args) > 0 && (args[0] == pointCommand || args[0] == standInsCommand) {
-		part, args = args[0], args[1:]
+		subcommand, args = args[0], args[1:]
 	}
 	o, err := parse(args)
 	if err != nil {
 		return err
 	}
-	switch part {
+	switch subcommand {
 	case standInsCommand:
 		return measure.StandIns(ctx, o.size, in, out)
 	case pointCommand:
@@ -76,19 +76,19 @@
 	return o.sweep(ctx, out)
 }
 
-// parse reads flags and environment.
+// parse reads the flags from args and the environment and validates them.
 func parse(args []string) (*options, error) {
 	o := &options{size: measure.Size{Nodes: 8, Servers: 16, Models: 50, Adapters: 150, Teams: 20}}
 	fs := flag.NewFlagSet("measure", flag.ContinueOnError)
 	o.size.Register(fs)
 	fs.StringVar(&o.vary, "vary", string(measure.Ray), "what varies: nodes, servers, models, teams, rate or ray (nodes with two servers each)")
-	fs.StringVar(&o.at, "at", "8,16,32,64", "values of it")
+	fs.StringVar(&o.values, "at", "8,16,32,64", "values of it")
 	fs.StringVar(&o.output, "output", "table", "table or json")
 	fs.BoolVar(&o.busiest, "busiest", false, "show the busiest node's figures too")
-	fs.DurationVar(&o.set.Ready, "ready", 40*time.Second, "the longest start")
-	fs.DurationVar(&o.set.Settle, "settle", 8*time.Second, "from ready to the first window")
-	fs.DurationVar(&o.set.Window, "window", 4*time.Second, "length of a window")
-	fs.IntVar(&o.set.Windows, "windows", 3, "windows, of which the median counts")
+	fs.DurationVar(&o.settings.Ready, "ready", 40*time.Second, "the longest start")
+	fs.DurationVar(&o.settings.Settle, "settle", 8*time.Second, "from ready to the first window")
+	fs.DurationVar(&o.settings.Window, "window", 4*time.Second, "length of a window")
+	fs.IntVar(&o.settings.Windows, "windows", 3, "windows, of which the median counts")
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(envPrefix)); err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 		return nil, &measure.UsageError{Text: "unexpected argument " + fs.Arg(0)}
 	case o.output != "table" && o.output != "json":
 		return nil, &measure.UsageError{Text: fmt.Sprintf("no output %q", o.output)}
-	case o.set.Windows < 1 || o.set.Window <= 0:
+	case o.settings.Windows < 1 || o.settings.Window <= 0:
 		return nil, &measure.UsageError{Text: "windows must be positive"}
 	}
 	return o, o.size.Check()
@@ -109,22 +109,22 @@
 	if err != nil {
 		return eris.Wrap(err, "own program")
 	}
-	o.set.StandIns = []string{program, standInsCommand}
-	p, err := measure.Run(ctx, o.size, o.set)
+	o.settings.StandIns = []string{program, standInsCommand}
+	p, err := measure.Run(ctx, o.size, o.settings)
 	if err != nil {
 		return err
 	}
 	return json.NewEncoder(out).Encode(p)
 }
 
-// sweep measures each size in a process of its own.
+// sweep measures each size in a separate process and prints the results.
 func (o *options) sweep(ctx context.Context, out io.Writer) error {
-	at, err := measure.Values(o.at)
+	values, err := measure.Values(o.values)
 	if err != nil {
 		return err
 	}
 	var points []measure.Point
-	for _, v := range at {
+	for _, v := range values {
 		s, err := o.size.With(measure.Dimension(o.vary), v)
 		if err != nil {
 			return err
@@ -135,7 +135,7 @@
 		}
 		points = append(points, p)
 	}
-	s := measure.NewSweep(measure.Dimension(o.vary), at, points)
+	s := measure.NewSweep(measure.Dimension(o.vary), values, points)
 	if o.output == "json" {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
@@ -144,7 +144,7 @@
 	return s.Table(out, o.busiest)
 }
 
-// run measures a size in a process of its own.
+// run measures one size in a separate process.
 func (o *options) run(ctx context.Context, s measure.Size) (measure.Point, error) {
 	var p measure.Point
 	program, err := os.Executable()
@@ -152,14 +152,14 @@
 		return p, eris.Wrap(err, "own program")
 	}
 	args := append([]string{pointCommand,
-		"-ready", o.set.Ready.String(), "-settle", o.set.Settle.String(),
-		"-window", o.set.Window.String(), "-windows", strconv.Itoa(o.set.Windows),
+		"-ready", o.settings.Ready.String(), "-settle", o.settings.Settle.String(),
+		"-window", o.settings.Window.String(), "-windows", strconv.Itoa(o.settings.Windows),
 	}, s.Flags()...)
 	cmd := exec.CommandContext(ctx, program, args...)
 	cmd.Stderr = os.Stderr
-	text, err := cmd.Output()
+	encoded, err := cmd.Output()
 	if err != nil {
 		return p, eris.Wrap(err, "point")
 	}
-	return p, eris.Wrap(json.Unmarshal(text, &p), "point")
+	return p, eris.Wrap(json.Unmarshal(encoded, &p), "point")
 }
--- a/cmd/measure/main_test.go
+++ b/cmd/measure/main_test.go
@@ -10,7 +10,7 @@
 	"guavapaddle/internal/testbed/measure"
 )
 
-func TestBadCommandLines(t *testing.T) {
+func TestInvalidCommandLines(t *testing.T) {
 	for _, line := range []string{
 		"-nodes 0", "-output xml", "-windows 0", "-at 1,x", "-vary moons -at 1", "extra", "point -servers 0", "stand-ins -models 0",
 	} {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs the system as processes under random faults and checks what
-// must hold. See soak -help.
+// Command soak runs the nodes and stand-ins as processes under random faults and
+// checks the invariants of the system. See soak -help.
 package main
 
 import (
@@ -42,16 +42,17 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	broken := false
+	failed := false
 	for s := *seed; s < *seed+*seeds && ctx.Err() == nil; s++ {
-		broken = run(ctx, *binary, s, *duration, *nodes, *verbose) || broken
+		failed = run(ctx, *binary, s, *duration, *nodes, *verbose) || failed
 	}
-	if broken {
+	if failed {
 		os.Exit(1)
 	}
 }
 
-// run runs one seed and tells whether a promise was broken.
+// run runs one seed and reports whether it failed: an invariant was violated or the
+// run returned an error. The logs of failed runs are kept.
 func run(ctx context.Context, binary string, seed uint64, d time.Duration, nodes int, verbose bool) bool {
 	dir, err := soak.TempDir()
 	if err != nil {
@@ -62,17 +63,17 @@
 	if verbose {
 		r.Log = os.Stderr
 	}
-	broken, err := r.Do(ctx)
+	violations, err := r.Do(ctx)
 	if err != nil {
 		fmt.Printf("seed %d: %v; logs in %s\n", seed, err, dir)
 		return true
 	}
-	if len(broken) == 0 {
+	if len(violations) == 0 {
 		fmt.Printf("seed %d: held\n", seed)
 		return os.RemoveAll(dir) != nil
 	}
-	fmt.Printf("seed %d: %d broken; logs in %s\n", seed, len(broken), dir)
-	for _, v := range broken {
+	fmt.Printf("seed %d: %d broken; logs in %s\n", seed, len(violations), dir)
+	for _, v := range violations {
 		fmt.Printf("  %s: %s\n", v.Promise, v.What)
 	}
 	return true
--- a/cmd/standin/commands.go
+++ b/cmd/standin/commands.go
@@ -14,8 +14,8 @@
 	"guavapaddle/internal/testbed/standin/weights"
 )
 
-// platformCommand returns the command for table, object store, weight store and
-// VM list on one address.
+// platformCommand returns the command that runs the table service, the object
+// store, the weight store and the VM list on one address.
 func platformCommand() *ffcli.Command {
 	p := &platform.Platform{}
 	fs := flag.NewFlagSet("platform", flag.ContinueOnError)
@@ -32,7 +32,7 @@
 	return command(fs, "run table, object store, weight store and VM list on one address", p)
 }
 
-// engineCommand returns the command for a model engine.
+// engineCommand returns the command that runs a model engine.
 func engineCommand() *ffcli.Command {
 	e := &engine.Engine{OnCrash: func() { os.Exit(exitCrash) }}
 	fs := flag.NewFlagSet("engine", flag.ContinueOnError)
@@ -57,7 +57,7 @@
 	return command(fs, "run a model engine; crash-on ends the process with status 3", e)
 }
 
-// serviceCommand returns the command for a plain service.
+// serviceCommand returns the command that runs a plain service.
 func serviceCommand() *ffcli.Command {
 	s := &service.Service{}
 	fs := flag.NewFlagSet("service", flag.ContinueOnError)
@@ -68,7 +68,7 @@
 	return command(fs, "run a plain service with bookings and records calls and a journal", s)
 }
 
-// command returns the command that serves s.
+// command returns the command that runs s until the process is stopped.
 func command(fs *flag.FlagSet, help string, s standin) *ffcli.Command {
 	return &ffcli.Command{
 		Name: fs.Name(), ShortUsage: "standin " + fs.Name() + " [flags]", ShortHelp: help, FlagSet: fs,
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs a stand-in for one of the systems around guavapaddle as
-// a process: the platform, a model engine or a plain service.
+// Command standin runs, as a process, a stand-in for one of the systems that
+// guavapaddle depends on: the platform, a model engine or a plain service.
 //
 // # Usage
 //
@@ -7,9 +7,9 @@
 //	standin engine -listen 127.0.0.1:9100 -name e1 -memory-bytes 80000000000 -checks-orders -weights 127.0.0.1:9000
 //	standin service -listen 127.0.0.1:9200 -name s1
 //
-// When it is ready it prints one line "event=listening address=IP:port" to
-// standard output. It stops at SIGTERM or SIGINT. POST /fault sets faults, as
-// docs/PROTOCOLS.md tells.
+// When it is ready it prints the line "event=listening address=IP:port" to standard
+// output. It stops on SIGTERM or SIGINT. POST /fault injects faults, as described
+// in docs/PROTOCOLS.md.
 package main
 
 import (
@@ -27,10 +27,11 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// exitCrash is the exit status of an engine that was told to crash.
+// exitCrash is the exit status of an engine that crashes because of an injected
+// fault.
 const exitCrash = 3
 
-// standin is a server that is started and closed.
+// standin is a server that can be started and closed.
 type standin interface {
 	Start() (string, error)
 	Close()
@@ -55,7 +56,7 @@
 	}
 }
 
-// serve runs s until ctx ends.
+// serve runs s until ctx is cancelled.
 func serve(ctx context.Context, s standin) error {
 	address, err := s.Start()
 	if err != nil {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// logger returns a logger of one line key=value for each event.
+// logger returns a logger that writes one line of key=value pairs per event.
 func logger() *zap.Logger {
 	c := zapcore.EncoderConfig{MessageKey: "event"}
 	return zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(c), zapcore.Lock(os.Stdout), zap.InfoLevel))
