--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// writeKeyPair creates a certificate from t, signed by parent, and writes it and its key
-// to the files of name.
+// writeKeyPair creates a certificate from t, signed by parent, and writes it and
+// its key to NAME.pem and NAME.key in dir.
 func writeKeyPair(dir, name string, t, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) error {
 	der, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, signer)
 	if err != nil {
@@ -226,7 +226,8 @@
 	return nil
 }
 
-// noCertificateError is the cause of an Error for a file or peer without a certificate.
+// noCertificateError is the cause of an Error for a file or peer without a
+// certificate.
 type noCertificateError struct{}
 
 var errNoCertificate = noCertificateError{}
--- a/internal/keys/memory.go
+++ b/internal/keys/memory.go
@@ -75,7 +75,7 @@
 
 // Client returns a TLS configuration that verifies the server in the same way.
 // Host names and validity dates are not checked: the wall clocks of VMs jump, and
-// the row in the store is removed with its node.
+// the row in the store does not outlive its node.
 func (m *Memory) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -5,7 +5,7 @@
 //
 //	m := metrics.New()
 //	registry.MustRegister(m.Collectors()...)
-//	m.End("live-desk", err, took)
+//	m.End("live-desk", err, took, false)
 package metrics
 
 import (
@@ -23,7 +23,7 @@
 
 // Requests holds the metrics of requests.
 type Requests struct {
-	completed      *prometheus.CounterVec   // completed requests, by kind, outcome and reason
+	finished       *prometheus.CounterVec   // requests that ended, by kind, outcome and reason
 	retryDecisions *prometheus.CounterVec   // by decision and reason
 	firstToken     *prometheus.HistogramVec // time to the first token in seconds, by kind
 	duration       *prometheus.HistogramVec // time to the end in seconds, by kind
@@ -35,7 +35,7 @@
 // New returns a Requests with all metrics at zero.
 func New() *Requests {
 	return &Requests{
-		completed: prometheus.NewCounterVec(prometheus.CounterOpts{
+		finished: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total",
 			Help: "Requests that ended, by kind of work, outcome and reason.",
 		}, []string{"kind", "outcome", "reason"}),
@@ -68,7 +68,7 @@
 
 // Collectors returns the metrics to register.
 func (r *Requests) Collectors() []prometheus.Collector {
-	return []prometheus.Collector{r.completed, r.retryDecisions, r.firstToken, r.duration, r.deadlineMissed, r.open, r.answers}
+	return []prometheus.Collector{r.finished, r.retryDecisions, r.firstToken, r.duration, r.deadlineMissed, r.open, r.answers}
 }
 
 // Begin records the start of a request.
@@ -80,10 +80,10 @@
 	r.open.Dec()
 	e := outcome.From(err)
 	if e != nil {
-		r.completed.WithLabelValues(kind, string(e.Outcome), string(e.Reason)).Inc()
+		r.finished.WithLabelValues(kind, string(e.Outcome), string(e.Reason)).Inc()
 		return
 	}
-	r.completed.WithLabelValues(kind, string(outcome.Done), "").Inc()
+	r.finished.WithLabelValues(kind, string(outcome.Done), "").Inc()
 	r.duration.WithLabelValues(kind).Observe(took.Seconds())
 	if afterDeadline {
 		r.deadlineMissed.WithLabelValues(kind).Inc()
--- a/internal/parts/group.go
+++ b/internal/parts/group.go
@@ -62,8 +62,8 @@
 	g.taskReturned = make(chan struct{})
 }
 
-// runningTasks returns the sorted names of the running tasks and a channel that is closed
-// when a task returns.
+// runningTasks returns the sorted names of the running tasks and a channel that is
+// closed when a task returns.
 func (g *Group) runningTasks() ([]string, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
