--- a/internal/testbed/session/booking_test.go
+++ b/internal/testbed/session/booking_test.go
@@ -13,8 +13,8 @@
 	"guavapaddle/internal/testbed/standin/service"
 )
 
-// ranWith returns how often calls with a body ran by the services' journals.
-func ranWith(s *session.System, body string) int {
+// runsWithBody returns how many calls with a body ran, from the services' journals.
+func runsWithBody(s *session.System, body string) int {
 	n := 0
 	for _, r := range s.Journal() {
 		if r.BodyHash == service.BodyHash([]byte(body)) {
@@ -24,25 +24,25 @@
 	return n
 }
 
-// atMostOnce demands of all answers to calls with one key and body that the
-// call ran at most once, that all who got its answer got the same one, and that
-// each other was told the truth.
-func atMostOnce(t *testing.T, s *session.System, body string, answers []session.Answer) {
+// requireAtMostOnce checks the responses to all calls with one key and body: the call ran at
+// most once, all successful responses are identical, and every other response is consistent
+// with the services' journals.
+func requireAtMostOnce(t *testing.T, s *session.System, body string, answers []session.Answer) {
 	t.Helper()
-	ran := ranWith(s, body)
+	ran := runsWithBody(s, body)
 	require.LessOrEqual(t, ran, 1, body)
 	journal := s.Journal()
 	done, unknown := "", 0
 	for _, a := range answers {
 		if a.Err != nil {
-			unknown++ // its node died
+			unknown++ // the node died
 			continue
 		}
 		id := a.Header.Get("X-Request-ID")
 		switch a.Header.Get("X-Outcome") {
 		case "done":
 			require.Equal(t, http.StatusOK, a.Status)
-			require.Contains(t, []string{"", a.Body}, done, "two answers to one call")
+			require.Contains(t, []string{"", a.Body}, done, "two different responses to one call")
 			done = a.Body
 		case "refused-not-run":
 			require.NotEmpty(t, a.Header.Get("Retry-After"), a.Body)
@@ -51,20 +51,21 @@
 		case "unknown":
 			unknown++
 		default:
-			require.Fail(t, "untrue or unclear answer", "%d %s %s", a.Status, a.Header.Get("X-Outcome"), a.Body)
+			require.Fail(t, "missing or unexpected outcome", "%d %s %s", a.Status, a.Header.Get("X-Outcome"), a.Body)
 		}
 	}
 	if done != "" {
 		require.Equal(t, 1, ran, body)
 	}
 	if done == "" && unknown == 0 {
-		require.Zero(t, ran, "all were told that it did not run")
+		require.Zero(t, ran, "the call ran, but every response says that it did not")
 	}
 }
 
-// TestInvariantBookingNodeDeath kills the node that has a booking, or a
-// cancellation, at each point of its way, and repeats the call on all other
-// nodes at once. It runs at most once, and everyone is told the truth.
+// TestInvariantBookingNodeDeath kills the node that handles a booking or a cancellation at
+// each stage of the call, and repeats the call concurrently on all other nodes. It guards
+// against a call that runs twice because the claim of the dead node is not respected, and
+// against responses that misstate the outcome.
 func TestInvariantBookingNodeDeath(t *testing.T) {
 	t.Parallel()
 	for _, path := range []string{"/bookings/confirm", "/bookings/cancel"} {
@@ -72,11 +73,11 @@
 			t.Parallel()
 			const nodes = 4
 			s := session.New(t, session.Small(t, 1, 2), session.Options{Service: []string{"-work", "700ms"}})
-			between := s.Between()
+			proxy := s.Between()
 			s.StartNodes(nodes)
 			for victim, stage := range []struct {
 				name   string
-				state  claim.State // whose transaction marks the moment
+				state  claim.State // the transaction into this state triggers the kill
 				fate   session.Fate
 				ran    int
 				stored bool
@@ -87,11 +88,11 @@
 				{name: "after the answer is stored", state: claim.Done, fate: session.Pass, ran: 1, stored: true},
 			} {
 				body, key := fmt.Sprintf(`{"at":%q}`, stage.name), stage.name
-				others := without(nodes, victim)
+				others := allExcept(nodes, victim)
 				if stage.state != "" {
-					between.Claims(stage.state, func(claim.Claim) session.Fate {
+					proxy.Claims(stage.state, func(claim.Claim) session.Fate {
 						if stage.fate == session.Lose || stage.fate == session.Drop {
-							s.Nodes[victim].Kill() // nothing that the node does comes after this
+							s.Nodes[victim].Kill() // the node takes no further action
 						}
 						return stage.fate
 					})
@@ -99,19 +100,19 @@
 				first := make(chan session.Answer, 1)
 				go func() { first <- s.Do(victim, http.MethodPost, path, body, "Idempotency-Key", key) }()
 				if stage.state == "" {
-					s.Eventually("the call runs", func() bool { return ranWith(s, body) == 1 })
+					s.Eventually("the call to run", func() bool { return runsWithBody(s, body) == 1 })
 					s.Nodes[victim].Kill()
 				}
 				answers := []session.Answer{<-first}
 				if stage.fate == session.Lose {
-					between.AwaitLost()
+					proxy.AwaitLost()
 				}
-				between.Decide(nil)
+				proxy.Decide(nil)
 				s.Nodes[victim].Kill()
 				answers = append(answers, s.Repeat(others, path, body, key)...)
 				answers = append(answers, s.Repeat(others, path, body, key)...)
-				atMostOnce(t, s, body, answers)
-				require.Equal(t, stage.ran, ranWith(s, body), stage.name)
+				requireAtMostOnce(t, s, body, answers)
+				require.Equal(t, stage.ran, runsWithBody(s, body), stage.name)
 				for _, a := range answers[1:] {
 					if stage.stored {
 						require.Equal(t, "1", a.Header.Get("X-Stored-Answer"), a.Body)
@@ -126,30 +127,31 @@
 	}
 }
 
-// without returns the numbers below n but one.
-func without(n, but int) []int {
+// allExcept returns the numbers from 0 to n-1 without excluded.
+func allExcept(n, excluded int) []int {
 	var out []int
 	for i := range n {
-		if i != but {
+		if i != excluded {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// TestInvariantBookingLostAnswers repeats bookings and cancellations on all
-// nodes at once while answers of the table and of the services are lost after
-// they took effect, and connections break when they are used again.
+// TestInvariantBookingLostAnswers repeats bookings and cancellations concurrently on all
+// nodes while responses of the table and of the services are lost after the request took
+// effect, and while reused connections are closed. It guards against retries that run a call
+// twice.
 func TestInvariantBookingLostAnswers(t *testing.T) {
 	t.Parallel()
 	const nodes = 4
 	s := session.New(t, session.Small(t, 1, 2), session.Options{})
 	s.StartNodes(nodes)
-	all := without(nodes, -1)
+	all := allExcept(nodes, -1)
 	for _, c := range []struct {
 		name           string
 		table, service string
-		done           bool // the answer must be there at the end
+		done           bool // the call must succeed eventually
 	}{
 		{name: "nothing fails", done: true},
 		{name: "table", table: `{"drop-answers":3}`},
@@ -162,20 +164,20 @@
 	} {
 		for i, path := range []string{"/bookings/confirm", "/bookings/cancel"} {
 			body, key := fmt.Sprintf(`{"case":%q,"path":%q}`, c.name, path), c.name+path
-			set := func(table, service string) {
+			setFaults := func(table, service string) {
 				s.Fault(s.Platform, "/fault/table", table)
 				for _, name := range []string{"desk-1", "desk-2"} {
 					s.Fault(s.Servers[name], "/fault", service)
 				}
 			}
-			set(orNone(c.table), orNone(c.service))
+			setFaults(faultsOrNone(c.table), faultsOrNone(c.service))
 			answers := s.Repeat(all, path, body, key)
 			answers = append(answers, s.Repeat([]int{i}, path, body, key)...)
-			set("{}", "{}")
+			setFaults("{}", "{}")
 			answers = append(answers, s.Repeat(all, path, body, key)...)
-			atMostOnce(t, s, body, answers)
+			requireAtMostOnce(t, s, body, answers)
 			var last session.Answer
-			s.Eventually("an answer that is final", func() bool {
+			s.Eventually("a final response", func() bool {
 				last = s.Do(i, http.MethodPost, path, body, "Idempotency-Key", key)
 				answers = append(answers, last)
 				return last.Header.Get("X-Reason") != "in-progress" && last.Header.Get("X-Reason") != "table-down"
@@ -183,12 +185,12 @@
 			if c.done {
 				require.Equal(t, http.StatusOK, last.Status, "%s: %s", c.name, last.Body)
 			}
-			atMostOnce(t, s, body, answers)
+			requireAtMostOnce(t, s, body, answers)
 		}
 	}
 }
 
-func orNone(faults string) string {
+func faultsOrNone(faults string) string {
 	if faults == "" {
 		return "{}"
 	}
--- a/internal/testbed/session/config_test.go
+++ b/internal/testbed/session/config_test.go
@@ -30,17 +30,17 @@
 )
 
 const (
-	rivalKey = "Bearer " + session.OtherKey
-	down     = `{"down":true}`
+	rivalKey  = "Bearer " + session.OtherKey
+	downFault = `{"down":true}`
 )
 
-// inForce finds the versions that a node's log says came into force.
-var inForce = regexp.MustCompile(`event=config-in-force .*version=(\d+)`)
+// inForceLine matches the log lines of configuration versions that came into force.
+var inForceLine = regexp.MustCompile(`event=config-in-force .*version=(\d+)`)
 
-// versions returns the versions that came into force on a process, in order.
-func versions(t *testing.T, p *session.Process) []uint64 {
+// versionsInForce returns the versions that came into force on a process, in order.
+func versionsInForce(t *testing.T, p *session.Process) []uint64 {
 	var all []uint64
-	for _, m := range inForce.FindAllStringSubmatch(p.Log(), -1) {
+	for _, m := range inForceLine.FindAllStringSubmatch(p.Log(), -1) {
 		v, err := strconv.ParseUint(m[1], 10, 64)
 		require.NoError(t, err)
 		all = append(all, v)
@@ -48,7 +48,7 @@
 	return all
 }
 
-// withoutRival returns doc without the team rival.
+// withoutRival returns doc without the team "rival".
 func withoutRival(doc *config.Document) *config.Document {
 	changed := *doc
 	changed.Teams = nil
@@ -60,9 +60,10 @@
 	return &changed
 }
 
-// TestInvariantPausedNodeAdmitsUnderNoOldConfiguration stops a node, applies a
-// configuration that shuts a team out, takes the platform down and lets
-// the node go on: a request that waited in its socket must not be served.
+// TestInvariantPausedNodeAdmitsUnderNoOldConfiguration freezes a node, applies a
+// configuration that removes a team, takes the platform down and resumes the node. It guards
+// against serving a request of that team, which arrived in the node's socket during the
+// pause, under the old configuration.
 func TestInvariantPausedNodeAdmitsUnderNoOldConfiguration(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, session.Small(t, 2, 1), session.Options{})
@@ -78,36 +79,36 @@
 	defer func() { _ = waiting.Close() }()
 	_, err = fmt.Fprintf(waiting, "GET /v1/models HTTP/1.1\r\nHost: node\r\nAuthorization: %s\r\n\r\n", rivalKey)
 	require.NoError(t, err)
-	s.Fault(s.Platform, "/fault/table", down)
-	s.Fault(s.Platform, "/fault/object", down)
+	s.Fault(s.Platform, "/fault/table", downFault)
+	s.Fault(s.Platform, "/fault/object", downFault)
 	s.Nodes[paused].Signal(syscall.SIGCONT)
 	require.NoError(t, waiting.SetReadDeadline(time.Now().Add(10*time.Second)))
 	waited, err := http.ReadResponse(bufio.NewReader(waiting), nil)
 	require.NoError(t, err)
 	_ = waited.Body.Close()
 	require.NotEqual(t, http.StatusOK, waited.StatusCode)
-	s.Eventually("the new configuration on the node that was paused", func() bool {
+	s.Eventually("the new configuration to be in force on the resumed node", func() bool {
 		a := s.Do(paused, http.MethodGet, "/v1/models", "", "Authorization", rivalKey)
 		require.NotEqual(t, http.StatusOK, a.Status, a.Body)
 		return a.Status == http.StatusUnauthorized
 	})
 	require.Equal(t, http.StatusOK, s.Do(paused, http.MethodGet, "/v1/models", "").Status)
-	require.Equal(t, []uint64{1, 2}, versions(t, s.Nodes[paused]))
+	require.Equal(t, []uint64{1, 2}, versionsInForce(t, s.Nodes[paused]))
 }
 
-// TestInvariantNodeStartsInOutage kills a node while table and object store are
-// down: the new one gets the configuration from its peers.
+// TestInvariantNodeStartsInOutage restarts a node while the table and the object store are
+// down. The new process must get the configuration from its peers.
 func TestInvariantNodeStartsInOutage(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, session.Small(t, 2, 1), session.Options{})
 	s.StartNodes(3)
 	code, out := s.Apply(withoutRival(s.Document))
 	require.Equal(t, cli.ExitOK, code, out)
-	s.Fault(s.Platform, "/fault/table", down)
-	s.Fault(s.Platform, "/fault/object", down)
+	s.Fault(s.Platform, "/fault/table", downFault)
+	s.Fault(s.Platform, "/fault/object", downFault)
 	s.Nodes[1].Kill()
 	s.RestartNode(1)
-	s.Eventually("a request on the new node", func() bool {
+	s.Eventually("a successful request on the restarted node", func() bool {
 		a := s.Do(1, http.MethodGet, "/v1/models", "")
 		return a.Status == http.StatusOK
 	})
@@ -118,18 +119,18 @@
 	require.False(t, r.TableUp)
 }
 
-// rivals forwards calls of operators to the table. It holds the first
-// transactions back until all operators have read the head, and breaks the
-// connection in place of the answer to a transaction that committed, and of
-// every second other answer.
-type rivals struct {
-	table string // address
+// operatorProxy forwards operators' calls to the table. It delays the first transactions
+// until all operators have read the configuration head. It closes the connection instead of
+// sending the response to a transaction that committed, and to every second of the other
+// transactions.
+type operatorProxy struct {
+	table string // address of the table
 	reads sync.WaitGroup
 	calls atomic.Int64
 	lost  atomic.Int64
 }
 
-func (r *rivals) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *operatorProxy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	transaction := strings.HasSuffix(req.URL.Path, "/transact")
 	if transaction {
 		r.reads.Wait()
@@ -154,18 +155,19 @@
 	}
 }
 
-// TestInvariantOperatorsRaceAsProcesses lets eight operators, who all have read
-// the same version, apply different documents while half of the answers to
-// their writes, the winner's among them, are lost.
+// TestInvariantOperatorsRaceAsProcesses lets eight operators that have all read the same
+// version apply different documents while half of the responses to their writes, including
+// the winner's, are lost. Exactly one must win, and each must exit with the code that
+// matches its result.
 func TestInvariantOperatorsRaceAsProcesses(t *testing.T) {
 	t.Parallel()
 	const operators, nodes = 8, 2
 	s := session.New(t, session.Small(t, 2, 1), session.Options{})
 	s.StartNodes(nodes)
 	platform := s.Platform.Address("address")
-	between := &rivals{table: platform}
-	between.reads.Add(operators)
-	proxy := httptest.NewServer(between)
+	forwarder := &operatorProxy{table: platform}
+	forwarder.reads.Add(operators)
+	proxy := httptest.NewServer(forwarder)
 	defer proxy.Close()
 	var wg sync.WaitGroup
 	codes, outputs := make([]int, operators), make([]string, operators)
@@ -185,7 +187,7 @@
 	defer cancel()
 	rows, err := (&table.Client{Address: platform}).Scan(ctx, head.HistoryPrefix)
 	require.NoError(t, err)
-	require.Len(t, rows, 2, "the setup and one operator")
+	require.Len(t, rows, 2, "the initial version and one operator's")
 	winner, err := head.Parse(rows[1])
 	require.NoError(t, err)
 	for i, code := range codes {
@@ -196,7 +198,7 @@
 		require.Equal(t, want, code, "operator %d, winner %s: %s", i, winner.Operator, outputs[i])
 	}
 	began := time.Now()
-	s.Eventually("the newest version on all nodes", func() bool {
+	s.Eventually("the newest version to be in force on all nodes", func() bool {
 		for i := range nodes {
 			if r, err := s.Status(i); err != nil || r.ConfigHash != winner.Hash {
 				return false
@@ -204,12 +206,12 @@
 		}
 		return true
 	})
-	t.Logf("answers lost: %d; in force everywhere %v after the last operator ended", between.lost.Load(), time.Since(began).Round(time.Millisecond))
+	t.Logf("responses lost: %d; in force on all nodes %v after the last operator exited", forwarder.lost.Load(), time.Since(began).Round(time.Millisecond))
 	for _, n := range s.Nodes {
-		require.Equal(t, []uint64{1, 2}, versions(t, n), n.Name)
+		require.Equal(t, []uint64{1, 2}, versionsInForce(t, n), n.Name)
 	}
 	for _, n := range s.Nodes {
 		require.Zero(t, n.Terminate(), n.Name)
-		require.Equal(t, []uint64{1, 2}, versions(t, n), "%s: the log up to its end", n.Name)
+		require.Equal(t, []uint64{1, 2}, versionsInForce(t, n), "%s: complete log after exit", n.Name)
 	}
 }
--- a/internal/testbed/session/crash_test.go
+++ b/internal/testbed/session/crash_test.go
@@ -10,9 +10,9 @@
 	"guavapaddle/internal/testbed/session"
 )
 
-// TestInvariantCrashingRequest sends a request that ends every engine that runs
-// it through each of 8 nodes in turn. At most two engines are lost, the request
-// is refused with its reason from then on, and others are served.
+// TestInvariantCrashingRequest sends a request that crashes every engine that runs it
+// through each of 8 nodes in turn. At most two engines may be lost, the request must be
+// refused with the reason crash-suspect from then on, and other requests must be served.
 func TestInvariantCrashingRequest(t *testing.T) {
 	t.Parallel()
 	const nodes, engines = 8, 5
@@ -38,15 +38,15 @@
 		require.Equal(t, want, last.Header.Get("X-Outcome"), "node %d: %s", i+1, last.Body)
 	}
 	require.Equal(t, "crash-suspect", last.Header.Get("X-Reason"))
-	require.LessOrEqual(t, lostEngines(s), 2)
+	require.LessOrEqual(t, crashedEngines(s), 2)
 	for i := range nodes {
 		a := s.Do(i, http.MethodPost, chat, `{"model":"drafter","max_tokens":3,`+prompt+`}`)
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 	}
 }
 
-// TestInvariantCrashNeighbours shows that requests that ran beside one that
-// crashed its engine are served.
+// TestInvariantCrashNeighbours checks that requests that ran on the same engine as one that
+// crashed it are served.
 func TestInvariantCrashNeighbours(t *testing.T) {
 	t.Parallel()
 	doc := session.Small(t, 3, 1)
@@ -58,13 +58,13 @@
 	for _, name := range []string{"gpu-1", "gpu-2", "gpu-3"} {
 		s.Fault(s.Servers[name], "/fault", `{"crash-on":"POISON"}`)
 	}
-	before := runs(s)
+	before := generationsRun(s)
 	answers := make(chan session.Answer)
 	for i := range 6 {
 		body := fmt.Sprintf(`{"model":"drafter","max_tokens":150,"messages":[{"role":"user","content":"innocent %d"}]}`, i)
 		go func() { answers <- s.Do(i%2, http.MethodPost, chat, body) }()
 	}
-	s.Eventually("they run", func() bool { return runs(s) >= before+6 })
+	s.Eventually("the requests to run", func() bool { return generationsRun(s) >= before+6 })
 	a := s.Do(0, http.MethodPost, chat, `{"model":"drafter","max_tokens":20,"messages":[{"role":"user","content":"POISON"}]}`)
 	require.NotEqual(t, http.StatusOK, a.Status)
 	for range 6 {
@@ -72,10 +72,10 @@
 		require.NoError(t, b.Err)
 		require.Equal(t, http.StatusOK, b.Status, b.Body)
 	}
-	require.LessOrEqual(t, lostEngines(s), 2)
+	require.LessOrEqual(t, crashedEngines(s), 2)
 }
 
-func lostEngines(s *session.System) int {
+func crashedEngines(s *session.System) int {
 	n := 0
 	for _, p := range s.Servers {
 		if p.Ended() {
--- a/internal/testbed/session/document.go
+++ b/internal/testbed/session/document.go
@@ -12,9 +12,9 @@
 	"guavapaddle/core/config"
 )
 
-// Small returns a document with engines gpu-1 and so on, of which every second
-// one checks who gives orders, services desk-1 and so on, the models drafter
-// and checker, the adapter shire-style, and two teams.
+// Small returns a document with the engines gpu-1, gpu-2 and so on, the services desk-1,
+// desk-2 and so on, the models drafter and checker, the adapter shire-style, and two teams.
+// Engines with odd numbers check fencing numbers.
 func Small(t testing.TB, engines, services int) *config.Document {
 	var servers []string
 	for i := range engines {
@@ -26,18 +26,18 @@
 		servers = append(servers, fmt.Sprintf(`{"name":"desk-%d","type":"service","service":"bookings",
 			"address":"127.0.0.1:%d","data-centre":"dc%d","slots":64}`, i+1, 9201+i, i%2+1))
 	}
-	text := strings.NewReplacer("CREW", hash(Key), "RIVAL", hash(OtherKey), "SERVERS", strings.Join(servers, ",")).Replace(small)
+	text := strings.NewReplacer("CREW", keyHash(Key), "RIVAL", keyHash(OtherKey), "SERVERS", strings.Join(servers, ",")).Replace(smallTemplate)
 	doc, err := config.Parse([]byte(text))
 	require.NoError(t, err)
 	return doc
 }
 
-func hash(key string) string {
+func keyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-const small = `{
+const smallTemplate = `{
   "deployment": "small",
   "teams": [
     {"name": "crew", "key-hashes": ["CREW"], "models": ["*"], "services": ["bookings"],
--- a/internal/testbed/session/explain_test.go
+++ b/internal/testbed/session/explain_test.go
@@ -15,12 +15,12 @@
 	"guavapaddle/internal/testbed/session"
 )
 
-// volatile are the values of an explanation's fields that differ between runs.
-var volatile = regexp.MustCompile(`(revision|attempt|epoch|took|row)=\S+`)
+// volatileFields matches the fields of an explanation whose values differ between runs.
+var volatileFields = regexp.MustCompile(`(revision|attempt|epoch|took|row)=\S+`)
 
-// explained returns what the operators' command says of an answer's request,
-// one event a line, without times.
-func explained(t *testing.T, s *session.System, node int, a session.Answer) []string {
+// explainLines returns the output of the explain command for a response's request, one event
+// per line, without times.
+func explainLines(t *testing.T, s *session.System, node int, a session.Answer) []string {
 	code, out := s.Command("explain", "-nodes", s.Nodes[node].Address("operators"), "-output", "json", a.Header.Get("X-Request-ID"))
 	require.Equal(t, cli.ExitOK, code, out)
 	var e status.Explanation
@@ -36,8 +36,8 @@
 	return lines
 }
 
-// TestInvariantFaultSession is a whole session through a node's death and a
-// table outage, with what callers and operators see at each step.
+// TestInvariantFaultSession records what callers and operators see at each step of a session
+// that includes a node's death and a table outage.
 func TestInvariantFaultSession(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, session.Small(t, 1, 1), session.Options{Service: []string{"-work", "400ms"}})
@@ -47,7 +47,7 @@
 		return s.Do(node, http.MethodPost, "/bookings/confirm", fmt.Sprintf(`{"section":%q}`, key), "Idempotency-Key", key)
 	}
 	explain := func(node int, a session.Answer) {
-		r.Text(volatile.ReplaceAllString(strings.Join(explained(t, s, node, a), "\n"), "$1=..."))
+		r.Text(volatileFields.ReplaceAllString(strings.Join(explainLines(t, s, node, a), "\n"), "$1=..."))
 	}
 
 	r.Step("a booking through node 1")
@@ -56,7 +56,7 @@
 	r.Step("what operators are told of it")
 	explain(2, a)
 	r.Step("the same booking through node 2")
-	s.Eventually("the stored answer", func() bool { // as a rule at once
+	s.Eventually("the stored response", func() bool { // usually immediately
 		a = book(1, "B12")
 		return a.Status != http.StatusConflict
 	})
@@ -67,7 +67,7 @@
 	r.Step("node 1 dies while it has a booking")
 	first := make(chan session.Answer, 1)
 	go func() { first <- book(0, "B13") }()
-	s.Eventually("the booking runs", func() bool { return ranWith(s, `{"section":"B13"}`) == 1 })
+	s.Eventually("the booking to run", func() bool { return runsWithBody(s, `{"section":"B13"}`) == 1 })
 	s.Nodes[0].Kill()
 	r.Answer(<-first)
 	s.WaitNodes(2)
@@ -80,7 +80,7 @@
 	explain(1, a)
 
 	r.Step("the table is down: a booking through node 2")
-	s.Fault(s.Platform, "/fault/table", down)
+	s.Fault(s.Platform, "/fault/table", downFault)
 	a = book(1, "B14")
 	r.Answer(a)
 	r.Step("what operators are told of it")
@@ -95,22 +95,22 @@
 		return a.Header.Get("X-Reason") != "table-down"
 	})
 	r.Answer(a)
-	s.Eventually("the stored answer", func() bool {
+	s.Eventually("the stored response", func() bool {
 		a = book(2, "B14")
 		return a.Status != http.StatusConflict
 	})
 	r.Answer(a)
 	r.Step("runs by the service's own journal")
 	for _, key := range []string{"B12", "B13", "B14"} {
-		r.Text(fmt.Sprintf("%s: %d", key, ranWith(s, fmt.Sprintf(`{"section":%q}`, key))))
+		r.Text(fmt.Sprintf("%s: %d", key, runsWithBody(s, fmt.Sprintf(`{"section":%q}`, key))))
 	}
 	r.Compare(t, "faults")
 }
 
-// TestInvariantExplainForwarded shows that explain names server, owner and
-// epoch of a request that a node forwarded to the owner of an engine, as the
-// node that picked saw them and as the owner did, and that the log says which
-// lease the orders of an engine were given under.
+// TestInvariantExplainForwarded checks that, for a request that a node forwarded to the
+// owner of an engine, explain names the server, owner and epoch both as the node that picked
+// the server saw them and as the owner did, and that the log names the lease under which
+// orders were sent to the engine.
 func TestInvariantExplainForwarded(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, session.Small(t, 1, 1), session.Options{})
@@ -119,10 +119,10 @@
 	require.GreaterOrEqual(t, owner, 0)
 	entry := 1 - owner
 	var lines string
-	s.Eventually("a forwarded request", func() bool { // the owner may change once more
+	s.Eventually("a forwarded request", func() bool { // the owner may still change
 		a := s.Do(entry, http.MethodPost, chat, session.Whole("drafter", "who decided", 3))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
-		lines = strings.Join(explained(t, s, entry, a), "\n")
+		lines = strings.Join(explainLines(t, s, entry, a), "\n")
 		return strings.Contains(lines, " forwarded ")
 	})
 	picked := regexp.MustCompile(`(n\d) pick server=gpu-1 owner=(n\d) epoch=(\d+) reason=\S+`).FindStringSubmatch(lines)
--- a/internal/testbed/session/log_test.go
+++ b/internal/testbed/session/log_test.go
@@ -10,16 +10,16 @@
 	"guavapaddle/internal/testbed/session"
 )
 
-// TestInvariantUnreadLogHoldsNothingUp guards against a node that serves nobody any more,
-// and doesn't stop, once the reader of its log has stopped to read.
+// TestInvariantUnreadLogHoldsNothingUp guards against a node that blocks on writing its log,
+// and so neither serves requests nor stops, when the reader of the log has stopped reading.
 func TestInvariantUnreadLogHoldsNothingUp(t *testing.T) {
 	t.Parallel()
-	const requests = 1500 // their lines are more than the pipe holds
+	const requests = 1500 // their log lines exceed the capacity of the pipe
 	s := session.New(t, session.Small(t, 2, 1), session.Options{})
 	s.StartNodes(1)
 	node := s.Nodes[0]
 	node.RestartUnread()
-	s.Eventually("a request on the new node", func() bool {
+	s.Eventually("a successful request on the restarted node", func() bool {
 		return s.Do(0, http.MethodPost, chat, `{"model":"drafter","max_tokens":1,`+prompt+`}`).Status == http.StatusOK
 	})
 	for i := range requests {
--- a/internal/testbed/session/pair_test.go
+++ b/internal/testbed/session/pair_test.go
@@ -15,9 +15,9 @@
 	"guavapaddle/internal/testbed/session"
 )
 
-// TestInvariantPairTableOutageAndNodeDeath takes the table down while a booking
-// runs, kills the node that has it, and repeats it through all others in the
-// outage and after it: it ran once, and nobody is told otherwise.
+// TestInvariantPairTableOutageAndNodeDeath takes the table down while a booking runs, kills
+// the node that handles it, and repeats the call through all other nodes during the outage
+// and after it. The call must run once, and no response may say otherwise.
 func TestInvariantPairTableOutageAndNodeDeath(t *testing.T) {
 	t.Parallel()
 	const nodes, path, body, key = 4, "/bookings/cancel", `"pair"`, "pair"
@@ -25,16 +25,16 @@
 	s.StartNodes(nodes)
 	first := make(chan session.Answer, 1)
 	go func() { first <- s.Do(0, http.MethodPost, path, body, "Idempotency-Key", key) }()
-	s.Eventually("the call runs", func() bool { return ranWith(s, body) == 1 })
+	s.Eventually("the call to run", func() bool { return runsWithBody(s, body) == 1 })
 	s.Fault(s.Platform, "/fault/table", `{"black-hole":true}`)
 	s.Nodes[0].Kill()
-	others := without(nodes, 0)
+	others := allExcept(nodes, 0)
 	answers := append([]session.Answer{<-first}, s.Repeat(others, path, body, key)...)
 	for _, a := range answers[1:] {
-		refused(t, a, "table-down")
+		requireRefused(t, a, "table-down")
 	}
 	s.Fault(s.Platform, "/fault/table", "{}")
-	s.Eventually("claims can be read again", func() bool {
+	s.Eventually("claims to be readable again", func() bool {
 		more := s.Repeat(others, path, body, key)
 		answers = append(answers, more...)
 		for _, a := range more {
@@ -47,13 +47,13 @@
 	for _, a := range answers[len(answers)-len(others):] {
 		require.Equal(t, "unknown", a.Header.Get("X-Outcome"), a.Body)
 	}
-	atMostOnce(t, s, body, answers)
-	require.Equal(t, 1, ranWith(s, body))
+	requireAtMostOnce(t, s, body, answers)
+	require.Equal(t, 1, runsWithBody(s, body))
 }
 
-// TestInvariantPairLeavingServerAndSilentEngine makes one engine leave while
-// the connections to another go silent: streams at both end whole, requests are
-// served, and the leaving one gets no new work 3 s later.
+// TestInvariantPairLeavingServerAndSilentEngine makes one engine leave while the connections
+// to another go silent. Streams on both must complete, requests must be served, and the
+// leaving engine must get no new work 3 s later.
 func TestInvariantPairLeavingServerAndSilentEngine(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 3, 1)), session.Options{Platform: []string{"-vm-lag", "10s"}})
@@ -71,16 +71,16 @@
 	}
 	require.Len(t, streams, 3)
 	s.Fault(s.Servers["gpu-1"], "/fault", `{"leaving":true}`)
-	s.Fault(s.Servers["gpu-2"], "/fault", silent)
-	told := time.Now()
-	for i := 0; time.Since(told) < 3*time.Second; i++ {
-		within(t, endBound, func() session.Answer {
+	s.Fault(s.Servers["gpu-2"], "/fault", silentFault)
+	announced := time.Now()
+	for i := 0; time.Since(announced) < 3*time.Second; i++ {
+		requireServedWithin(t, endBound, func() session.Answer {
 			return s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("meanwhile ", i), 3))
 		})
 	}
 	before := s.Counters(s.Servers["gpu-1"])["runs"]
 	for i := range 12 {
-		within(t, atOnce, func() session.Answer {
+		requireServedWithin(t, promptBound, func() session.Answer {
 			return s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("after ", i), 3))
 		})
 	}
@@ -91,18 +91,18 @@
 	}
 }
 
-// TestInvariantPairPausedOwnerAndVersionChange freezes the owner of an engine
-// that does not check who gives orders in the middle of a version change under
-// load. The model answers at every moment through the other nodes, each answer
-// is of one version, and memory is never overcommitted.
+// TestInvariantPairPausedOwnerAndVersionChange freezes the owner of an engine that does not
+// check fencing numbers in the middle of a version change under load. The other nodes
+// must serve the model throughout, each response must come from a single version, and memory
+// must never be overcommitted.
 func TestInvariantPairPausedOwnerAndVersionChange(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, tight(t), session.Options{Engine: map[string][]string{"": {"-load-base", "500ms"}}})
+	s := session.New(t, tightMemoryDocument(t), session.Options{Engine: map[string][]string{"": {"-load-base", "500ms"}}})
 	s.StartNodes(3)
-	t.Cleanup(func() { sound(t, s) })
+	t.Cleanup(func() { requireMemoryBounds(t, s) })
 	paused := s.Owner(0, "gpu-2")
 	require.GreaterOrEqual(t, paused, 0)
-	others := without(3, paused)
+	others := allExcept(3, paused)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -130,15 +130,15 @@
 		})
 	}
 	before := s.Counters(s.Servers["gpu-2"])["orders"]
-	version(t, s, "2")
-	ordered(s, "gpu-2", before)
+	applyVersion(t, s, "2")
+	awaitOrder(s, "gpu-2", before)
 	s.Nodes[paused].Signal(syscall.SIGSTOP)
-	s.Eventually("another owner", func() bool {
+	s.Eventually("a new owner of gpu-2", func() bool {
 		owner := s.Owner(others[0], "gpu-2")
 		return owner >= 0 && owner != paused
 	})
 	s.Nodes[paused].Signal(syscall.SIGCONT)
-	settledAt(t, s, others[0], "2")
+	awaitVersion(t, s, others[0], "2")
 	close(stop)
 	wg.Wait()
 	require.Len(t, versions, 2, "%v", versions)
@@ -146,16 +146,17 @@
 	require.Positive(t, versions["2"], "%v", versions)
 }
 
-// TestInvariantPairLostAnswersAndSilentService loses answers of the table while
-// the connections to a service go silent, under repeated bookings.
+// TestInvariantPairLostAnswersAndSilentService loses responses of the table while the
+// connections to a service go silent, under repeated bookings. Each booking must run at most
+// once.
 func TestInvariantPairLostAnswersAndSilentService(t *testing.T) {
 	t.Parallel()
 	const nodes = 3
 	s := session.New(t, session.Small(t, 1, 2), session.Options{Service: []string{"-work", "100ms"}})
-	between := s.Between()
+	proxy := s.Between()
 	s.StartNodes(nodes)
 	var lost sync.Map
-	between.Claims(claim.Claimed, func(c claim.Claim) session.Fate { // each first insert loses its answer
+	proxy.Claims(claim.Claimed, func(c claim.Claim) session.Fate { // the response to each attempt's first insert is lost
 		if _, again := lost.LoadOrStore(c.Attempt, true); !again {
 			return session.Lose
 		}
@@ -170,16 +171,16 @@
 	for i := range all {
 		wg.Go(func() {
 			body := fmt.Sprintf(`{"pair":%d}`, i)
-			one := func(node int) session.Answer {
+			post := func(node int) session.Answer {
 				return s.Do(node, http.MethodPost, "/bookings/confirm", body, "Idempotency-Key", body, "X-Deadline-Ms", "3000")
 			}
-			all[i] = booked{body: body, answers: []session.Answer{one(i % nodes), one((i + 1) % nodes), one(i % nodes)}}
+			all[i] = booked{body: body, answers: []session.Answer{post(i % nodes), post((i + 1) % nodes), post(i % nodes)}}
 		})
 	}
-	s.Eventually("bookings run", func() bool { return len(s.Journal()) > 2 })
-	s.Fault(s.Servers["desk-1"], "/fault", silent)
+	s.Eventually("bookings to run", func() bool { return len(s.Journal()) > 2 })
+	s.Fault(s.Servers["desk-1"], "/fault", silentFault)
 	wg.Wait()
 	for _, b := range all {
-		atMostOnce(t, s, b.body, append(b.answers, s.Repeat(without(nodes, -1), "/bookings/confirm", b.body, b.body)...))
+		requireAtMostOnce(t, s, b.body, append(b.answers, s.Repeat(allExcept(nodes, -1), "/bookings/confirm", b.body, b.body)...))
 	}
 }
--- a/internal/testbed/session/platform_test.go
+++ b/internal/testbed/session/platform_test.go
@@ -15,10 +15,10 @@
 	"guavapaddle/io/vmlist"
 )
 
-// TestInvariantPlatformOutage takes table and object store down for longer than
-// a lease lasts. Traffic goes on, a node that starts gets its configuration
-// from its peers, bookings are refused as not run and did not run, and all
-// catches up afterwards.
+// TestInvariantPlatformOutage takes the table and the object store down for longer than a
+// lease lasts. Model traffic must continue, a node that starts must get its configuration
+// from its peers, bookings must be refused as not run without running, and bookings must be
+// accepted again afterwards.
 func TestInvariantPlatformOutage(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
@@ -42,7 +42,7 @@
 		}
 	}
 	require.Equal(t, 0, s.Runs("desk-1", "/bookings/confirm"))
-	s.Eventually("configuration from peers", func() bool {
+	s.Eventually("the configuration from peers", func() bool {
 		r, err := s.Status(2)
 		return err == nil && r.ConfigVersion == 1 && r.Ready
 	})
@@ -58,9 +58,10 @@
 	require.Equal(t, 1, s.Runs("desk-1", "/bookings/confirm"))
 }
 
-// TestInvariantOperatorsRaceProcesses lets eight operators apply at once while
-// every second answer of the table is lost. Exactly one history results, each
-// is told the truth, and all nodes have the newest within seconds.
+// TestInvariantOperatorsRaceProcesses lets eight operators apply documents concurrently
+// while four responses of the table are lost. Exactly one history must result, each operator
+// must get the correct result, and all nodes must have the newest version when the commands
+// return.
 func TestInvariantOperatorsRaceProcesses(t *testing.T) {
 	t.Parallel()
 	const operators = 8
@@ -73,7 +74,7 @@
 	for i := range operators {
 		wg.Go(func() {
 			doc := *s.Document
-			doc.Placement.MovePrice = float64(i + 100) // none is the one in force
+			doc.Placement.MovePrice = float64(i + 100) // differs from the value in force
 			codes[i], outs[i] = s.ApplyBase(fmt.Sprint("operator-", i), &doc, 1)
 		})
 	}
@@ -84,12 +85,12 @@
 		case 0:
 			won++
 		case 3:
-			require.Contains(t, outs[i], "operator-", "names the winner")
+			require.Contains(t, outs[i], "operator-", "must name the winner")
 		default:
 			require.Fail(t, "unexpected exit", "%d %s", code, outs[i])
 		}
 	}
-	require.Equal(t, 1, won, "one of all that saw version 1 wins: %v", codes)
+	require.Equal(t, 1, won, "exactly one of the operators that saw version 1 must win: %v", codes)
 	hashes := map[string]bool{}
 	for i := range s.Nodes {
 		r, err := s.Status(i)
@@ -100,19 +101,19 @@
 	require.Len(t, hashes, 1)
 }
 
-// TestInvariantLeavingServer makes an engine leave while the VM list lags by 10
-// s. Three seconds after the engine has said so, it gets no new work.
+// TestInvariantLeavingServer makes an engine leave while the VM list lags by 10 s. Three
+// seconds after the engine has announced it, the engine must get no new work.
 func TestInvariantLeavingServer(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 3, 1)), session.Options{Platform: []string{"-vm-lag", "10s"}})
 	s.StartNodes(3)
-	running := s.Stream(0, session.Chat("drafter", "goes on", long))
+	running := s.Stream(0, session.Chat("drafter", "goes on", streamTokens))
 	require.True(t, running.Read(3))
 	server := running.Last[strings.LastIndex(running.Last, ".")+1:]
 	s.Fault(s.Servers[server], "/fault", `{"leaving":true}`)
-	told := time.Now()
+	announced := time.Now()
 	served := 0
-	for i := 0; time.Since(told) < 3*time.Second; i++ {
+	for i := 0; time.Since(announced) < 3*time.Second; i++ {
 		a := s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("leaving ", i), 3))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		served++
@@ -125,20 +126,20 @@
 	}
 	require.Equal(t, before, s.Counters(s.Servers[server])["runs"])
 	require.True(t, running.Read(-1), running.Error)
-	require.Equal(t, session.Expect("drafter@1", "goes on", long), running.Tokens)
+	require.Equal(t, session.Expect("drafter@1", "goes on", streamTokens), running.Tokens)
 }
 
-// TestInvariantLeavingByVMList lets only the VM list say that an engine leaves,
-// with a lag of 2 s. Three seconds after any node has read it, the engine gets
-// no new work, though it would take it.
+// TestInvariantLeavingByVMList announces that an engine leaves only through the VM list,
+// with a lag of 2 s. Three seconds after the first node has read it, the engine must get no
+// new work, although it would accept it.
 func TestInvariantLeavingByVMList(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{Platform: []string{"-vm-lag", "2s"}})
 	s.StartNodes(3)
 	s.SetVM("gpu-1", "engine", vmlist.Leaving)
-	s.Eventually("some node has noticed", func() bool {
+	s.Eventually("a node to see gpu-1 as leaving", func() bool {
 		for i := range s.Nodes {
-			if r, err := s.Status(i); err == nil && leaves(r, "gpu-1") {
+			if r, err := s.Status(i); err == nil && isLeaving(r, "gpu-1") {
 				return true
 			}
 		}
@@ -157,8 +158,8 @@
 	require.Equal(t, before, s.Counters(s.Servers["gpu-1"])["runs"])
 }
 
-// leaves tells whether a node believes that a server leaves.
-func leaves(r status.Report, server string) bool {
+// isLeaving reports whether a node's status shows a server as leaving.
+func isLeaving(r status.Report, server string) bool {
 	for _, v := range r.Servers {
 		if v.Server == server {
 			return v.Leaving
@@ -167,14 +168,14 @@
 	return false
 }
 
-// TestInvariantVersionChange changes the version of a model on full engines
-// under load. The model answers at every moment, and every answer is of one
+// TestInvariantVersionChange changes the version of a model on nearly full engines under
+// load. The model must be served throughout, and every response must come from a single
 // version.
 func TestInvariantVersionChange(t *testing.T) {
 	t.Parallel()
 	doc := session.Small(t, 2, 1)
 	for i := range doc.Servers {
-		if doc.Servers[i].MemoryBytes > 0 { // room for one version of all and little more
+		if doc.Servers[i].MemoryBytes > 0 { // room for one version of every item and little more
 			doc.Servers[i].MemoryBytes = 4_000_000_000 + 8_800_000_000 + 4_400_000_000 + 500_000_000 + 9_000_000_000
 		}
 	}
@@ -214,25 +215,26 @@
 	code, out := s.Apply(s.Document)
 	require.Equal(t, 0, code, out)
 	s.WaitResident()
-	s.Eventually("old version is gone", func() bool { return held(t, s, "drafter", "1") == 0 })
+	s.Eventually("the old version to be unloaded", func() bool { return residentCopies(t, s, "drafter", "1") == 0 })
 	close(stop)
 	wg.Wait()
 	require.Empty(t, wrong)
 	require.Positive(t, versions["1"])
 	for _, p := range s.Servers {
 		require.Zero(t, s.Counters(p)["memory-violations"])
-		require.Zero(t, s.Counters(p)["overcommit-refused"], "no order was given that did not fit")
+		require.Zero(t, s.Counters(p)["overcommit-refused"], "an order did not fit into memory")
 	}
 }
 
-// held returns how many servers hold a version of an item by the first node.
-func held(t *testing.T, s *session.System, name, version string) int {
+// residentCopies returns how many servers hold a version of an item in the first node's
+// view.
+func residentCopies(t *testing.T, s *session.System, name, version string) int {
 	r, err := s.Status(0)
 	require.NoError(t, err)
-	return count(r, name, version)
+	return countResident(r, name, version)
 }
 
-func count(r status.Report, name, version string) int {
+func countResident(r status.Report, name, version string) int {
 	n := 0
 	for _, v := range r.Servers {
 		for _, i := range v.Resident {
--- a/internal/testbed/session/process.go
+++ b/internal/testbed/session/process.go
@@ -29,21 +29,21 @@
 	err  error
 }
 
-// Process is a process that this test started.
+// Process is a process started by a test.
 type Process struct {
 	Name string
 
-	t      testing.TB
-	cmd    *exec.Cmd
-	args   []string
-	out    string       // file of its standard output, of all its lives
-	errors lockedBuffer // standard error
-	ready  map[string]string
-	ended  chan struct{}
-	code   int
+	t           testing.TB
+	cmd         *exec.Cmd
+	args        []string
+	outputFile  string       // file with the standard output of all its incarnations
+	stderr      lockedBuffer // standard error of all its incarnations
+	readyFields map[string]string
+	exited      chan struct{}
+	exitCode    int
 }
 
-// build builds the programs once and returns their directory.
+// build builds the programs once per test binary and returns their directory.
 func build(t testing.TB) string {
 	programs.once.Do(func() {
 		programs.dir, programs.err = os.MkdirTemp("", "guavapaddle-session-")
@@ -51,22 +51,22 @@
 			return
 		}
 		cmd := exec.Command("go", "build", "-o", programs.dir, "./cmd/guavapaddle", "./cmd/standin")
-		cmd.Dir = root(t)
+		cmd.Dir = moduleRoot(t)
 		programs.out, programs.err = cmd.CombinedOutput()
 	})
 	require.NoError(t, programs.err, string(programs.out))
 	return programs.dir
 }
 
-// Cleanup removes what was built. TestMain calls it.
+// Cleanup removes the built programs. TestMain calls it.
 func Cleanup() {
 	if programs.dir != "" {
 		_ = os.RemoveAll(programs.dir)
 	}
 }
 
-// root returns the module's directory.
-func root(t testing.TB) string {
+// moduleRoot returns the module's root directory.
+func moduleRoot(t testing.TB) string {
 	dir, err := os.Getwd()
 	require.NoError(t, err)
 	for {
@@ -79,10 +79,10 @@
 	}
 }
 
-// start runs a program and waits until it listens. The process is killed at
-// the end of the test if it still runs.
+// start runs a program and waits until it listens. A process that is still running at the
+// end of the test is killed.
 func start(t testing.TB, name, program string, args ...string) *Process {
-	p := &Process{Name: name, t: t, out: filepath.Join(t.TempDir(), "output"),
+	p := &Process{Name: name, t: t, outputFile: filepath.Join(t.TempDir(), "output"),
 		args: append([]string{filepath.Join(build(t), program)}, args...)}
 	p.launch(p.openOutput())
 	t.Cleanup(p.Kill)
@@ -90,85 +90,86 @@
 	return p
 }
 
-// openOutput opens the file of the process's output. It is a file and not a
-// pipe, whose reader may be behind: a test that has seen an effect of the
-// process finds the line that was written before it.
+// openOutput opens the output file. A file is used because the reader of a pipe may lag
+// behind: a test that has observed an effect of the process must find the lines that were
+// written before it.
 func (p *Process) openOutput() *os.File {
-	out, err := os.OpenFile(p.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	outputFile, err := os.OpenFile(p.outputFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	require.NoError(p.t, err)
-	return out
+	return outputFile
 }
 
-// launch starts the process with an output, which is closed on this side.
+// launch starts the process with the given output file, whose descriptor it closes in this
+// process.
 func (p *Process) launch(out *os.File) {
 	defer func() { _ = out.Close() }()
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
 	p.cmd.Stdout = out
-	p.cmd.Stderr = &p.errors
-	// A test that panics or times out leaves no process behind.
+	p.cmd.Stderr = &p.stderr
+	// Kills the process if the test panics or times out.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	require.NoError(p.t, p.cmd.Start())
-	p.ended = make(chan struct{})
+	p.exited = make(chan struct{})
 	go func() {
 		_ = p.cmd.Wait()
-		p.code = p.cmd.ProcessState.ExitCode()
-		close(p.ended)
+		p.exitCode = p.cmd.ProcessState.ExitCode()
+		close(p.exited)
 	}()
 }
 
-// awaitReady waits until the process listens, and finds its addresses in what
-// it has printed beyond the bytes of its earlier lives.
-func (p *Process) awaitReady(earlier int) {
+// awaitReady waits until the process listens and reads its addresses from its output, of
+// which the first skip bytes belong to earlier incarnations.
+func (p *Process) awaitReady(skip int) {
 	timeout := time.NewTimer(startTimeout)
 	defer timeout.Stop()
-	look := time.NewTicker(readyPoll)
-	defer look.Stop()
+	poll := time.NewTicker(readyPoll)
+	defer poll.Stop()
 	for {
-		for line := range strings.Lines(p.output()[earlier:]) {
-			if f := fields(strings.TrimSuffix(line, "\n")); f["event"] == readyEvent && strings.HasSuffix(line, "\n") {
-				p.ready = f
+		for line := range strings.Lines(p.output()[skip:]) {
+			if f := parseLogfmt(strings.TrimSuffix(line, "\n")); f["event"] == readyEvent && strings.HasSuffix(line, "\n") {
+				p.readyFields = f
 				return
 			}
 		}
 		select {
-		case <-look.C:
-		case <-p.ended:
-			require.Fail(p.t, "process ended", "%s: %s", p.Name, p.Log())
+		case <-poll.C:
+		case <-p.exited:
+			require.Fail(p.t, "process exited before it listened", "%s: %s", p.Name, p.Log())
 		case <-timeout.C:
-			require.Fail(p.t, "process does not listen", "%s: %s", p.Name, p.Log())
+			require.Fail(p.t, "process does not listen in time", "%s: %s", p.Name, p.Log())
 		}
 	}
 }
 
 // output returns the process's standard output.
 func (p *Process) output() string {
-	b, err := os.ReadFile(p.out)
+	b, err := os.ReadFile(p.outputFile)
 	require.NoError(p.t, err)
 	return string(b)
 }
 
-// lockedBuffer collects what a process writes.
+// lockedBuffer collects the output of a process; it is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-// Write adds to the buffer.
+// Write appends to the buffer.
 func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-// String returns what was written.
+// String returns everything written so far.
 func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// fields splits a logfmt line. Quoted values keep their spaces.
-func fields(line string) map[string]string {
+// parseLogfmt parses a logfmt line. Quoted values keep their spaces.
+func parseLogfmt(line string) map[string]string {
 	out := map[string]string{}
 	for line != "" {
 		key, rest, ok := strings.Cut(strings.TrimLeft(line, " "), "=")
@@ -190,12 +191,12 @@
 	return out
 }
 
-// Address returns an address from the line that the process began with.
-func (p *Process) Address(field string) string { return p.ready[field] }
+// Address returns an address from the line that the process printed when it was ready.
+func (p *Process) Address(field string) string { return p.readyFields[field] }
 
-// Log returns what the process has printed.
+// Log returns the standard output and standard error of all incarnations of the process.
 func (p *Process) Log() string {
-	return p.output() + p.errors.String()
+	return p.output() + p.stderr.String()
 }
 
 // Signal sends a signal to the process.
@@ -203,54 +204,54 @@
 	require.NoError(p.t, p.cmd.Process.Signal(s))
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process, also a stopped one, and waits for its exit.
 func (p *Process) Kill() {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return
 	default:
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
 
-// Terminate asks the process to stop and returns its exit code.
+// Terminate sends SIGTERM to the process, waits for its exit and returns its exit code.
 func (p *Process) Terminate() int {
 	p.Signal(syscall.SIGTERM)
 	return p.Wait()
 }
 
-// Wait waits for the end of the process and returns its exit code.
+// Wait waits for the process to exit and returns its exit code.
 func (p *Process) Wait() int {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(stopTimeout):
-		require.Fail(p.t, "process does not end", "%s: %s", p.Name, p.Log())
+		require.Fail(p.t, "process does not exit in time", "%s: %s", p.Name, p.Log())
 	}
-	return p.code
+	return p.exitCode
 }
 
-// Ended tells whether the process has ended.
+// Ended reports whether the process has exited.
 func (p *Process) Ended() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// Restart starts a process anew, with the same arguments.
+// Restart kills the process and starts it again with the same arguments.
 func (p *Process) Restart() {
 	p.Kill()
-	earlier := len(p.output())
+	printed := len(p.output())
 	p.launch(p.openOutput())
-	p.awaitReady(earlier)
+	p.awaitReady(printed)
 }
 
-// RestartUnread starts a process anew. Its output is read until it listens, and
-// then no more.
+// RestartUnread restarts the process with a pipe as its output, which is read only until the
+// process listens.
 func (p *Process) RestartUnread() {
 	p.Kill()
 	r, w, err := os.Pipe()
@@ -259,15 +260,15 @@
 	p.launch(w)
 	lines := bufio.NewReaderSize(r, 1)
 	require.NoError(p.t, r.SetReadDeadline(time.Now().Add(startTimeout)))
-	for p.ready = nil; p.ready["event"] != readyEvent; {
+	for p.readyFields = nil; p.readyFields["event"] != readyEvent; {
 		line, err := lines.ReadString('\n')
 		require.NoError(p.t, err)
-		p.ready = fields(strings.TrimSuffix(line, "\n"))
+		p.readyFields = parseLogfmt(strings.TrimSuffix(line, "\n"))
 	}
 }
 
-// RestartAndStop starts a process anew and asks it to stop after a delay,
-// whether it listens by then or not.
+// RestartAndStop restarts the process and sends it SIGTERM after a delay, whether or not it
+// listens by then.
 func (p *Process) RestartAndStop(after time.Duration) {
 	p.Kill()
 	p.launch(p.openOutput())
--- a/internal/testbed/session/proxy.go
+++ b/internal/testbed/session/proxy.go
@@ -19,50 +19,51 @@
 type Fate int
 
 const (
-	// Pass lets a transaction through and its answer back.
+	// Pass forwards the transaction and its response.
 	Pass Fate = iota
-	// Drop breaks the connection; the transaction does not reach the table.
+	// Drop closes the connection; the transaction does not reach the table.
 	Drop
-	// Lose breaks the connection after the transaction took effect.
+	// Lose closes the connection after the transaction took effect.
 	Lose
 )
 
-// Proxy stands between the nodes and the table of a System. Decide is asked
-// about each transaction before it goes on and may block.
+// Proxy forwards calls from the nodes to the table of a System. The function set by Decide
+// chooses what happens to each transaction before it is forwarded, and may block.
 type Proxy struct {
 	table string
 
-	mu     sync.Mutex
-	decide func(tx row.Tx) Fate
-	lost   chan struct{} // a transaction took effect whose answer is lost
+	mu            sync.Mutex
+	decide        func(tx row.Tx) Fate
+	lostResponses chan struct{} // receives a value when a transaction took effect whose response is lost
 }
 
-// lostMost bounds the lost answers that nobody waits for.
-const lostMost = 64
+// maxLostResponses limits the lost responses that are pending for AwaitLost.
+const maxLostResponses = 64
 
-// Between puts a Proxy before the table of nodes that start from now on.
+// Between starts a Proxy in front of the table. Nodes that start afterwards use it.
 func (s *System) Between() *Proxy {
-	p := &Proxy{table: s.Platform.Address("address"), lost: make(chan struct{}, lostMost)}
+	p := &Proxy{table: s.Platform.Address("address"), lostResponses: make(chan struct{}, maxLostResponses)}
 	server := httptest.NewServer(p)
 	s.t.Cleanup(server.Close)
 	s.Table = strings.TrimPrefix(server.URL, "http://")
 	return p
 }
 
-// Decide sets what happens to transactions from now on, nil for nothing.
+// Decide sets the function that chooses what happens to subsequent transactions; nil
+// forwards all of them.
 func (p *Proxy) Decide(f func(tx row.Tx) Fate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.decide = f
 }
 
-// AwaitLost waits until a transaction of fate Lose has taken effect. A node
-// that was killed meanwhile breaks its caller's connection before that, so what
-// the caller sees doesn't tell.
-func (p *Proxy) AwaitLost() { <-p.lost }
+// AwaitLost waits until a transaction with fate Lose has taken effect. A node that is killed
+// in the meantime breaks its caller's connection earlier, so the caller's view doesn't show
+// whether the transaction took effect.
+func (p *Proxy) AwaitLost() { <-p.lostResponses }
 
-// Claims decides about transactions that bring a claim into a state, whose
-// request they are for, and lets all others through.
+// Claims calls f for transactions that move a claim into the given state, and forwards all
+// others.
 func (p *Proxy) Claims(state claim.State, f func(c claim.Claim) Fate) {
 	p.Decide(func(tx row.Tx) Fate {
 		for _, w := range tx.Writes {
@@ -75,17 +76,17 @@
 	})
 }
 
-// ServeHTTP forwards one call.
+// ServeHTTP forwards one call to the table.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	fate := Pass
+	action := Pass
 	if strings.HasSuffix(r.URL.Path, "/transact") {
-		fate = p.fate(body)
+		action = p.action(body)
 	}
-	if fate == Drop {
+	if action == Drop {
 		panic(http.ErrAbortHandler)
 	}
 	resp, err := http.Post("http://"+p.table+r.URL.Path, r.Header.Get("Content-Type"), bytes.NewReader(body))
@@ -94,21 +95,21 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(resp.Body)
-	if fate == Lose {
+	if action == Lose {
 		select {
-		case p.lost <- struct{}{}:
+		case p.lostResponses <- struct{}{}:
 		default:
 		}
 	}
-	if err != nil || fate == Lose {
+	if err != nil || action == Lose {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(resp.StatusCode)
 	_, _ = w.Write(answer)
 }
 
-// fate decides about a transaction.
-func (p *Proxy) fate(body []byte) Fate {
+// action returns what to do with a transaction.
+func (p *Proxy) action(body []byte) Fate {
 	p.mu.Lock()
 	decide := p.decide
 	p.mu.Unlock()
@@ -119,7 +120,7 @@
 	return decide(tx)
 }
 
-// Repeat sends the same call to all given nodes at once.
+// Repeat sends the same call to all given nodes concurrently.
 func (s *System) Repeat(nodes []int, path, body, key string) []Answer {
 	answers := make([]Answer, len(nodes))
 	var wg sync.WaitGroup
--- a/internal/testbed/session/session_test.go
+++ b/internal/testbed/session/session_test.go
@@ -21,8 +21,8 @@
 	os.Exit(code)
 }
 
-// TestSession runs one whole session: two nodes, two engines, a service and
-// the platform, each a process of its own.
+// TestSession runs a complete session: two nodes, two engines, a service and the platform,
+// each in its own process.
 func TestSession(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, session.Small(t, 2, 1), session.Options{})
@@ -53,7 +53,7 @@
 	r.Answer(s.Do(0, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1"))
 	r.Step("the same booking through the other node")
 	var again session.Answer
-	s.Eventually("stored answer", func() bool {
+	s.Eventually("the stored response", func() bool {
 		again = s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1")
 		return again.Status != http.StatusConflict
 	})
--- a/internal/testbed/session/silent_test.go
+++ b/internal/testbed/session/silent_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	silent = `{"silent":true}`
-	// endBound is far above what a request may take that meets a silence, and
-	// atOnce far above what one takes that meets none, also on a busy machine.
-	endBound = 25 * time.Second
-	atOnce   = 3 * time.Second
+	silentFault = `{"silent":true}`
+	// endBound is far longer than a request that meets a silent connection may take, and
+	// promptBound far longer than one that meets none, even on a busy machine.
+	endBound    = 25 * time.Second
+	promptBound = 3 * time.Second
 )
 
-// withRecords returns doc with its last server serving records, which may be
-// repeated and go over connections that are used again.
+// withRecords returns doc with its last server serving the service "records", whose calls
+// are repeatable and use kept-alive connections.
 func withRecords(doc *config.Document) *config.Document {
 	doc.Services = append(doc.Services, config.PlainService{
 		Name: "records", Path: "/records/",
@@ -37,20 +37,20 @@
 	return doc
 }
 
-// within demands that an answer came within a bound, and is done.
-func within(t *testing.T, bound time.Duration, ask func() session.Answer) {
+// requireServedWithin checks that a request succeeds within a time limit.
+func requireServedWithin(t *testing.T, bound time.Duration, send func() session.Answer) {
 	t.Helper()
 	begin := time.Now()
-	a := ask()
+	a := send()
 	require.NoError(t, a.Err)
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
 	require.Less(t, time.Since(begin), bound)
 }
 
-// TestInvariantSilentConnections makes the open connections of one hop after
-// the other go silent for good while new ones work: engines, services, table
-// and objects. What is in flight ends well or with a true outcome, and what
-// comes later is served at once.
+// TestInvariantSilentConnections makes the open connections of one hop after another go
+// silent permanently while new connections work: to engines, services, the table and the
+// object store. Requests in flight must complete or end with a correct outcome, and later
+// requests must be served promptly.
 func TestInvariantSilentConnections(t *testing.T) {
 	t.Parallel()
 	for name, hops := range map[string][]hop{
@@ -60,16 +60,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			silence(t, hops)
+			testSilentHops(t, hops)
 		})
 	}
 }
 
-// hop is a stand-in and the path of its faults.
+// hop is a stand-in and the path for setting its faults.
 type hop struct{ name, path string }
 
-// warm opens several connections of each node to each server.
-func warm(t *testing.T, s *session.System) {
+// openConnections opens several connections from each node to each server.
+func openConnections(t *testing.T, s *session.System) {
 	var wg sync.WaitGroup
 	answers := make(chan session.Answer, 64)
 	for node := range s.Nodes {
@@ -85,8 +85,8 @@
 	}
 }
 
-// silence makes hops go silent, one after the other.
-func silence(t *testing.T, hops []hop) {
+// testSilentHops makes the connections of the hops go silent, one hop after another.
+func testSilentHops(t *testing.T, hops []hop) {
 	s := session.New(t, withRecords(allCopies(session.Small(t, 2, 2))), session.Options{Service: []string{"-work", "50ms"}})
 	s.StartNodes(2)
 	read := func(node int) func() session.Answer {
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, hop := range hops {
-		warm(t, s)
+		openConnections(t, s)
 		p := s.Platform
 		if hop.name != "platform" {
 			p = s.Servers[hop.name]
@@ -113,34 +113,34 @@
 			streams[i] = s.Stream(i%2, session.Chat("drafter", fmt.Sprint(hop, i), 60))
 			require.True(t, streams[i].Read(1), streams[i].Error)
 		}
-		s.Fault(p, hop.path, silent)
+		s.Fault(p, hop.path, silentFault)
 		begin := time.Now()
-		for node := range s.Nodes { // the first that may meet a silent connection
-			within(t, endBound, read(node))
-			within(t, endBound, book(node, hop.name+hop.path+fmt.Sprint(node)))
-			within(t, endBound, draft(node, node))
+		for node := range s.Nodes { // the first requests that may meet a silent connection
+			requireServedWithin(t, endBound, read(node))
+			requireServedWithin(t, endBound, book(node, hop.name+hop.path+fmt.Sprint(node)))
+			requireServedWithin(t, endBound, draft(node, node))
 		}
 		for i, st := range streams {
 			require.True(t, st.Read(-1), "%s: %v %s", hop, st.Err, st.Error)
 			require.Equal(t, session.Expect("drafter@1", fmt.Sprint(hop, i), 60), st.Tokens)
 		}
 		require.Less(t, time.Since(begin), endBound, hop)
-		t.Logf("%s: all ended after %v", hop, time.Since(begin).Round(time.Millisecond))
+		t.Logf("%s: all requests ended after %v", hop, time.Since(begin).Round(time.Millisecond))
 		for i := range 4 {
-			within(t, atOnce, read(i%2))
-			within(t, atOnce, book(i%2, "later "+hop.name+hop.path+fmt.Sprint(i)))
-			within(t, atOnce, draft(i%2, i))
+			requireServedWithin(t, promptBound, read(i%2))
+			requireServedWithin(t, promptBound, book(i%2, "later "+hop.name+hop.path+fmt.Sprint(i)))
+			requireServedWithin(t, promptBound, draft(i%2, i))
 		}
 		begin = time.Now()
-		warm(t, s) // many at once use all connections that are kept
-		require.Less(t, time.Since(begin), atOnce)
+		openConnections(t, s) // concurrent requests use all kept-alive connections
+		require.Less(t, time.Since(begin), promptBound)
 		s.Fault(p, hop.path, "{}")
 	}
 }
 
-// TestInvariantSilentBooking makes the connection of a booking go silent while
-// the service works on it: its caller is told that its fate is unknown, as are
-// all who repeat it, it ran once, and the next booking is served at once.
+// TestInvariantSilentBooking makes the connection of a booking go silent while the service
+// processes it. Its caller and all that repeat it must get the outcome unknown, the booking
+// must run once, and the next booking must be served promptly.
 func TestInvariantSilentBooking(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, session.Small(t, 1, 1), session.Options{Service: []string{"-work", "300ms"}})
@@ -149,30 +149,30 @@
 	go func() {
 		first <- s.Do(0, http.MethodPost, "/bookings/confirm", `"one"`, "Idempotency-Key", "one", "X-Deadline-Ms", "2000")
 	}()
-	s.Eventually("the booking runs", func() bool { return ranWith(s, `"one"`) == 1 })
-	s.Fault(s.Servers["desk-1"], "/fault", silent)
-	within(t, atOnce, func() session.Answer {
+	s.Eventually("the booking to run", func() bool { return runsWithBody(s, `"one"`) == 1 })
+	s.Fault(s.Servers["desk-1"], "/fault", silentFault)
+	requireServedWithin(t, promptBound, func() session.Answer {
 		return s.Do(1, http.MethodPost, "/bookings/confirm", `"two"`, "Idempotency-Key", "two")
 	})
 	answers := append(s.Repeat([]int{0, 1}, "/bookings/confirm", `"one"`, "one"), <-first)
-	atMostOnce(t, s, `"one"`, answers)
+	requireAtMostOnce(t, s, `"one"`, answers)
 	for _, a := range answers {
 		require.Equal(t, "unknown", a.Header.Get("X-Outcome"), a.Body)
 	}
 }
 
-// TestInvariantSilentNode freezes a node that owns engines. Requests that other
-// nodes forward to it are served in another way, and later ones at once.
+// TestInvariantSilentNode freezes a node that owns engines. Requests that other nodes
+// forward to it must be served in another way, and later requests promptly.
 func TestInvariantSilentNode(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
 	s.StartNodes(3)
 	frozen := s.Owner(0, "gpu-1")
 	require.GreaterOrEqual(t, frozen, 0)
-	others := without(3, frozen)
-	for _, i := range others { // connections between nodes
+	others := allExcept(3, frozen)
+	for _, i := range others { // opens connections between nodes
 		for k := range 4 {
-			within(t, atOnce, func() session.Answer {
+			requireServedWithin(t, promptBound, func() session.Answer {
 				return s.Do(i, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("warm ", k), 3))
 			})
 		}
@@ -192,20 +192,20 @@
 	}
 	require.Less(t, time.Since(begin), endBound)
 	for k := range 8 {
-		within(t, atOnce, func() session.Answer {
+		requireServedWithin(t, promptBound, func() session.Answer {
 			return s.Do(others[k%2], http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("later ", k), 5))
 		})
 	}
 	s.Nodes[frozen].Signal(syscall.SIGCONT)
 	s.WaitNodes(3)
-	within(t, atOnce, func() session.Answer {
+	requireServedWithin(t, promptBound, func() session.Answer {
 		return s.Do(frozen, http.MethodPost, chat, session.Whole("drafter", "awake", 5))
 	})
 }
 
-// TestInvariantSilentCaller leaves connections of callers silent: one in the
-// middle of a request, one that reads nothing of its stream. Others are served
-// at once, and the node stops gracefully although both stay open.
+// TestInvariantSilentCaller leaves two callers' connections silent: one in the middle of a
+// request, one that reads nothing of its stream. Other callers must be served promptly, and
+// the node must stop gracefully although both connections stay open.
 func TestInvariantSilentCaller(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 1, 1)), session.Options{})
@@ -223,7 +223,7 @@
 		require.NoError(t, err)
 	}
 	for i := range 5 {
-		within(t, atOnce, func() session.Answer {
+		requireServedWithin(t, promptBound, func() session.Answer {
 			return s.Do(0, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("beside ", i), 5))
 		})
 	}
--- a/internal/testbed/session/stop_test.go
+++ b/internal/testbed/session/stop_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// stopWithin is how long the platform waits from SIGTERM to SIGKILL.
+	// stopWithin is the time the platform allows between SIGTERM and SIGKILL.
 	stopWithin = 8 * time.Second
-	// endedBySignal is the exit code of a process that SIGTERM ended before it
-	// took signals.
+	// endedBySignal is the exit code of a process that received SIGTERM before it had
+	// installed its signal handler.
 	endedBySignal = -1
 )
 
-// TestInvariantStopRightAfterStart guards against nodes that never end because
-// they were asked to stop in the first moments of their lives.
+// TestInvariantStopRightAfterStart guards against nodes that never exit when SIGTERM arrives
+// during startup.
 func TestInvariantStopRightAfterStart(t *testing.T) {
 	t.Parallel()
 	const nodes, rounds = 4, 4
@@ -36,7 +36,7 @@
 				began := time.Now()
 				code := n.Wait()
 				if took := time.Since(began); took > stopWithin || code != 0 && code != endedBySignal {
-					t.Errorf("%s, asked to stop after %v: ended with %d after %v: %s", n.Name, delay, code, took, n.Log())
+					t.Errorf("%s, SIGTERM %v after its start: exit code %d after %v: %s", n.Name, delay, code, took, n.Log())
 				}
 			}
 		})
--- a/internal/testbed/session/stream.go
+++ b/internal/testbed/session/stream.go
@@ -13,32 +13,32 @@
 
 const tokenDigits = 6
 
-// Stream is a streamed answer as a caller reads it.
+// Stream is a streamed response as a caller reads it.
 type Stream struct {
 	Status int
 	Header http.Header
-	Tokens []string // in order, each once if all is well
-	Last   string   // id of the last event
-	Done   bool     // the end marker came
-	Error  string   // data of an error event
-	Err    error    // of the connection
+	Tokens []string // in order of arrival; no duplicates if the stream is correct
+	Last   string   // ID of the last event
+	Done   bool     // whether the end marker has arrived
+	Error  string   // data of an error event, or the body of a response that is not a stream
+	Err    error    // connection error
 
 	body  io.ReadCloser
 	lines *bufio.Scanner
 }
 
-// Chat returns the body of a streamed request.
+// Chat returns the body of a streamed chat request.
 func Chat(model, prompt string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, model, tokens, prompt)
 }
 
-// Whole returns the body of a request that is not streamed.
+// Whole returns the body of a chat request that is not streamed.
 func Whole(model, prompt string, tokens int) string {
 	return strings.Replace(Chat(model, prompt, tokens), `"stream":true,`, "", 1)
 }
 
-// Expect returns the tokens that the engine stand-in answers to a chat with one
-// user message. item is "name@version", or "base+name@version".
+// Expect returns the tokens that the stand-in engine generates for a chat with one user
+// message. item is "name@version", or "base+name@version" for an adapter.
 func Expect(item, prompt string, tokens int) []string {
 	out := make([]string, tokens)
 	for i := range out {
@@ -48,26 +48,26 @@
 	return out
 }
 
-// Stream sends a streamed request and returns when its answer begins.
+// Stream sends a streamed request and returns when its response headers have arrived.
 func (s *System) Stream(node int, body string, header ...string) *Stream {
-	resp, err := s.Open(node, http.MethodPost, "/v1/chat/completions", body, header...) //nolint:bodyclose // Stream.Close closes it
+	resp, err := s.Open(node, http.MethodPost, "/v1/chat/completions", body, header...) //nolint:bodyclose // closed by Stream.Close
 	if err != nil {
 		return &Stream{Err: err}
 	}
 	return &Stream{Status: resp.StatusCode, Header: resp.Header, body: resp.Body, lines: bufio.NewScanner(resp.Body)}
 }
 
-// Resume sends the request again to a node, as a caller does whose connection
-// broke, and goes on collecting.
+// Resume sends the request to a node again with the ID of the last event, as a caller does
+// after a broken connection, and appends further tokens to the same Stream.
 func (s *System) Resume(st *Stream, node int, body string) {
 	st.Close()
-	again := s.Stream(node, body, "Last-Event-ID", st.Last)
-	st.Status, st.Header, st.Err, st.Error = again.Status, again.Header, again.Err, ""
-	st.body, st.lines = again.body, again.lines
+	resumed := s.Stream(node, body, "Last-Event-ID", st.Last)
+	st.Status, st.Header, st.Err, st.Error = resumed.Status, resumed.Header, resumed.Err, ""
+	st.body, st.lines = resumed.body, resumed.lines
 }
 
-// Read reads until n tokens have come in all, or to the end if n is negative.
-// It tells whether they came.
+// Read reads until n tokens have arrived in total, or to the end of the stream if n is
+// negative. It reports whether it got that far.
 func (st *Stream) Read(n int) bool {
 	if st.lines == nil {
 		return false
@@ -94,14 +94,14 @@
 		case strings.HasPrefix(line, "data: ") && failed:
 			st.Error = line[len("data: "):]
 		case strings.HasPrefix(line, "data: "):
-			st.token(line[len("data: "):])
+			st.appendToken(line[len("data: "):])
 		}
 	}
 	return true
 }
 
-// token takes the token of one event.
-func (st *Stream) token(data string) {
+// appendToken appends the token of one event.
+func (st *Stream) appendToken(data string) {
 	var c struct {
 		Choices []struct {
 			Delta struct {
--- a/internal/testbed/session/stream_test.go
+++ b/internal/testbed/session/stream_test.go
@@ -14,9 +14,9 @@
 	"guavapaddle/internal/testbed/session"
 )
 
-const long = 300 // tokens, about two seconds
+const streamTokens = 300 // generated in about two seconds
 
-// allCopies lets every engine hold every model.
+// allCopies returns doc with every model declared to be resident on every engine.
 func allCopies(doc *config.Document) *config.Document {
 	engines := 0
 	for _, s := range doc.Servers {
@@ -30,8 +30,9 @@
 	return doc
 }
 
-// notOwner returns a node that does not own the server of a stream.
-func notOwner(s *session.System, st *session.Stream) (owner, other int) {
+// ownerAndOther returns the node that owns the server of a stream, and a running node that
+// does not.
+func ownerAndOther(s *session.System, st *session.Stream) (owner, other int) {
 	server := st.Last[strings.LastIndex(st.Last, ".")+1:]
 	for i, n := range s.Nodes {
 		if n.Ended() {
@@ -48,8 +49,8 @@
 	return owner, -1
 }
 
-// TestInvariantNodeKilledMidStream kills the entry node, and then the owner,
-// in the middle of streams. The caller gets each token once.
+// TestInvariantNodeKilledMidStream kills the entry node, or kills or freezes the owner, in
+// the middle of a stream. The caller must receive each token exactly once.
 func TestInvariantNodeKilledMidStream(t *testing.T) {
 	t.Parallel()
 	for _, victim := range []string{"entry", "owner", "owner frozen"} {
@@ -59,13 +60,13 @@
 			s.StartNodes(3)
 			probe := s.Stream(0, session.Chat("drafter", "who owns", 2))
 			require.True(t, probe.Read(-1))
-			// A stream whose entry node is not its owner.
+			// Open a stream whose entry node does not own its engine.
 			var st *session.Stream
 			var owner, entry int
 			for entry = range s.Nodes {
-				st = s.Stream(entry, session.Chat("drafter", "a long plan", long))
+				st = s.Stream(entry, session.Chat("drafter", "a long plan", streamTokens))
 				require.True(t, st.Read(10), st.Error)
-				if owner, _ = notOwner(s, st); owner != entry {
+				if owner, _ = ownerAndOther(s, st); owner != entry {
 					break
 				}
 				st.Close()
@@ -75,27 +76,27 @@
 			case "entry":
 				s.Nodes[entry].Kill()
 				require.False(t, st.Read(-1))
-				_, third := notOwner(s, st)
-				s.Resume(st, third, session.Chat("drafter", "a long plan", long))
+				_, third := ownerAndOther(s, st)
+				s.Resume(st, third, session.Chat("drafter", "a long plan", streamTokens))
 			case "owner":
 				s.Nodes[owner].Kill()
 			case "owner frozen":
 				s.Nodes[owner].Signal(syscall.SIGSTOP)
 			}
 			require.True(t, st.Read(-1), "%v %s", st.Err, st.Error)
-			require.Equal(t, session.Expect("drafter@1", "a long plan", long), st.Tokens)
+			require.Equal(t, session.Expect("drafter@1", "a long plan", streamTokens), st.Tokens)
 		})
 	}
 }
 
-// TestInvariantServerKilledMidStream kills the engine in the middle of a
-// stream: the answer ends with an error, never as a short success.
+// TestInvariantServerKilledMidStream kills the engine in the middle of a stream. The stream
+// must end with an error, never as a truncated success.
 func TestInvariantServerKilledMidStream(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
 	s.StartNodes(2)
 	for node := range s.Nodes {
-		st := s.Stream(node, session.Chat("drafter", "cut", long))
+		st := s.Stream(node, session.Chat("drafter", "cut", streamTokens))
 		require.True(t, st.Read(10), st.Error)
 		if node == 0 {
 			s.Servers[st.Last[strings.LastIndex(st.Last, ".")+1:]].Kill()
@@ -108,25 +109,24 @@
 	}
 }
 
-// TestInvariantStreamOfAnotherTeam shows that a resume token is worth
-// nothing to another team.
+// TestInvariantStreamOfAnotherTeam checks that a team cannot resume a stream with another
+// team's resume token.
 func TestInvariantStreamOfAnotherTeam(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 1, 1)), session.Options{})
 	s.StartNodes(2)
-	st := s.Stream(0, session.Chat("checker", "secret", long))
+	st := s.Stream(0, session.Chat("checker", "secret", streamTokens))
 	require.True(t, st.Read(5))
-	a := s.Do(1, http.MethodPost, chat, session.Chat("checker", "secret", long),
+	a := s.Do(1, http.MethodPost, chat, session.Chat("checker", "secret", streamTokens),
 		"Authorization", "Bearer "+session.OtherKey, "Last-Event-ID", st.Last)
 	require.NotEqual(t, http.StatusOK, a.Status, a.Body)
 	require.NotContains(t, a.Body, session.Expect("checker@1", "secret", 6)[5])
 	require.True(t, st.Read(-1), st.Error)
 }
 
-// TestInvariantGracefulShutdown stops each of 8 nodes in turn under long
-// streams and short requests: nothing is cut off, and nothing is refused that
-// another node could serve, by callers that go elsewhere once a node says that
-// it is draining.
+// TestInvariantGracefulShutdown stops each of 8 nodes but one in turn under long streams and
+// short requests. No stream may be cut off, and requests sent to another node must be
+// served.
 func TestInvariantGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	const nodes = 8
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestInvariantOwnAnswer asks 1,000 times at once, with same and different
-// prompts, through all nodes: each caller gets its own answer, whole.
+// TestInvariantOwnAnswer sends 1,000 concurrent requests, with equal and different prompts,
+// through all nodes. Each caller must receive its own complete response.
 func TestInvariantOwnAnswer(t *testing.T) {
 	t.Parallel()
 	const callers = 1000
@@ -188,16 +188,15 @@
 	}
 }
 
-// TestInvariantGenerationAtMostOnce sends a generation that may not be repeated
-// through all nodes at once with one key. It runs once, and everybody gets its
-// answer or is told that it is in progress; another body with the key is
-// refused.
+// TestInvariantGenerationAtMostOnce sends a generation that may not be repeated through all
+// nodes concurrently with one key. It must run once, each caller must receive its response
+// or be told that it is in progress, and another body with the same key must be refused.
 func TestInvariantGenerationAtMostOnce(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
 	s.StartNodes(3)
 	header := []string{"X-Kind", "signed-plan", "Idempotency-Key", "plan-7"}
-	before := runs(s)
+	before := generationsRun(s)
 	answers := make([]session.Answer, 9)
 	var wg sync.WaitGroup
 	for i := range answers {
@@ -222,11 +221,11 @@
 	stored := s.Do(2, http.MethodPost, chat, session.Whole("drafter", "sign", 30), header...)
 	require.Equal(t, http.StatusOK, stored.Status)
 	require.Contains(t, stored.Body, want)
-	require.Equal(t, before+1, runs(s))
+	require.Equal(t, before+1, generationsRun(s))
 }
 
-// runs returns how many generations all engines have run.
-func runs(s *session.System) int64 {
+// generationsRun returns how many generations all engines have run.
+func generationsRun(s *session.System) int64 {
 	n := int64(0)
 	for _, p := range s.Servers {
 		n += s.Counters(p)["runs"]
@@ -234,8 +233,8 @@
 	return n
 }
 
-// TestInvariantNewConnectionsAreAnswered opens a connection for each of many
-// short requests: none is closed without an answer.
+// TestInvariantNewConnectionsAreAnswered opens a new connection for each of many short
+// requests. It guards against connections that are closed without a response.
 func TestInvariantNewConnectionsAreAnswered(t *testing.T) {
 	t.Parallel()
 	const callers, each = 8, 1000
--- a/internal/testbed/session/system.go
+++ b/internal/testbed/session/system.go
@@ -30,51 +30,51 @@
 )
 
 const (
-	// Key is the key of the team "crew" in Small.
+	// Key is the API key of the team "crew" in Small.
 	Key = "crew-key"
-	// OtherKey is the key of the team "rival" in Small.
+	// OtherKey is the API key of the team "rival" in Small.
 	OtherKey = "rival-key"
 
-	pollPeriod    = 20 * time.Millisecond
-	waitTimeout   = 30 * time.Second
-	answerTimeout = 60 * time.Second // of a whole answer; what takes longer never ends
-	nodeNotice    = "200ms"
+	pollPeriod      = 20 * time.Millisecond
+	waitTimeout     = 30 * time.Second
+	responseTimeout = 60 * time.Second // for a complete response; anything slower counts as hung
+	nodeDrainTime   = "200ms"
 )
 
 type (
-	// Options change what New starts.
+	// Options configures what New starts.
 	Options struct {
-		Platform []string            // further flags of the platform
-		Engine   map[string][]string // further flags by server, "" for all
-		Service  []string            // further flags of services
-		Node     []string            // further flags of nodes
+		Platform []string            // additional flags of the platform
+		Engine   map[string][]string // additional flags by server, "" for all engines
+		Service  []string            // additional flags of services
+		Node     []string            // additional flags of nodes
 	}
 
-	// System is a whole system of processes.
+	// System is a complete system of processes.
 	System struct {
 		Document *config.Document
 		Platform *Process
 		Servers  map[string]*Process
 		Nodes    []*Process
-		Table    string // address that nodes use, the platform's if empty
+		Table    string // address of the table that nodes use, the platform's if empty
 
-		t       testing.TB
-		options Options
-		dir     string
-		file    string
+		t            testing.TB
+		options      Options
+		dir          string
+		documentFile string
 	}
 
-	// Answer is what a caller got.
+	// Answer is the response that a caller received.
 	Answer struct {
 		Status int
 		Header http.Header
 		Body   string
-		Err    error // the connection broke
+		Err    error // the connection failed
 	}
 )
 
-// New starts platform and backend servers, puts their addresses into doc and
-// applies it.
+// New starts the platform and the backend servers, sets their addresses in doc and applies
+// it.
 func New(t testing.TB, doc *config.Document, o Options) *System {
 	s := &System{Document: doc, Servers: map[string]*Process{}, t: t, options: o, dir: t.TempDir()}
 	s.Platform = start(t, "platform", "standin", append([]string{"platform", "-listen", "127.0.0.1:0"}, o.Platform...)...)
@@ -83,7 +83,7 @@
 		s.Servers[b.Name] = s.startServer(*b)
 		b.Address = s.Servers[b.Name].Address("address")
 	}
-	s.file = filepath.Join(s.dir, "document.json")
+	s.documentFile = filepath.Join(s.dir, "document.json")
 	code, out := s.Apply(doc)
 	require.Equal(t, 0, code, out)
 	return s
@@ -106,8 +106,8 @@
 	return start(s.t, b.Name, "standin", append(args, s.options.Engine[b.Name]...)...)
 }
 
-// StartNodes starts n nodes and waits until all are ready and know each other,
-// and every declared item serves.
+// StartNodes starts n nodes and waits until all are ready and see each other as live, every
+// declared item is resident on a server, and every engine has its intended owner.
 func (s *System) StartNodes(n int) {
 	names := make([]string, n)
 	for i := range names {
@@ -122,9 +122,9 @@
 	s.WaitOwners()
 }
 
-// WaitOwners waits until every engine is owned by the node that should own it,
-// by every running node's view. The first nodes to start own all engines and
-// hand most of them over when the others are there.
+// WaitOwners waits until, in the view of every running node, every engine is reachable and
+// owned by the node that rendezvous hashing assigns it to. The nodes that start first own
+// all engines and hand most of them over once the others are up.
 func (s *System) WaitOwners() {
 	var live []string
 	for _, n := range s.Nodes {
@@ -132,11 +132,11 @@
 			live = append(live, n.Name)
 		}
 	}
-	should := rendezvous.New(live, xxhash.Sum64String)
+	assignment := rendezvous.New(live, xxhash.Sum64String)
 	s.Eventually("owners", func() bool {
 		return s.everyNode(func(r status.Report) bool {
 			for _, v := range r.Servers {
-				if v.Owner != should.Lookup(v.Server) || !v.Reachable {
+				if v.Owner != assignment.Lookup(v.Server) || !v.Reachable {
 					return false
 				}
 			}
@@ -149,13 +149,13 @@
 	name := "n" + strconv.Itoa(i+1)
 	b := s.Document.Servers[i%len(s.Document.Servers)]
 	platform := s.Platform.Address("address")
-	through := cmp.Or(s.Table, platform)
+	tableAddress := cmp.Or(s.Table, platform)
 	settings := map[string]string{
 		"name": name, "data-centre": b.DataCentre,
 		"callers": "127.0.0.1:0", "peers": "127.0.0.1:0", "operators": "127.0.0.1:0",
-		"table": through, "objects": platform, "vm-list": platform,
+		"table": tableAddress, "objects": platform, "vm-list": platform,
 		"ca": filepath.Join(s.dir, "ca.pem"), "cert": filepath.Join(s.dir, name+".pem"), "key": filepath.Join(s.dir, name+".key"),
-		"notice": nodeNotice, "seed": strconv.Itoa(i + 1),
+		"notice": nodeDrainTime, "seed": strconv.Itoa(i + 1),
 	}
 	body, err := json.Marshal(settings)
 	require.NoError(s.t, err)
@@ -166,72 +166,72 @@
 	return p
 }
 
-// listNode puts a node on the VM list.
-func (s *System) listNode(p *Process, place string) {
-	s.set(vmlist.VM{Name: p.Name, Address: p.Address("peers"), Role: "node", DataCentre: place, State: vmlist.Live})
+// listNode adds a node to the VM list.
+func (s *System) listNode(p *Process, dataCentre string) {
+	s.putVM(vmlist.VM{Name: p.Name, Address: p.Address("peers"), Role: "node", DataCentre: dataCentre, State: vmlist.Live})
 }
 
-// SetVM sets the state of a backend server's VM on the platform's list.
+// SetVM sets the state of a backend server's VM on the platform's VM list.
 func (s *System) SetVM(server string, role vmlist.Role, state vmlist.State) {
-	s.set(vmlist.VM{Name: server, Address: s.Servers[server].Address("address"), Role: role, State: state})
+	s.putVM(vmlist.VM{Name: server, Address: s.Servers[server].Address("address"), Role: role, State: state})
 }
 
-func (s *System) set(vm vmlist.VM) {
+func (s *System) putVM(vm vmlist.VM) {
 	c := &vmlist.Client{Address: s.Platform.Address("address")}
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	require.NoError(s.t, c.Set(ctx, vm))
 }
 
-// RestartNode starts a node anew at once after a kill, with new addresses.
+// RestartNode kills a node and starts it again immediately, with new addresses.
 func (s *System) RestartNode(i int) {
 	s.Nodes[i].Restart()
 	s.listNode(s.Nodes[i], s.Document.Servers[i%len(s.Document.Servers)].DataCentre)
 }
 
-// Apply applies a document by the operators' command and returns its exit code
-// and output. It waits for the nodes that run.
+// Apply applies a document with the operators' command and returns the exit code and the
+// output. It waits for the running nodes.
 func (s *System) Apply(doc *config.Document) (int, string) {
 	body, err := json.Marshal(doc)
 	require.NoError(s.t, err)
-	require.NoError(s.t, os.WriteFile(s.file, body, 0o600))
+	require.NoError(s.t, os.WriteFile(s.documentFile, body, 0o600))
 	platform := s.Platform.Address("address")
-	args := []string{"apply", "-file", s.file, "-table", platform, "-objects", platform}
+	args := []string{"apply", "-file", s.documentFile, "-table", platform, "-objects", platform}
 	if len(s.Nodes) == 0 {
 		args = append(args, "-wait", "0")
 	} else {
-		args = append(args, "-nodes", s.operators())
+		args = append(args, "-nodes", s.operatorAddresses())
 	}
 	return s.Command(args...)
 }
 
-// ApplyBase applies a document as an operator who has seen a version, and waits
-// for the nodes that run.
+// ApplyBase applies a document as an operator who has seen version base, and waits for the
+// running nodes.
 func (s *System) ApplyBase(operator string, doc *config.Document, base uint64) (int, string) {
 	body, err := json.Marshal(doc)
 	require.NoError(s.t, err)
 	file := filepath.Join(s.dir, operator+".json")
 	require.NoError(s.t, os.WriteFile(file, body, 0o600))
 	platform := s.Platform.Address("address")
-	return s.Command("apply", "-file", file, "-table", platform, "-objects", platform, "-nodes", s.operators(),
+	return s.Command("apply", "-file", file, "-table", platform, "-objects", platform, "-nodes", s.operatorAddresses(),
 		"-operator", operator, "-base", strconv.FormatUint(base, 10))
 }
 
-// ApplyFrom applies a document and waits for one node, while others are frozen.
+// ApplyFrom applies a document and waits for one node only, for use while others are frozen.
 func (s *System) ApplyFrom(node int, doc *config.Document) {
 	body, err := json.Marshal(doc)
 	require.NoError(s.t, err)
-	require.NoError(s.t, os.WriteFile(s.file, body, 0o600))
+	require.NoError(s.t, os.WriteFile(s.documentFile, body, 0o600))
 	platform := s.Platform.Address("address")
-	code, out := s.Command("apply", "-file", s.file, "-table", platform, "-objects", platform, "-wait", "0")
+	code, out := s.Command("apply", "-file", s.documentFile, "-table", platform, "-objects", platform, "-wait", "0")
 	require.Equal(s.t, 0, code, out)
-	s.Eventually("the configuration on one node", func() bool {
+	s.Eventually("the configuration to be in force on one node", func() bool {
 		r, err := s.Status(node)
 		return err == nil && r.ConfigHash == doc.Hash()
 	})
 }
 
-func (s *System) operators() string {
+func (s *System) operatorAddresses() string {
 	var all []string
 	for _, n := range s.Nodes {
 		if !n.Ended() {
@@ -241,8 +241,8 @@
 	return strings.Join(all, ",")
 }
 
-// Command runs guavapaddle with arguments to its end and returns the exit code
-// and what it printed, without its progress if it succeeded.
+// Command runs guavapaddle to completion and returns its exit code and output. Progress
+// messages are included only if it failed.
 func (s *System) Command(args ...string) (int, string) {
 	cmd := exec.Command(filepath.Join(build(s.t), "guavapaddle"), args...)
 	var out, progress bytes.Buffer
@@ -257,13 +257,13 @@
 	return 0, out.String()
 }
 
-// Status returns what a node knows.
+// Status returns a node's status report.
 func (s *System) Status(node int) (status.Report, error) {
 	c := &operator.Client{Address: s.Nodes[node].Address("operators"), Timeout: time.Second}
 	return c.Status(context.Background())
 }
 
-// WaitNodes waits until every running node is ready and knows n live nodes.
+// WaitNodes waits until every running node is ready and sees n live nodes.
 func (s *System) WaitNodes(n int) {
 	s.Eventually("nodes", func() bool {
 		return s.everyNode(func(r status.Report) bool {
@@ -278,17 +278,18 @@
 	})
 }
 
-// WaitResident waits until every declared item serves by every node's view.
+// WaitResident waits until, in every running node's view, every declared item is resident on
+// a reachable server.
 func (s *System) WaitResident() {
 	x := config.NewIndex(s.Document, 0)
 	s.Eventually("items", func() bool {
 		return s.everyNode(func(r status.Report) bool {
 			for _, i := range x.Items() {
-				held := false
+				resident := false
 				for _, v := range r.Servers {
-					held = held || v.Reachable && v.Holds(i)
+					resident = resident || v.Reachable && v.Holds(i)
 				}
-				if !held {
+				if !resident {
 					return false
 				}
 			}
@@ -297,38 +298,38 @@
 	})
 }
 
-// everyNode tells whether what every running node reports holds.
-func (s *System) everyNode(holds func(r status.Report) bool) bool {
+// everyNode reports whether the status of every running node satisfies a condition.
+func (s *System) everyNode(condition func(r status.Report) bool) bool {
 	for i, n := range s.Nodes {
 		if n.Ended() {
 			continue
 		}
 		r, err := s.Status(i)
-		if err != nil || !holds(r) {
+		if err != nil || !condition(r) {
 			return false
 		}
 	}
 	return true
 }
 
-// Eventually waits until a condition holds, and fails the test if it doesn't
-// within a bound that no sound system comes near.
-func (s *System) Eventually(what string, holds func() bool) {
+// Eventually waits until a condition holds. It fails the test after a timeout that is far
+// longer than a correct system needs.
+func (s *System) Eventually(what string, condition func() bool) {
 	s.t.Helper()
-	end := time.Now().Add(waitTimeout)
-	for !holds() {
-		if time.Now().After(end) {
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
+		if time.Now().After(deadline) {
 			for _, n := range s.Nodes {
 				s.t.Logf("%s:\n%s", n.Name, n.Log())
 			}
 			s.logRows("owner/")
-			require.Fail(s.t, "does not come about", what)
+			require.Fail(s.t, "condition not met in time", what)
 		}
 		time.Sleep(pollPeriod)
 	}
 }
 
-// logRows logs the rows of the table whose key begins with a prefix.
+// logRows logs the table rows whose keys begin with a prefix.
 func (s *System) logRows(prefix string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -341,8 +342,8 @@
 	}
 }
 
-// Owner returns the index of the node that owns a server by node's view, -1 if
-// none does.
+// Owner returns the index of the node that owns a server in a node's view, or -1 if none
+// does.
 func (s *System) Owner(node int, server string) int {
 	r, err := s.Status(node)
 	require.NoError(s.t, err)
@@ -356,8 +357,8 @@
 	return -1
 }
 
-// Do sends a request to a node as a caller and returns the whole answer. header
-// holds names and values in turn; the key is Key unless it is given.
+// Do sends a request to a node as a caller and returns the complete response. header holds
+// alternating names and values; the API key is Key unless header sets Authorization.
 func (s *System) Do(node int, method, path, body string, header ...string) Answer {
 	resp, err := s.Open(node, method, path, body, header...)
 	if err != nil {
@@ -368,8 +369,8 @@
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(b), Err: err}
 }
 
-// Open sends a request to a node as a caller, on a connection of its own, and
-// returns when the answer begins.
+// Open sends a request to a node as a caller, on a new connection, and returns when the
+// response headers have arrived.
 func (s *System) Open(node int, method, path, body string, header ...string) (*http.Response, error) {
 	req, err := http.NewRequest(method, "http://"+s.Nodes[node].Address("callers")+path, strings.NewReader(body))
 	require.NoError(s.t, err)
@@ -378,11 +379,11 @@
 		req.Header.Set(header[i], header[i+1])
 	}
 	req.GetBody = nil
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: answerTimeout}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: responseTimeout}
 	return client.Do(req)
 }
 
-// Fault sets the faults of a stand-in.
+// Fault configures the faults of a stand-in.
 func (s *System) Fault(p *Process, path string, faults string) {
 	resp, err := http.Post("http://"+p.Address("address")+path, "application/json", strings.NewReader(faults))
 	require.NoError(s.t, err)
@@ -393,27 +394,28 @@
 // Counters returns the counters of a stand-in.
 func (s *System) Counters(p *Process) map[string]int64 {
 	out := map[string]int64{}
-	s.get(p, "/counters", &out)
+	s.getJSON(p, "/counters", &out)
 	return out
 }
 
-// Journal returns what ran at the services that run, by their own journals.
+// Journal returns the requests that ran at the running services, from the services' own
+// journals.
 func (s *System) Journal() []service.Run {
 	var all []service.Run
 	for _, b := range s.Document.Servers {
 		if p := s.Servers[b.Name]; b.Type == config.Service && !p.Ended() {
 			var j service.Journal
-			s.get(p, "/journal", &j)
+			s.getJSON(p, "/journal", &j)
 			all = append(all, j.Runs...)
 		}
 	}
 	return all
 }
 
-// Runs returns how often a service ran requests with a path by its own journal.
+// Runs returns how many requests with a path ran at a service, from its own journal.
 func (s *System) Runs(server, path string) int {
 	var j service.Journal
-	s.get(s.Servers[server], "/journal", &j)
+	s.getJSON(s.Servers[server], "/journal", &j)
 	n := 0
 	for _, r := range j.Runs {
 		if r.Path == path {
@@ -423,8 +425,8 @@
 	return n
 }
 
-// Ran returns how many requests began to run at all backend servers that run,
-// by their own counters.
+// Ran returns how many requests began to run at all running backend servers, from the
+// servers' own counters.
 func (s *System) Ran() int64 {
 	n := int64(0)
 	for _, p := range s.Servers {
@@ -435,7 +437,7 @@
 	return n
 }
 
-func (s *System) get(p *Process, path string, v any) {
+func (s *System) getJSON(p *Process, path string, v any) {
 	resp, err := http.Get("http://" + p.Address("address") + path)
 	require.NoError(s.t, err)
 	defer func() { _ = resp.Body.Close() }()
--- a/internal/testbed/session/transcript.go
+++ b/internal/testbed/session/transcript.go
@@ -20,7 +20,7 @@
 var (
 	update = flag.Bool("update", false, "rewrite golden files")
 
-	// masks replace what differs between runs.
+	// masks replace the parts that differ between runs.
 	masks = []struct {
 		pattern *regexp.Regexp
 		with    string
@@ -32,19 +32,19 @@
 		{regexp.MustCompile(`\bgpu-\d+\b`), "GPU"},
 	}
 
-	// shown are the headers of an answer that a transcript shows.
-	shown = []string{"Content-Type", "Retry-After", "X-Outcome", "X-Reason", "X-Stored-Answer"}
+	// shownHeaders are the response headers that a transcript includes.
+	shownHeaders = []string{"Content-Type", "Retry-After", "X-Outcome", "X-Reason", "X-Stored-Answer"}
 )
 
-// Transcript is what callers and operators saw, in order.
+// Transcript records what callers and operators saw, in order.
 type Transcript struct{ b strings.Builder }
 
-// Step begins a step.
+// Step starts a new step with a heading.
 func (r *Transcript) Step(format string, args ...any) {
 	fmt.Fprintf(&r.b, "\n## "+format+"\n", args...)
 }
 
-// Answer notes an answer.
+// Answer records a response.
 func (r *Transcript) Answer(a Answer) {
 	if a.Err != nil {
 		fmt.Fprintf(&r.b, "connection broke\n")
@@ -53,7 +53,7 @@
 		return
 	}
 	fmt.Fprintf(&r.b, "%d\n", a.Status)
-	for _, name := range shown {
+	for _, name := range shownHeaders {
 		if v := a.Header.Get(name); v != "" {
 			fmt.Fprintf(&r.b, "%s: %s\n", name, v)
 		}
@@ -61,7 +61,7 @@
 	r.Text(a.Body)
 }
 
-// Text notes lines.
+// Text records lines of text.
 func (r *Transcript) Text(s string) {
 	for _, line := range strings.Split(strings.TrimSpace(s), "\n") {
 		if line = strings.TrimRight(line, " \r"); line != "" {
@@ -79,7 +79,8 @@
 	return strings.TrimLeft(s, "\n")
 }
 
-// Compare compares the transcript with a golden file, or rewrites it.
+// Compare compares the transcript with a golden file, or rewrites the file if -update is
+// set.
 func (r *Transcript) Compare(t testing.TB, name string) {
 	file := filepath.Join(goldenDir, name+".golden")
 	got := r.String()
