--- a/internal/testbed/soak/check.go
+++ b/internal/testbed/soak/check.go
@@ -11,88 +11,88 @@
 )
 
 type (
-	// Violation is a promise that was broken.
+	// Violation is an observed breach of an invariant.
 	Violation struct {
 		Promise string // "whole", "twice", "not-run", "order", "config", "fence", "memory", "key", "quota", "leaving", "rest", "rate", "recover"
 		What    string
 	}
 
-	// Checker collects what clients and servers saw.
+	// Checker collects what clients and servers observed and checks it.
 	Checker struct {
-		mu         sync.Mutex
-		violations []Violation
-		promised   map[string]string // requests that were refused as not run
-		unsafe     map[string]bool   // requests that must not run twice
-		counts     map[string]int    // answers, by status
-		newest     map[string]int    // by process: newest configuration that it was seen to serve
-		callers    map[string]Caller // by request
-		revoked    map[int]time.Time // until when keys of a configuration may be used, once they are gone
-		spent      map[string][]spending
-		served     map[string]time.Time     // when requests had their answer
-		disturbed  map[string][]disturbance // of nodes and servers
-	}
-
-	// Caller is who sent a request, with what key and when.
+		mu            sync.Mutex
+		violations    []Violation
+		refusedNotRun map[string]string        // by request ID: node that refused it as not run
+		nonRepeatable map[string]bool          // requests that must not run twice
+		counts        map[string]int           // number of responses by status
+		newestConfig  map[string]int           // newest configuration that each process was seen to serve
+		callers       map[string]Caller        // by request ID
+		revoked       map[int]time.Time        // by configuration: until when its keys may still be used after their removal
+		tokenUsage    map[string][]usage       // by team
+		servedAt      map[string]time.Time     // by request: time of its successful response
+		disturbed     map[string][]disturbance // by node or server
+	}
+
+	// Caller describes the sender of a request.
 	Caller struct {
 		Team    string
-		Version int // of the configuration that brought the key
+		Version int // of the configuration that introduced the key
 		At      time.Time
-		Tokens  int    // that the request counts as
-		Node    string // to which it was sent
+		Tokens  int    // charged for the request
+		Node    string // node that the request was sent to
 	}
 
-	// spending is a request that ran.
-	spending struct {
+	// usage is the token usage of a request that ran.
+	usage struct {
 		sent, ran time.Time
 		tokens    int
 	}
 )
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns an empty checker.
 func NewChecker() *Checker {
-	return &Checker{promised: map[string]string{}, unsafe: map[string]bool{}, counts: map[string]int{}, newest: map[string]int{},
-		callers: map[string]Caller{}, revoked: map[int]time.Time{}, spent: map[string][]spending{},
-		served: map[string]time.Time{}, disturbed: map[string][]disturbance{}}
+	return &Checker{refusedNotRun: map[string]string{}, nonRepeatable: map[string]bool{}, counts: map[string]int{}, newestConfig: map[string]int{},
+		callers: map[string]Caller{}, revoked: map[int]time.Time{}, tokenUsage: map[string][]usage{},
+		servedAt: map[string]time.Time{}, disturbed: map[string][]disturbance{}}
 }
 
-// Break notes a broken promise.
+// Break records a violation of an invariant.
 func (c *Checker) Break(promise, format string, a ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, Violation{promise, fmt.Sprintf(format, a...)})
 }
 
-// Violations returns all broken promises.
+// Violations returns all recorded violations.
 func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Violation(nil), c.violations...)
 }
 
-// Sent notes a request before it is sent.
+// Sent records a request. It must be called before the request is sent.
 func (c *Checker) Sent(id string, repeatable bool, who Caller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.callers[id] = who
 	if !repeatable {
-		c.unsafe[id] = true
+		c.nonRepeatable[id] = true
 	}
 }
 
-// Answered notes an answer's status, zero for none.
+// Answered records the status of a response, 0 if there was none.
 func (c *Checker) Answered(id, node string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[fmt.Sprint(status)]++
 	switch status {
 	case 200:
-		c.served[id] = time.Now()
+		c.servedAt[id] = time.Now()
 	case 408, 421, 429, 503:
-		c.promised[id] = node
+		c.refusedNotRun[id] = node
 	}
 }
 
-// Counts returns the answers by status.
+// Counts returns the number of responses by status.
 func (c *Checker) Counts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,14 +103,14 @@
 	return out
 }
 
-// Whole checks an answer with a success: whose it is, who signed it, and that
-// it is all of it.
+// Whole checks a successful response: that it belongs to the request, that it carries a
+// server's stamp, and that it is complete.
 func (c *Checker) Whole(id, gotID, stamp, body string, events int) {
 	switch {
 	case gotID != id:
-		c.Break("whole", "request %s got the answer of %q", id, gotID)
+		c.Break("whole", "request %s got the response to %q", id, gotID)
 	case stamp == "":
-		c.Break("whole", "request %s got an answer that nobody signed", id)
+		c.Break("whole", "request %s got a response without a server's stamp", id)
 	case events == 0 && body != "answer":
 		c.Break("whole", "request %s got %q", id, body)
 	case events > 0:
@@ -118,8 +118,8 @@
 	}
 }
 
-// Order checks the events of a stream, of which all must be there if it ended
-// as complete.
+// Order checks the order of a stream's events. If the stream ended as complete, all events
+// must be present.
 func (c *Checker) Order(id, body string, events int, complete bool) {
 	list := strings.Split(body, "\n\n")
 	whole := list[:len(list)-1]
@@ -134,37 +134,37 @@
 	}
 }
 
-// Served notes that a process served a route that only one configuration has.
+// Served records that a process served a route that only one configuration has.
 func (c *Checker) Served(process string, version int) {
 	c.mu.Lock()
-	newest := c.newest[process]
-	c.newest[process] = max(newest, version)
+	newestConfig := c.newestConfig[process]
+	c.newestConfig[process] = max(newestConfig, version)
 	c.mu.Unlock()
-	if version < newest {
-		c.Break("config", "%s went back from configuration %d to %d", process, newest, version)
+	if version < newestConfig {
+		c.Break("config", "%s returned from configuration %d to %d", process, newestConfig, version)
 	}
 }
 
-// Runs checks what a server ran against what clients were told.
+// Runs checks the requests that ran at servers against the responses that clients received.
 func (c *Checker) Runs(ids []string) {
 	counts := map[string]int{}
 	for _, id := range ids {
 		counts[id]++
 	}
 	c.mu.Lock()
-	unsafe, promised := c.unsafe, c.promised
+	nonRepeatable, refusedNotRun := c.nonRepeatable, c.refusedNotRun
 	c.mu.Unlock()
 	for id, n := range counts {
-		if unsafe[id] && n > 1 {
+		if nonRepeatable[id] && n > 1 {
 			c.Break("twice", "request %s ran %d times", id, n)
 		}
-		if node, ok := promised[id]; ok && unsafe[id] {
-			c.Break("not-run", "request %s ran though %s refused it as not run", id, node)
+		if node, ok := refusedNotRun[id]; ok && nonRepeatable[id] {
+			c.Break("not-run", "request %s ran although %s refused it as not run", id, node)
 		}
 	}
 }
 
-// Revoked notes until when the keys of a configuration may be used.
+// Revoked records until when the keys of a configuration may be used.
 func (c *Checker) Revoked(version int, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,33 +173,35 @@
 	}
 }
 
-// Keys checks who the requests were of that a server ran, and notes what they spent.
+// Keys checks the key and the team of the requests that a server ran, and records their
+// token usage.
 func (c *Checker) Keys(list []standin.Ran) {
 	for _, ran := range list {
 		c.mu.Lock()
 		who, known := c.callers[ran.ID]
 		until, revoked := c.revoked[who.Version]
-		c.spent[who.Team] = append(c.spent[who.Team], spending{who.At, ran.At, who.Tokens})
+		c.tokenUsage[who.Team] = append(c.tokenUsage[who.Team], usage{who.At, ran.At, who.Tokens})
 		c.mu.Unlock()
 		switch {
 		case !known:
-			c.Break("key", "request %s ran and nobody sent it", ran.ID)
+			c.Break("key", "request %s ran but was never sent", ran.ID)
 		case ran.Key != "":
-			c.Break("key", "request %s reached a server with its key", ran.ID)
+			c.Break("key", "request %s reached a server with its API key", ran.ID)
 		case ran.Team != who.Team:
-			c.Break("key", "request %s of team %s ran as one of %q", ran.ID, who.Team, ran.Team)
+			c.Break("key", "request %s of team %s ran for team %q", ran.ID, who.Team, ran.Team)
 		case revoked && who.At.After(until):
-			c.Break("key", "request %s was sent %v after its key was to be refused, and ran", ran.ID, who.At.Sub(until))
+			c.Break("key", "request %s ran although it was sent %v after its key was no longer valid", ran.ID, who.At.Sub(until))
 		}
 	}
 }
 
-// Quota checks that in no window more of a team's tokens were sent and ran than allowed.
-func (c *Checker) Quota(team string, window time.Duration, most float64) {
+// Quota checks that no more than the allowed number of a team's tokens were sent and ran
+// within any window.
+func (c *Checker) Quota(team string, window time.Duration, allowed float64) {
 	c.mu.Lock()
-	list := slices.Clone(c.spent[team])
+	list := slices.Clone(c.tokenUsage[team])
 	c.mu.Unlock()
-	slices.SortFunc(list, func(a, b spending) int { return a.sent.Compare(b.sent) })
+	slices.SortFunc(list, func(a, b usage) int { return a.sent.Compare(b.sent) })
 	for i, first := range list {
 		sum := 0
 		for _, s := range list[i:] {
@@ -207,20 +209,20 @@
 				sum += s.tokens
 			}
 		}
-		if float64(sum) > most {
-			c.Break("quota", "team %s had %d tokens served in %v, %.0f are allowed", team, sum, window, most)
+		if float64(sum) > allowed {
+			c.Break("quota", "team %s had %d tokens served in %v, %.0f are allowed", team, sum, window, allowed)
 			return
 		}
 	}
 }
 
-// Orders checks the orders that an engine got, in order.
+// Orders checks that no epoch of an engine has orders from two nodes.
 func (c *Checker) Orders(engine string, orders []standin.Given) {
-	holders := map[int64]string{}
+	nodes := map[int64]string{}
 	for _, o := range orders {
-		if h, ok := holders[o.Fence]; ok && h != o.Holder {
-			c.Break("fence", "engine %s got orders of %s and %s under epoch %d", engine, h, o.Holder, o.Fence)
+		if h, ok := nodes[o.Fence]; ok && h != o.Holder {
+			c.Break("fence", "engine %s got orders from %s and %s under epoch %d", engine, h, o.Holder, o.Fence)
 		}
-		holders[o.Fence] = o.Holder
+		nodes[o.Fence] = o.Holder
 	}
 }
--- a/internal/testbed/soak/doc.go
+++ b/internal/testbed/soak/doc.go
@@ -1,20 +1,29 @@
-// Package soak runs the real programs as processes on one machine, injects
-// faults from outside them, and checks what must hold at all times from what
-// clients and backend servers see.
+// Package soak runs the real programs as processes on one machine, injects faults from
+// outside, and checks from what clients and backend servers observe that the system's
+// invariants hold at all times.
 //
-// Everything random comes from the seed: which faults come when, and how long
-// they last. Faults come in series and overlap. Processes are started by the
-// soak and ended by their ids.
+// All random choices derive from the seed: which faults occur, when, and how long they last.
+// Faults come in series and overlap. The soak starts the processes itself and ends them by
+// process ID.
 //
-// What is checked: an answer with a success is whole and its request's own; the
-// events of a stream come in order, each once; a request that must not run twice
-// never does; one that was refused as not run never runs; a node never goes back
-// to an older configuration; orders to an engine never come under an older
-// epoch after a newer one, or from two nodes under one; no engine is loaded
-// beyond its memory; no key reaches a server, nor does a request whose key was revoked
-// in time, and a server is told whose request it is; a team has no more tokens served
-// than its quota and the tolerance allow; a server that says that it leaves, asks a node for
-// rest or names a rate gets no more than that allows; and when all faults have ended, every node serves again.
+// # Invariants
+//
+// The soak checks that:
+//
+//   - A successful response is complete and belongs to its request.
+//   - The events of a stream arrive in order and exactly once.
+//   - A request that must not run twice never does.
+//   - A request that was refused as not run never runs.
+//   - A node never returns to an older configuration.
+//   - An engine never gets orders of an older epoch after a newer one, or from two nodes
+//     under one epoch.
+//   - No engine is loaded beyond its memory.
+//   - No API key reaches a server, and neither does a request whose key was revoked
+//     early enough; a server gets the team of each request.
+//   - A team gets no more tokens served than its quota and the tolerance allow.
+//   - A server that announces that it leaves, asks a node to back off or sets a rate
+//     gets no more requests than that allows.
+//   - When all faults have ended, every node serves again.
 //
 // # Usage
 //
--- a/internal/testbed/soak/limits.go
+++ b/internal/testbed/soak/limits.go
@@ -12,56 +12,59 @@
 	"guavapaddle/platform/standin"
 )
 
-// What servers may ask of nodes, and how strictly it binds.
+// Tolerances for the limits that servers set for nodes.
 const (
-	drainBound = 2 * time.Second        // from an answer that says that its server leaves
-	restSlack  = 500 * time.Millisecond // after a refusal that asks for rest
-	restMost   = 2                      // requests of a node from then until the rest's end
-	rateSpan   = 4 * time.Second        // over which the requests to a server are counted
-	ratePart   = 1.5                    // of what its rate allows in that time
-	rateExtra  = 5                      // requests beyond
-	rateStable = 3 * time.Second        // after a server first named its rate
-	rateSlack  = 500 * time.Millisecond // after a node has passed on an answer with the rate
+	leavingBound       = 2 * time.Second        // after a response with the announcement that its server leaves
+	backoffSlack       = 500 * time.Millisecond // after a refusal with a backoff time
+	maxBackoffRequests = 2                      // requests of a node from then to the end of the backoff
+	rateWindow         = 4 * time.Second        // window over which the requests to a server are counted
+	rateFactor         = 1.5                    // factor on the number that the rate allows in the window
+	rateAllowance      = 5                      // requests allowed in addition
+	rateSettleTime     = 3 * time.Second        // after a server first sent its rate
+	rateSlack          = 500 * time.Millisecond // after a node has forwarded a response with the rate
 )
 
-// disturbance is a time in which a node or a server was stopped, paused or cut off.
+// disturbance is an interval in which a node or a server was stopped, paused or
+// disconnected.
 type disturbance struct {
 	from, to time.Time
-	cut      bool // the process itself ran on
+	cut      bool // disconnected only; the process kept running
 }
 
-// need lets servers ask for what nodes must heed, until ctx ends: one at a time, so that
-// others can serve. Its draws are its own, and the seeds' faults stay as they are.
-func (r *Run) need(ctx context.Context) {
+// requestLimits makes random servers set rates, request backoff or announce that they leave,
+// until ctx ends. Only one does so at a time, so that the others can serve. It has its own
+// random generator, so that the faults of a seed don't depend on it.
+func (r *Run) requestLimits(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.Seed, 2000))
 	for n := 0; ctx.Err() == nil; n++ {
-		w := r.anyWorker(rng)
+		w := r.randomWorker(rng)
 		switch rng.IntN(3) {
 		case 0:
 			w.NameRate(1 + 3*rng.Float64())
-			clock.Sleep(ctx, between(rng, 4000, 8000))
+			clock.Sleep(ctx, randomDuration(rng, 4000, 8000))
 			w.NameRate(0)
 		case 1:
-			w.AskRest(between(rng, 1000, 3000))
+			w.AskRest(randomDuration(rng, 1000, 3000))
 			for range 1 + rng.IntN(10) {
 				w.Do(standin.Shed, standin.OK)
 				clock.Sleep(ctx, 100*time.Millisecond)
 			}
 			w.AskRest(0)
 		case 2:
-			r.depart(ctx, w, fmt.Sprintf("i-d%d", n))
+			r.announceLeaving(ctx, w, fmt.Sprintf("i-d%d", n))
 		}
-		clock.Sleep(ctx, between(rng, 100, 600))
+		clock.Sleep(ctx, randomDuration(rng, 100, 600))
 	}
 }
 
-// depart has a server say in its answers alone that it leaves, beside a new one.
-func (r *Run) depart(ctx context.Context, w *worker, next string) {
-	if !w.leave() {
+// announceLeaving starts a new server and makes the old one announce only in its responses
+// that it leaves.
+func (r *Run) announceLeaving(ctx context.Context, w *worker, next string) {
+	if !w.startLeaving() {
 		return
 	}
 	if err := r.addWorker(w.service, next); err != nil {
-		r.check.Break("recover", "no new server: %v", err)
+		r.check.Break("recover", "cannot start a new server: %v", err)
 		return
 	}
 	clock.Sleep(ctx, 300*time.Millisecond)
@@ -70,57 +73,59 @@
 	r.store.Drop(platform.TableServers, w.ID)
 }
 
-// Disturbed notes that a node or server was stopped, paused or cut off.
+// Disturbed records that a node or server was stopped, paused or disconnected.
 func (c *Checker) Disturbed(name string, from, to time.Time, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disturbed[name] = append(c.disturbed[name], disturbance{from, to, cut})
 }
 
-// calm tells whether nothing happened to a node or server between two times, other than a
-// cut where cuts are no excuse.
-func (c *Checker) calm(name string, from, to time.Time, cuts bool) bool {
+// undisturbed reports whether a node or server was undisturbed between two times.
+// Disconnections count as disturbances only if cuts is set.
+func (c *Checker) undisturbed(name string, from, to time.Time, cuts bool) bool {
 	return !slices.ContainsFunc(c.disturbed[name], func(d disturbance) bool {
 		return (cuts || !d.cut) && !d.from.After(to) && !d.to.Before(from)
 	})
 }
 
-// told is when a node has passed on an answer.
-type told struct {
+// forwardedResponse is the time at which a node forwarded a response.
+type forwardedResponse struct {
 	node string
 	at   time.Time
 }
 
-// passedOn returns when nodes have passed on the answers to some of a server's requests.
-func (c *Checker) passedOn(list []standin.Visit, of func(standin.Visit) bool) []told {
-	var out []told
+// forwardedResponses returns when nodes forwarded the successful responses to those of a
+// server's requests that match include.
+func (c *Checker) forwardedResponses(list []standin.Visit, include func(standin.Visit) bool) []forwardedResponse {
+	var out []forwardedResponse
 	for _, v := range list {
-		if at, ok := c.served[v.ID]; ok && v.Did == standin.OK && of(v) {
-			out = append(out, told{c.callers[v.ID].Node, at})
+		if at, ok := c.servedAt[v.ID]; ok && v.Did == standin.OK && include(v) {
+			out = append(out, forwardedResponse{c.callers[v.ID].Node, at})
 		}
 	}
 	return out
 }
 
-// Needs checks the requests that came to a server against what it asked of nodes.
+// Needs checks the requests that a server got against the limits that it set for nodes.
 func (c *Checker) Needs(server string, list []standin.Visit) {
 	c.mu.Lock()
-	broken := slices.Concat(c.afterLeaving(server, list), c.inRest(server, list), c.overRate(server, list))
+	violations := slices.Concat(c.afterLeaving(server, list), c.duringBackoff(server, list), c.overRate(server, list))
 	c.mu.Unlock()
-	for _, v := range broken {
+	for _, v := range violations {
 		c.Break(v.Promise, "%s", v.What)
 	}
 }
 
-// afterLeaving returns the requests of nodes that had passed on that the server leaves.
+// afterLeaving returns a violation for each request that a node sent to a server more than
+// leavingBound after it had forwarded the server's announcement that it leaves.
 func (c *Checker) afterLeaving(server string, list []standin.Visit) []Violation {
 	var out []Violation
-	said := c.passedOn(list, func(v standin.Visit) bool { return v.Departs })
+	announced := c.forwardedResponses(list, func(v standin.Visit) bool { return v.Departs })
 	for _, v := range list {
 		who := c.callers[v.ID]
-		for _, t := range said {
-			if late := who.At.Sub(t.at); t.node == who.Node && late > drainBound && c.calm(who.Node, t.at, v.At, false) {
-				out = append(out, Violation{"leaving", fmt.Sprintf("request %s was sent %v after %s had passed on that %s leaves", v.ID, late, who.Node, server)})
+		for _, t := range announced {
+			if delay := who.At.Sub(t.at); t.node == who.Node && delay > leavingBound && c.undisturbed(who.Node, t.at, v.At, false) {
+				out = append(out, Violation{"leaving", fmt.Sprintf("request %s was sent %v after %s had forwarded the announcement that %s leaves", v.ID, delay, who.Node, server)})
 				break
 			}
 		}
@@ -128,28 +133,29 @@
 	return out
 }
 
-// inRest returns the refusals of a server after which their node went on.
-func (c *Checker) inRest(server string, list []standin.Visit) []Violation {
+// duringBackoff returns a violation for each refusal with a backoff time after which the
+// node kept sending requests.
+func (c *Checker) duringBackoff(server string, list []standin.Visit) []Violation {
 	var out []Violation
 	for _, a := range list {
 		node, n := c.callers[a.ID].Node, 0
-		if a.Rest == 0 || !c.calm(node, a.At, a.At.Add(a.Rest), true) || !c.calm(server, a.At, a.At.Add(a.Rest), true) {
+		if a.Rest == 0 || !c.undisturbed(node, a.At, a.At.Add(a.Rest), true) || !c.undisturbed(server, a.At, a.At.Add(a.Rest), true) {
 			continue
 		}
 		for _, b := range list {
-			if d := b.At.Sub(a.At); c.callers[b.ID].Node == node && d > restSlack && d < a.Rest {
+			if d := b.At.Sub(a.At); c.callers[b.ID].Node == node && d > backoffSlack && d < a.Rest {
 				n++
 			}
 		}
-		if n > restMost {
-			out = append(out, Violation{"rest", fmt.Sprintf("%s had asked %s for %v of rest, and got %d requests", server, node, a.Rest, n)})
+		if n > maxBackoffRequests {
+			out = append(out, Violation{"rest", fmt.Sprintf("%s had asked %s to back off for %v, and got %d requests", server, node, a.Rest, n)})
 		}
 	}
 	return out
 }
 
-// overRate returns the times at which a server that names a rate had got too many requests
-// of nodes that had passed the rate on.
+// overRate returns a violation for each period with a constant rate in which a server got
+// too many requests from nodes that had forwarded the rate.
 func (c *Checker) overRate(server string, list []standin.Visit) []Violation {
 	var out []Violation
 	for begin := 0; begin < len(list); {
@@ -158,9 +164,9 @@
 			end++
 		}
 		if rate := list[begin].Rate; rate > 0 {
-			most := ratePart*rate*rateSpan.Seconds() + rateExtra
-			if n := c.mostAtRate(list[begin:end]); float64(n) > most {
-				out = append(out, Violation{"rate", fmt.Sprintf("%s had named %.2f a second and got %d requests in %v, %.0f are allowed", server, rate, n, rateSpan, most)})
+			most := rateFactor*rate*rateWindow.Seconds() + rateAllowance
+			if n := c.maxAtRate(list[begin:end]); float64(n) > most {
+				out = append(out, Violation{"rate", fmt.Sprintf("%s had set a rate of %.2f per second and got %d requests in %v, %.0f are allowed", server, rate, n, rateWindow, most)})
 			}
 		}
 		begin = end
@@ -168,22 +174,23 @@
 	return out
 }
 
-// mostAtRate returns the most requests in any span while a server names one rate.
-func (c *Checker) mostAtRate(list []standin.Visit) int {
-	said := c.passedOn(list, func(standin.Visit) bool { return true })
+// maxAtRate returns the highest number of requests in any window of rateWindow while a
+// server sets a constant rate.
+func (c *Checker) maxAtRate(list []standin.Visit) int {
+	forwarded := c.forwardedResponses(list, func(standin.Visit) bool { return true })
 	var counted []time.Time
 	most := 0
 	for _, v := range list {
 		node := c.callers[v.ID].Node
-		if slices.ContainsFunc(said, func(t told) bool {
-			return t.node == node && v.At.Sub(t.at) >= rateSlack && c.calm(node, t.at, v.At, true)
+		if slices.ContainsFunc(forwarded, func(t forwardedResponse) bool {
+			return t.node == node && v.At.Sub(t.at) >= rateSlack && c.undisturbed(node, t.at, v.At, true)
 		}) {
 			counted = append(counted, v.At)
 		}
-		for len(counted) > 0 && v.At.Sub(counted[0]) >= rateSpan {
+		for len(counted) > 0 && v.At.Sub(counted[0]) >= rateWindow {
 			counted = counted[1:]
 		}
-		if v.At.Sub(list[0].At) >= rateStable {
+		if v.At.Sub(list[0].At) >= rateSettleTime {
 			most = max(most, len(counted))
 		}
 	}
--- a/internal/testbed/soak/load.go
+++ b/internal/testbed/soak/load.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	host         = "h.example"
-	streamEvents = 12
-	clientTime   = 4 * time.Second
+	host          = "h.example"
+	streamEvents  = 12
+	clientTimeout = 4 * time.Second
 )
 
-// load sends requests until ctx ends: kept connections and new ones, all kinds,
-// to nodes that are ready or were a moment ago.
-func (r *Run) load(ctx context.Context, client int) {
+// sendRequests sends requests of all kinds until ctx ends, on kept-alive and new
+// connections, to random nodes, whether they are ready or not.
+func (r *Run) sendRequests(ctx context.Context, client int) {
 	rng := rand.New(rand.NewPCG(r.Seed, uint64(1000+client)))
-	kept := &http.Client{Timeout: clientTime, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
-	for n := 0; ctx.Err() == nil; n++ {
-		at := r.nodes[rng.IntN(len(r.nodes))]
-		c := kept
+	keepAlive := &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
+	for seq := 0; ctx.Err() == nil; seq++ {
+		target := r.nodes[rng.IntN(len(r.nodes))]
+		c := keepAlive
 		if rng.IntN(4) == 0 {
-			c = &http.Client{Timeout: clientTime, Transport: &http.Transport{DisableKeepAlives: true}}
+			c = &http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 		}
-		r.request(c, at, fmt.Sprintf("c%d-%d", client, n), rng)
+		r.request(c, target, fmt.Sprintf("c%d-%d", client, seq), rng)
 		clock.Sleep(ctx, time.Duration(10+rng.IntN(60))*time.Millisecond)
 	}
 }
 
-// request sends one request and checks its answer.
+// request sends one request and checks its response.
 func (r *Run) request(c *http.Client, at *node, id string, rng *rand.Rand) {
 	method, path, model, events := http.MethodGet, "/safe/x", "", 0
 	repeatable := true
@@ -48,22 +48,22 @@
 	case 3:
 		path, model, events = "/resumable/x", r.model(rng), streamEvents
 	}
-	who := r.caller(id)
-	who.Node = at.settings.Node
+	caller := r.randomCaller(id)
+	caller.Node = at.settings.Node
 	req, err := http.NewRequest(method, "http://"+at.settings.Clients+path, strings.NewReader(strings.Repeat("b", rng.IntN(2000))))
 	if err != nil {
-		panic(err) // of our own making
+		panic(err) // the request is well-formed
 	}
 	req.Host = host
-	req.GetBody = nil // or the client would send it again under the same id
-	call := standin.Call{ID: id, Deadline: clientTime, Key: key(who.Team, who.Version)}
-	who.Tokens = standin.PlainTokens
+	req.GetBody = nil // prevents the client from resending the request with the same ID
+	call := standin.Call{ID: id, Deadline: clientTimeout, Key: key(caller.Team, caller.Version)}
+	caller.Tokens = standin.PlainTokens
 	if model != "" {
 		call.Model, call.Tokens = model, 100+rng.IntN(1500)
-		who.Tokens = call.Tokens + standin.CallOutput
+		caller.Tokens = call.Tokens + standin.CallOutput
 	}
 	call.Set(req.Header)
-	r.check.Sent(id, repeatable, who)
+	r.check.Sent(id, repeatable, caller)
 	resp, err := c.Do(req)
 	if err != nil {
 		r.check.Answered(id, at.settings.Node, 0)
@@ -84,24 +84,25 @@
 
 // Teams that call.
 const (
-	freeTeam  = "free"
-	boundTeam = "bound"
+	// Teams that send requests: one without a quota and one with a quota.
+	unlimitedTeam = "free"
+	limitedTeam   = "bound"
 )
 
-// key returns a team's key of a configuration; each configuration also allows the one
-// before it.
+// key returns a team's API key of a configuration. Each configuration also allows the key of
+// the version before it.
 func key(team string, version int) string { return fmt.Sprintf("key-%s-%d", team, version) }
 
-// caller draws who sends a request: one in three is of the team with a quota, and one in
-// ten uses a key that was revoked of late. It is drawn from the request's id, so that a
-// seed's other draws stay as they were.
-func (r *Run) caller(id string) Caller {
+// randomCaller chooses the sender of a request: one in three belongs to the team with a
+// quota, and one in ten uses a key that was revoked recently. The choice derives from the
+// request ID, so that the other random choices of a seed don't depend on it.
+func (r *Run) randomCaller(id string) Caller {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // never fails
 	rng := rand.New(rand.NewPCG(r.Seed, h.Sum64()))
-	c := Caller{Team: freeTeam, Version: int(r.version.Load()), At: time.Now()}
+	c := Caller{Team: unlimitedTeam, Version: int(r.version.Load()), At: time.Now()}
 	if rng.IntN(3) == 0 {
-		c.Team = boundTeam
+		c.Team = limitedTeam
 	}
 	if rng.IntN(10) == 0 {
 		c.Version -= 2
@@ -109,7 +110,7 @@
 	return c
 }
 
-// model picks a model, with an adapter now and then.
+// model returns a random model, with an adapter in one of three cases.
 func (r *Run) model(rng *rand.Rand) string {
 	m := fmt.Sprint("m", rng.IntN(models))
 	if rng.IntN(3) == 0 {
@@ -118,9 +119,10 @@
 	return m
 }
 
-// probe asks each node for the routes that only single configurations have.
-func (r *Run) probe(ctx context.Context) {
-	c := &http.Client{Timeout: probeTime, Transport: &http.Transport{DisableKeepAlives: true}}
+// probeConfigs requests from each node the routes that exist in a single configuration
+// version each, and records which are served.
+func (r *Run) probeConfigs(ctx context.Context) {
+	c := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; ctx.Err() == nil; n++ {
 		for _, at := range r.nodes {
 			version := int(r.version.Load())
@@ -128,13 +130,13 @@
 			for _, v := range []int{version, version - 1} {
 				req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/", at.settings.Clients, v), nil)
 				if err != nil {
-					panic(err) // of our own making
+					panic(err) // the request is well-formed
 				}
 				req.Host = host
 				id := fmt.Sprintf("p%d-%s-%d", n, at.settings.Node, v)
-				r.check.Sent(id, true, Caller{Team: freeTeam, Version: version, At: time.Now(), Tokens: standin.PlainTokens,
+				r.check.Sent(id, true, Caller{Team: unlimitedTeam, Version: version, At: time.Now(), Tokens: standin.PlainTokens,
 					Node: at.settings.Node})
-				standin.Call{ID: id, Key: key(freeTeam, version)}.Set(req.Header)
+				standin.Call{ID: id, Key: key(unlimitedTeam, version)}.Set(req.Header)
 				resp, err := c.Do(req)
 				if err != nil {
 					continue
--- a/internal/testbed/soak/node.go
+++ b/internal/testbed/soak/node.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	graceS    = 4.0
-	leaseMS   = 1200
-	probeTime = 300 * time.Millisecond
+	graceS       = 4.0
+	leaseMS      = 1200
+	probeTimeout = 300 * time.Millisecond
 )
 
-// node is one process of the system, which is started again after it ended.
+// node is a process of the system under test, which is restarted after it has ended.
 type node struct {
 	settings front.Settings
 	binary   string
 	file     string
 	log      *os.File
-	proxy    *Proxy // before the store
+	proxy    *Proxy // in front of the store
 
-	turn   sync.Mutex // held while it is ended and started
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	starts int
+	restartMu sync.Mutex // held during a restart
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	exited    chan struct{}
+	starts    int
 }
 
-// newNode writes the settings of a node.
+// newNode creates a node with its settings, its store proxy and its log file. It does not
+// start it.
 func newNode(name, binary, dir, store string) (*node, error) {
 	p, err := NewProxy(store)
 	if err != nil {
@@ -45,7 +46,7 @@
 	n := &node{binary: binary, file: filepath.Join(dir, name+".json"), proxy: p, settings: front.Settings{
 		Node: name, DataCentre: "z", Store: p.Address(), Cores: 1, MemoryMB: 300, Descriptors: 1000, GraceS: graceS, LeaseMS: leaseMS,
 		LoadWindowS: 5, RepeatRatio: 0.2, RepeatExtra: 56, RepeatSpanS: 10, CheckEpochs: true, LogLevel: "info",
-		RevokeMS: int(revocation.Milliseconds()), QuotaOver: boundOver, QuotaSlack: boundSlack, QuotaSpanS: boundWindow.Seconds()}}
+		RevokeMS: int(revocationDelay.Milliseconds()), QuotaOver: quotaOverRatio, QuotaSlack: quotaSlack, QuotaSpanS: quotaWindow.Seconds()}}
 	for _, a := range []*string{&n.settings.Clients, &n.settings.Ready, &n.settings.Peers, &n.settings.Metrics, &n.settings.Control} {
 		*a = freeport.Take()
 	}
@@ -53,7 +54,7 @@
 	return n, err
 }
 
-// start starts the process.
+// start writes the settings file and starts the process.
 func (n *node) start() error {
 	b, err := json.Marshal(n.settings)
 	if err != nil {
@@ -67,19 +68,19 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	n.mu.Lock()
-	n.cmd, n.ended = cmd, ended
+	n.cmd, n.exited = cmd, exited
 	n.starts++
 	n.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // how it ended stands in its log
-		close(ended)
+		_ = cmd.Wait() // the reason for the exit is in the log
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that the soak started.
+// signal sends a signal to the process. A process that has already exited is not an error.
 func (n *node) signal(s syscall.Signal) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,24 +90,24 @@
 	return nil
 }
 
-// wait waits until the process has ended.
+// wait waits until the process has exited.
 func (n *node) wait() {
 	n.mu.Lock()
-	ended := n.ended
+	exited := n.exited
 	n.mu.Unlock()
-	<-ended
+	<-exited
 }
 
-// incarnation counts the starts.
+// incarnation returns the number of starts.
 func (n *node) incarnation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.starts
 }
 
-// ready asks the node as the balancer does.
+// ready queries the node's readiness endpoint, as the load balancer does.
 func (n *node) ready() bool {
-	resp, err := (&http.Client{Timeout: probeTime}).Get("http://" + n.settings.Ready + "/ready")
+	resp, err := (&http.Client{Timeout: probeTimeout}).Get("http://" + n.settings.Ready + "/ready")
 	if err != nil {
 		return false
 	}
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// Mode is what a proxy does with bytes.
+// Mode is the forwarding behaviour of a Proxy.
 type Mode int
 
 const (
-	// Pass hands bytes on.
+	// Pass forwards bytes.
 	Pass Mode = iota
-	// Delay hands them on later.
+	// Delay forwards bytes after a delay.
 	Delay
-	// Silence keeps connections open and hands nothing on, either way.
+	// Silence keeps connections open and forwards nothing in either direction.
 	Silence
-	// OneWay hands on what callers send and nothing back.
+	// OneWay forwards bytes to the target and none back.
 	OneWay
 	// Refuse resets all connections, old and new.
 	Refuse
 	modes
 )
 
-// delay is how much later bytes arrive in mode Delay.
+// delay is the latency added in mode Delay.
 const delay = 80 * time.Millisecond
 
-// Proxy stands before one address.
+// Proxy forwards TCP connections to one address, with faults.
 type Proxy struct {
-	target string
-	l      net.Listener
+	target   string
+	listener net.Listener
 
 	mu    sync.Mutex
 	mode  Mode
 	conns map[net.Conn]struct{}
 }
 
-// NewProxy starts a proxy before target.
+// NewProxy starts a proxy in front of target.
 func NewProxy(target string) (*Proxy, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, l: l, conns: map[net.Conn]struct{}{}}
+	p := &Proxy{target: target, listener: listener, conns: map[net.Conn]struct{}{}}
 	go p.accept()
 	return p, nil
 }
 
-// Address returns IP:port.
-func (p *Proxy) Address() string { return p.l.Addr().String() }
+// Address returns the listening address as IP:port.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Connections that were silenced stay silent: only new
-// ones work again, as when something between two ends has lost track of them.
+// Set changes the mode. Connections that went silent stay silent and only new ones work, as
+// when a device between the two ends has lost its connection state.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,13 +64,13 @@
 	}
 }
 
-// Close ends the proxy.
+// Close stops listening and resets all connections.
 func (p *Proxy) Close() {
-	_ = p.l.Close()
+	_ = p.listener.Close()
 	p.Set(Refuse)
 }
 
-func (p *Proxy) now() Mode {
+func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -78,11 +78,11 @@
 
 func (p *Proxy) accept() {
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if p.now() == Refuse {
+		if p.currentMode() == Refuse {
 			reset(c)
 			continue
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-// serve joins a connection with one to the target.
+// serve connects a connection with a new one to the target.
 func (p *Proxy) serve(c net.Conn) {
 	d, err := net.DialTimeout("tcp4", p.target, time.Second)
 	if err != nil {
@@ -112,14 +112,14 @@
 	_ = d.Close()
 }
 
-// copy hands bytes on until one side ends.
-func (p *Proxy) copy(to, from net.Conn, back bool) {
+// copy forwards bytes until one side ends.
+func (p *Proxy) copy(to, from net.Conn, fromTarget bool) {
 	buf := make([]byte, 32<<10)
 	silent := false
 	for {
 		n, err := from.Read(buf)
-		m := p.now()
-		silent = silent || m == Silence || m == OneWay && back
+		m := p.currentMode()
+		silent = silent || m == Silence || m == OneWay && fromTarget
 		if m == Delay {
 			time.Sleep(delay)
 		}
@@ -143,7 +143,7 @@
 	}
 }
 
-// reset closes a connection so that the other end sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -17,49 +17,50 @@
 )
 
 const (
-	models   = 4
-	adapters = 6
-	places   = 4 // for adapters
-	engines  = 3
-	plains   = 3
-	clients  = 6
-	modelMB  = 72000
-	engineMB = 230000 // room for three models
-	// recovery is how long after the last fault every node must serve again: a
-	// lease that lapses, a start, and the store's feeds.
-	recovery = 10 * time.Second
-	settle   = 1500 * time.Millisecond
-	// revocation is how long after its removal a key may be used.
-	revocation = 2 * time.Second
+	models       = 4
+	adapters     = 6
+	adapterSlots = 4 // adapters that fit on an engine
+	engines      = 3
+	plainServers = 3
+	clients      = 6
+	modelMB      = 72000
+	engineMB     = 230000 // fits three models
+	// recoveryTime is how long after the last fault every node must serve again. It covers
+	// the expiry of a lease, a start, and the catch-up of the store's feeds.
+	recoveryTime = 10 * time.Second
+	settleTime   = 1500 * time.Millisecond
+	// revocationDelay is how long a key may be used after its removal.
+	revocationDelay = 2 * time.Second
 )
 
 // The team that is bound: its quota, and how far it may go over in a window.
 const (
-	boundRate   = 4000 // tokens a second
-	boundBurst  = 4000
-	boundWindow = 4 * time.Second
-	boundOver   = 0.1
-	boundSlack  = 4000
+	// The quota of the limited team, and by how much it may be exceeded in a window.
+	quotaRate      = 4000 // tokens per second
+	quotaBurst     = 4000
+	quotaWindow    = 4 * time.Second
+	quotaOverRatio = 0.1
+	quotaSlack     = 4000
 )
 
 type (
-	// Run is one soak. Its exported fields are set before Do.
+	// Run is one soak run. Its exported fields are set before Do.
 	Run struct {
-		Binary   string // the program guavapaddle
+		Binary   string // path of the guavapaddle program
 		Seed     uint64
 		Duration time.Duration
 		Nodes    int
-		Dir      string // for settings and logs of the processes
+		Dir      string // for the settings and logs of the processes
 		Log      io.Writer
 
-		check   *Checker
-		store   *standin.Store
-		nodes   []*node
-		workers []*worker
-		version atomic.Int64
-		faults  sync.WaitGroup
-		clean   []func()
-		mu      sync.Mutex // guards Log and workers
+		check    *Checker
+		store    *standin.Store
+		nodes    []*node
+		workers  []*worker
+		version  atomic.Int64
+		faults   sync.WaitGroup
+		cleanups []func()
+		mu       sync.Mutex // guards Log and workers
 	}
 
 	// worker is a stand-in server behind a proxy.
@@ -67,59 +68,60 @@
 		*standin.Worker
 		service string
 		proxy   *Proxy
-		left    atomic.Bool
+		leaving atomic.Bool
 	}
 )
 
-// leave claims the server's leaving; it leaves once.
-func (w *worker) leave() bool { return w.left.CompareAndSwap(false, true) }
+// startLeaving reports whether the caller may make the server leave; it returns true once.
+func (w *worker) startLeaving() bool { return w.leaving.CompareAndSwap(false, true) }
 
-// Cleanup and Helper make a Run what the stand-ins need of a test.
-func (r *Run) Cleanup(f func()) { r.clean = append(r.clean, f) }
+// Cleanup registers a function that runs at the end. Cleanup and Helper give Run the methods
+// of testing.TB that the stand-ins need.
+func (r *Run) Cleanup(f func()) { r.cleanups = append(r.cleanups, f) }
 
 // Helper does nothing.
 func (r *Run) Helper() {}
 
-// Do runs the soak and returns the promises that were broken. An error means
-// that it could not be run.
+// Do runs the soak and returns the violations of invariants. It returns an error if the soak
+// could not run to its end.
 func (r *Run) Do(ctx context.Context) ([]Violation, error) {
 	r.check = NewChecker()
-	defer r.end()
-	if err := r.begin(); err != nil {
+	defer r.tearDown()
+	if err := r.setUp(); err != nil {
 		return nil, err
 	}
-	if !r.recovered(ctx, "begin") {
-		return nil, fmt.Errorf("soak: nodes did not start within %v", recovery)
+	if !r.awaitRecovery(ctx, "begin") {
+		return nil, fmt.Errorf("soak: nodes did not start within %v", recoveryTime)
 	}
 	work, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for i := range clients {
-		wg.Go(func() { r.load(work, i) })
+		wg.Go(func() { r.sendRequests(work, i) })
 	}
-	wg.Go(func() { r.probe(work) })
-	wg.Go(func() { r.need(work) })
-	r.strike(work)
+	wg.Go(func() { r.probeConfigs(work) })
+	wg.Go(func() { r.requestLimits(work) })
+	r.injectFaults(work)
 	r.faults.Wait()
-	r.heal()
-	if !r.recovered(ctx, "end") && ctx.Err() == nil {
-		r.check.Break("recover", "not all nodes serve %v after the last fault", recovery)
+	r.clearFaults()
+	if !r.awaitRecovery(ctx, "end") && ctx.Err() == nil {
+		r.check.Break("recover", "some nodes do not serve requests %v after the last fault", recoveryTime)
 	}
 	stop()
 	wg.Wait()
-	clock.Sleep(ctx, settle) // what was sent before may still run
+	clock.Sleep(ctx, settleTime) // requests in flight may still run
 	if ctx.Err() != nil {
-		return nil, ctx.Err() // cut short: nothing can be said
+		return nil, ctx.Err() // incomplete, so the checks would not be conclusive
 	}
-	r.judge()
-	r.say("answers %v", r.check.Counts())
+	r.checkServers()
+	r.logf("responses by status: %v", r.check.Counts())
 	return r.check.Violations(), nil
 }
 
-// begin starts the store, the servers and the nodes.
-func (r *Run) begin() error {
+// setUp starts the store, the servers and the nodes.
+func (r *Run) setUp() error {
 	r.store = standin.NewStore(r)
-	r.configure(1)
-	for i := range engines + plains {
+	r.writeConfig(1)
+	for i := range engines + plainServers {
 		service := "plain"
 		if i < engines {
 			service = "llm"
@@ -144,8 +146,8 @@
 	return nil
 }
 
-// addWorker starts a server and writes its entry. Engines hold three of the
-// models, so that one has to be loaded on demand.
+// addWorker starts a server and writes its table entry. Engines start with two of the four
+// models, so that the others have to be loaded on demand.
 func (r *Run) addWorker(service, id string) error {
 	s := &standin.Worker{ID: id}
 	if service == "llm" {
@@ -163,60 +165,62 @@
 	r.mu.Lock()
 	r.workers = append(r.workers, w)
 	r.mu.Unlock()
-	r.enter(w, false)
+	r.writeEntry(w, false)
 	return nil
 }
 
-// enter writes a server's entry, with the proxy's address.
-func (r *Run) enter(w *worker, leaving bool) {
+// writeEntry writes a server's table entry, with the proxy's address.
+func (r *Run) writeEntry(w *worker, leaving bool) {
 	r.store.Put(platform.TableServers, w.ID, w.EntryAt(w.proxy.Address(), w.service, "z", leaving))
 }
 
-// configure writes a configuration with a route that only it has.
-func (r *Run) configure(version int) {
-	d := standin.Deployment{Host: host, Models: models, Adapters: adapters, Places: places, ModelMB: modelMB, EngineMB: engineMB,
-		Teams: []standin.Team{{Name: freeTeam, Keys: []string{key(freeTeam, version), key(freeTeam, version-1)}},
-			{Name: boundTeam, Keys: []string{key(boundTeam, version), key(boundTeam, version-1)}, Rate: boundRate, Burst: boundBurst}}}
+// writeConfig writes a configuration with a route that only this version has.
+func (r *Run) writeConfig(version int) {
+	d := standin.Deployment{Host: host, Models: models, Adapters: adapters, Places: adapterSlots, ModelMB: modelMB, EngineMB: engineMB,
+		Teams: []standin.Team{{Name: unlimitedTeam, Keys: []string{key(unlimitedTeam, version), key(unlimitedTeam, version-1)}},
+			{Name: limitedTeam, Keys: []string{key(limitedTeam, version), key(limitedTeam, version-1)}, Rate: quotaRate, Burst: quotaBurst}}}
 	r.store.Put(platform.TableOperator, platform.KeyConfig, d.Configuration(version))
 	r.version.Store(int64(version))
-	r.check.Revoked(version-2, time.Now().Add(revocation))
+	r.check.Revoked(version-2, time.Now().Add(revocationDelay))
 }
 
-// refresh writes the entries of engines as they are, as their heartbeats do.
-func (r *Run) refresh() {
+// refreshEntries rewrites the entries of the engines with their current state, as their
+// heartbeats do.
+func (r *Run) refreshEntries() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.workers {
-		if w.service == "llm" && !w.left.Load() && r.store.Row(platform.TableServers, w.ID).Version != 0 {
-			r.enter(w, false)
+		if w.service == "llm" && !w.leaving.Load() && r.store.Row(platform.TableServers, w.ID).Version != 0 {
+			r.writeEntry(w, false)
 		}
 	}
 }
 
-// recovered waits until every node is ready and serves.
-func (r *Run) recovered(ctx context.Context, phase string) bool {
+// awaitRecovery waits until every node is ready and serves requests.
+func (r *Run) awaitRecovery(ctx context.Context, phase string) bool {
 	rng := rand.New(rand.NewPCG(r.Seed, 1))
-	for end := time.Now().Add(recovery); time.Now().Before(end) && ctx.Err() == nil; clock.Sleep(ctx, 50*time.Millisecond) {
-		r.refresh()
+	for end := time.Now().Add(recoveryTime); time.Now().Before(end) && ctx.Err() == nil; clock.Sleep(ctx, 50*time.Millisecond) {
+		r.refreshEntries()
 		all := true
 		for _, n := range r.nodes {
 			all = all && n.ready()
 		}
 		if all {
-			return r.serves(phase, rng)
+			return r.allServe(phase, rng)
 		}
 	}
 	return false
 }
 
-// serves tells whether each node answers. Engines go on writing their entries
-// meanwhile: a node may draw only models that are loaded on demand.
-func (r *Run) serves(phase string, rng *rand.Rand) bool {
+// allServe reports whether each node serves at least one of several requests. It keeps the
+// engines' entries up to date, because a node may get only requests for models that are
+// loaded on demand.
+func (r *Run) allServe(phase string, rng *rand.Rand) bool {
 	for _, n := range r.nodes {
 		before := r.check.Counts()["200"]
 		for i := range 6 {
-			r.refresh()
-			r.request(r.oneClient(), n, fmt.Sprintf("%s-%s-%d", phase, n.settings.Node, i), rng)
+			r.refreshEntries()
+			r.request(r.newClient(), n, fmt.Sprintf("%s-%s-%d", phase, n.settings.Node, i), rng)
 		}
 		if r.check.Counts()["200"] == before {
 			return false
@@ -225,8 +229,8 @@
 	return true
 }
 
-// heal ends all faults.
-func (r *Run) heal() {
+// clearFaults ends all faults.
+func (r *Run) clearFaults() {
 	r.store.Outage(false)
 	for _, n := range r.nodes {
 		n.proxy.Set(Pass)
@@ -241,19 +245,19 @@
 	}
 }
 
-// judge checks what the servers saw.
-func (r *Run) judge() {
+// checkServers checks what the servers observed.
+func (r *Run) checkServers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
 	for _, w := range r.workers {
 		ids = append(ids, w.Runs()...)
 		r.check.Orders(w.ID, w.Given())
-		if most := w.MostAdapters(); most > places {
-			r.check.Break("memory", "engine %s was to hold %d adapters in %d places", w.ID, most, places)
+		if most := w.MostAdapters(); most > adapterSlots {
+			r.check.Break("memory", "engine %s was ordered to hold %d adapters, %d fit", w.ID, most, adapterSlots)
 		}
 		if most := w.MostModels(); most*modelMB > engineMB {
-			r.check.Break("memory", "engine %s was to hold %d models of %d MB", w.ID, most, modelMB)
+			r.check.Break("memory", "engine %s was ordered to hold %d models of %d MB, beyond its memory", w.ID, most, modelMB)
 		}
 	}
 	r.check.Runs(ids)
@@ -261,11 +265,11 @@
 		r.check.Keys(w.Ran())
 		r.check.Needs(w.ID, w.Visits())
 	}
-	r.check.Quota(boundTeam, boundWindow, (boundRate*boundWindow.Seconds()+boundBurst)*(1+boundOver)+boundSlack)
+	r.check.Quota(limitedTeam, quotaWindow, (quotaRate*quotaWindow.Seconds()+quotaBurst)*(1+quotaOverRatio)+quotaSlack)
 }
 
-// end ends the processes that the soak started.
-func (r *Run) end() {
+// tearDown ends the processes that the soak started and releases its resources.
+func (r *Run) tearDown() {
 	for _, n := range r.nodes {
 		if n.cmd != nil {
 			_ = n.signal(syscall.SIGCONT)
@@ -278,17 +282,17 @@
 	for _, w := range r.workers {
 		w.proxy.Close()
 	}
-	for _, f := range r.clean {
+	for _, f := range r.cleanups {
 		f()
 	}
 }
 
-// say writes a line about the run.
-func (r *Run) say(format string, a ...any) {
+// logf writes a line to the run's log.
+func (r *Run) logf(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, _ = fmt.Fprintf(r.Log, format+"\n", a...)
 }
 
-// TempDir makes a directory for a run's files.
+// TempDir creates a temporary directory for the files of a run.
 func TempDir() (string, error) { return os.MkdirTemp("", "guavapaddle-soak-") }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -14,16 +14,18 @@
 	"guavapaddle/platform/standin"
 )
 
-// seeds are run in CI. Seeds that ever failed stay here with their cause.
+// seeds are run in CI. Seeds that have failed stay in the list with the cause of the
+// failure.
 var seeds = []struct {
 	seed  uint64
 	cause string
 }{
 	{1, ""},
-	{2, "the stand-in answered a stream with a plain body in mode Extra; the system passed it on as it should"},
-	{701005, "a node drew only models without a copy while the engines' entries stood still: the soak didn't write them"},
+	{2, "the stand-in answered a stream with a plain body in mode Extra; the system correctly forwarded it"},
+	{701005, "a node got only requests for models without a copy while the soak did not refresh the engines' entries"},
 }
 
+// TestSeedsHold runs the soak with each seed and requires that no invariant is violated.
 func TestSeedsHold(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "guavapaddle")
 	build := exec.Command("go", "build", "-o", binary, "guavapaddle/cmd/guavapaddle")
@@ -37,9 +39,10 @@
 	}
 }
 
-// TestEachCheckFires shows each check what it is there to find.
+// TestEachCheckFires checks that each check reports the violation that it exists for, and
+// that permitted behaviour is not reported.
 func TestEachCheckFires(t *testing.T) {
-	for promise, play := range map[string]func(c *soak.Checker){
+	for promise, trigger := range map[string]func(c *soak.Checker){
 		"whole": func(c *soak.Checker) { c.Whole("a", "b", "stamp", "answer", 0) },
 		"order": func(c *soak.Checker) { c.Whole("a", "a", "stamp", "id: 1\ndata: event 1\n\n", 2) },
 		"twice": func(c *soak.Checker) {
@@ -100,7 +103,7 @@
 		},
 	} {
 		c := soak.NewChecker()
-		play(c)
+		trigger(c)
 		require.Len(t, c.Violations(), 1, promise)
 		require.Equal(t, promise, c.Violations()[0].Promise)
 	}
@@ -122,5 +125,5 @@
 	c.Disturbed("n", now.Add(time.Second), now.Add(2*time.Second), false)
 	c.Needs("s", []standin.Visit{{ID: "n", At: now, Departs: true}, {ID: "m", At: now.Add(3 * time.Second), Departs: true},
 		{ID: "late", At: now.Add(3 * time.Second), Departs: true}})
-	require.Empty(t, c.Violations(), "what may be is not counted")
+	require.Empty(t, c.Violations(), "permitted behaviour must not be reported")
 }
