--- a/internal/testbed/lab/lab.go
+++ b/internal/testbed/lab/lab.go
@@ -1,6 +1,6 @@
-// Package lab starts a whole system in one process, over real sockets on the
-// loopback: the platform, model engines and plain services as stand-ins, and
-// nodes. The demonstration, the load tool and tests use it.
+// Package lab starts a complete system in one process, over real sockets on the loopback
+// interface: stand-ins for the platform, model engines and plain services, and nodes. The
+// demonstration, the load generator and tests use it.
 //
 // # Usage
 //
@@ -9,8 +9,7 @@
 //	defer l.Close()
 //	reply, err := http.Post("http://"+l.Callers[0]+"/v1/chat/completions", ...)
 //
-// Addresses in the document are replaced by those on which the stand-ins
-// listen.
+// Server addresses in the document are replaced by those on which the stand-ins listen.
 package lab
 
 import (
@@ -39,56 +38,57 @@
 )
 
 const (
-	pollPeriod = 20 * time.Millisecond
-	anyPort    = "127.0.0.1:0"
-	applyer    = "lab"
+	pollPeriod   = 20 * time.Millisecond
+	anyPort      = "127.0.0.1:0"
+	operatorName = "lab"
 )
 
 type (
-	// Lab is a whole system. Its first fields are set before Start.
+	// Lab is a complete system. The fields up to Log are set before Start, which sets the
+	// others.
 	Lab struct {
-		Document *config.Document // whose servers' addresses are replaced
+		Document *config.Document // Start replaces the addresses of its servers
 		Nodes    int              // default 2
 		Platform *platform.Platform
-		// Engine changes the stand-in of a server before it starts; may be nil.
+		// Engine adjusts the stand-in of an engine before it starts. It may be nil.
 		Engine func(e *engine.Engine, s config.BackendServer)
-		// Started is told of each engine that has started, before any node
-		// has; may be nil.
+		// Started is called for each engine that has started, before any node starts. It may
+		// be nil.
 		Started func(e *engine.Engine, s config.BackendServer)
-		// Settings changes the settings of a node before it starts; may be nil.
+		// Settings adjusts the settings of a node before it starts. It may be nil.
 		Settings func(s *node.Settings)
-		// Spawn starts a node some other way than in this process; may be nil.
+		// Spawn starts a node in another way than in this process. It may be nil.
 		Spawn func(s node.Settings) (*Process, node.Addresses, error)
-		Log   *zap.Logger // default none
+		Log   *zap.Logger // discards everything by default
 
 		Engines   map[string]*engine.Engine
 		Services  map[string]*service.Service
-		Callers   []string // address of each node
-		Operators []string // address of each node
-		Address   string   // of the platform
+		Callers   []string // callers' address of each node
+		Operators []string // operators' address of each node
+		Address   string   // address of the platform
 
-		dir     string
-		running []*Process
-		closing sync.Once
+		dir       string
+		processes []*Process
+		closeOnce sync.Once
 	}
 
 	// Process is one node of a lab.
 	Process struct {
 		Name string
 		Stop func()       // begins a graceful shutdown
-		Kill func()       // ends it at once; nil for a node in this process
-		Done <-chan error // gets one value at the end
+		Kill func()       // ends it immediately; nil for a node in this process
+		Done <-chan error // receives one value when it has ended
 		once sync.Once
 	}
 
-	// NotReady tells that the system did not get ready in time.
+	// NotReady is the error returned when the system did not become ready in time.
 	NotReady struct{ What string }
 )
 
-// Error names what is missing.
+// Error returns a message that names what is not ready.
 func (e *NotReady) Error() string { return "not ready in time: " + e.What }
 
-// Start starts everything and applies the document. Models load after it; see
+// Start starts all components and applies the document. Models are loaded afterwards; see
 // WaitResident.
 func (l *Lab) Start(ctx context.Context) error {
 	if l.Nodes == 0 {
@@ -152,18 +152,18 @@
 	return nil
 }
 
-// Apply applies a document as an operator does.
+// Apply applies a document as an operator.
 func (l *Lab) Apply(ctx context.Context, doc *config.Document) error {
 	a := &configsync.Applier{
 		Table:    &table.Client{Address: l.Address},
 		Store:    &object.Client{Address: l.Address},
-		Operator: applyer,
+		Operator: operatorName,
 	}
 	_, err := a.Apply(ctx, doc)
 	return err
 }
 
-// startNodes starts the nodes, each of which has the first as its seed.
+// startNodes starts the nodes, distributed over the data centres of the document.
 func (l *Lab) startNodes() error {
 	dir, err := os.MkdirTemp("", "guavapaddle-lab-")
 	if err != nil {
@@ -177,27 +177,27 @@
 	if err := keys.Generate(dir, names); err != nil {
 		return err
 	}
-	places := dataCentres(l.Document)
+	dataCentreNames := dataCentres(l.Document)
 	for i, name := range names {
-		if err := l.startNode(name, places[i%len(places)]); err != nil {
+		if err := l.startNode(name, dataCentreNames[i%len(dataCentreNames)]); err != nil {
 			return eris.Wrapf(err, "start %s", name)
 		}
 	}
 	return nil
 }
 
-// startNode starts one node and lists its VM.
-func (l *Lab) startNode(name, place string) error {
+// startNode starts one node and adds it to the VM list.
+func (l *Lab) startNode(name, dataCentre string) error {
 	s := node.Settings{
-		Name: name, DataCentre: place,
+		Name: name, DataCentre: dataCentre,
 		Callers: anyPort, Peers: anyPort, Operators: anyPort,
 		Table: l.Address, Objects: l.Address, VMList: l.Address,
 		CA:   filepath.Join(l.dir, "ca.pem"),
 		Cert: filepath.Join(l.dir, name+".pem"),
 		Key:  filepath.Join(l.dir, name+".key"),
-		// The zero value of the others is not their default.
+		// The defaults of these settings are not their zero values.
 		Policy: "home", Planner: "gain", Limit: "cost", LogLevel: "info",
-		Seed: uint64(len(l.running) + 1),
+		Seed: uint64(len(l.processes) + 1),
 	}
 	if l.Settings != nil {
 		l.Settings(&s)
@@ -213,13 +213,13 @@
 	if err != nil {
 		return err
 	}
-	l.running = append(l.running, p)
+	l.processes = append(l.processes, p)
 	l.Callers = append(l.Callers, a.Callers)
 	l.Operators = append(l.Operators, a.Operators)
 	list := &vmlist.Client{Address: l.Address}
-	listing, cancel := context.WithTimeout(context.Background(), time.Second)
+	listCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return list.Set(listing, vmlist.VM{Name: name, Address: a.Peers, Role: "node", DataCentre: place, State: vmlist.Live})
+	return list.Set(listCtx, vmlist.VM{Name: name, Address: a.Peers, Role: "node", DataCentre: dataCentre, State: vmlist.Live})
 }
 
 // runNode runs a node in this process.
@@ -238,7 +238,8 @@
 	return &Process{Name: s.Name, Stop: stop, Done: done}, a, nil
 }
 
-// dataCentres returns the data centres of a document's servers, in order.
+// dataCentres returns the distinct data centres of a document's servers, in order of
+// appearance.
 func dataCentres(d *config.Document) []string {
 	var out []string
 	seen := map[string]bool{}
@@ -251,13 +252,13 @@
 	return out
 }
 
-// Status returns what a node knows.
+// Status returns a node's status report.
 func (l *Lab) Status(ctx context.Context, node int) (status.Report, error) {
 	c := &operator.Client{Address: l.Operators[node]}
 	return c.Status(ctx)
 }
 
-// waitReady waits until all nodes know each other and are ready.
+// waitReady waits until all nodes are ready and know each other.
 func (l *Lab) waitReady(ctx context.Context) error {
 	return l.wait(ctx, "nodes", func() bool {
 		for i := range l.Operators {
@@ -270,8 +271,8 @@
 	})
 }
 
-// WaitResident waits until every declared item serves somewhere by the views of
-// every node.
+// WaitResident waits until, in every node's view, every declared item is resident on a
+// reachable server.
 func (l *Lab) WaitResident(ctx context.Context) error {
 	x := config.NewIndex(l.Document, 0)
 	return l.wait(ctx, "models", func() bool {
@@ -281,11 +282,11 @@
 				return false
 			}
 			for _, item := range x.Items() {
-				held := false
+				resident := false
 				for _, s := range r.Servers {
-					held = held || s.Reachable && s.Holds(item)
+					resident = resident || s.Reachable && s.Holds(item)
 				}
-				if !held {
+				if !resident {
 					return false
 				}
 			}
@@ -295,10 +296,10 @@
 }
 
 // wait polls a condition until it holds or ctx ends.
-func (l *Lab) wait(ctx context.Context, what string, holds func() bool) error {
+func (l *Lab) wait(ctx context.Context, what string, condition func() bool) error {
 	t := time.NewTicker(pollPeriod)
 	defer t.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -308,9 +309,9 @@
 	return nil
 }
 
-// StopNode shuts a node down gracefully and waits for its end.
+// StopNode shuts a node down gracefully and waits until it has ended.
 func (l *Lab) StopNode(i int) error {
-	p := l.running[i]
+	p := l.processes[i]
 	var err error
 	p.once.Do(func() {
 		p.Stop()
@@ -319,10 +320,10 @@
 	return err
 }
 
-// KillNode ends a node at once, as if its VM were lost. It panics for a node in
-// this process.
+// KillNode ends a node immediately, as if its VM were lost. It panics for a node in this
+// process.
 func (l *Lab) KillNode(i int) {
-	p := l.running[i]
+	p := l.processes[i]
 	p.once.Do(func() {
 		p.Kill()
 		if err := <-p.Done; err != nil {
@@ -331,12 +332,12 @@
 	})
 }
 
-// Close stops everything. A second call does nothing.
-func (l *Lab) Close() { l.closing.Do(l.close) }
+// Close stops all components. Further calls do nothing.
+func (l *Lab) Close() { l.closeOnce.Do(l.close) }
 
 func (l *Lab) close() {
 	var wg sync.WaitGroup
-	for i := range l.running {
+	for i := range l.processes {
 		wg.Go(func() { _ = l.StopNode(i) })
 	}
 	wg.Wait()
