--- a/internal/testbed/await/await.go
+++ b/internal/testbed/await/await.go
@@ -1,6 +1,6 @@
-// Package await bounds what a test waits for. A test that waits on a bare
-// channel hangs until the time limit of its whole package, and then takes the
-// package's other results with it.
+// Package await limits how long a test waits. A test that waits on a bare channel hangs
+// until the time limit of its whole package, and the other results of the package are then
+// lost too.
 //
 // # Usage
 //
@@ -17,21 +17,21 @@
 )
 
 const (
-	// Limit is how long Value waits. It leaves room for a busy machine and lies
-	// far below the time limit of a package.
+	// Limit is how long Value waits. It allows for a busy machine and is far below the time
+	// limit of a package.
 	Limit = 30 * time.Second
 
 	stacksBytes = 1 << 20
 )
 
-// Value returns what c delivers, or its zero value once it is closed. If
-// nothing comes within Limit the test fails with the stacks of all goroutines.
+// Value returns the next value from c, or the zero value if c is closed. If nothing arrives
+// within Limit, the test fails with the stacks of all goroutines.
 func Value[T any](t testing.TB, c <-chan T, what string) T {
 	t.Helper()
 	return Within(t, c, Limit, what)
 }
 
-// Within is Value with a limit of its own.
+// Within is like Value, with an explicit limit.
 func Within[T any](t testing.TB, c <-chan T, limit time.Duration, what string) T {
 	t.Helper()
 	timer := time.NewTimer(limit)
@@ -45,7 +45,7 @@
 	}
 }
 
-// stacks returns the stacks of all goroutines, up to stacksBytes.
+// stacks returns the stacks of all goroutines, truncated to stacksBytes.
 func stacks() []byte {
 	b := make([]byte, stacksBytes)
 	return b[:runtime.Stack(b, true)]
--- a/internal/testbed/await/await_test.go
+++ b/internal/testbed/await/await_test.go
@@ -11,15 +11,15 @@
 	"guavapaddle/internal/testbed/await"
 )
 
-// failing records a fatal failure and ends its goroutine, as a test would.
-type failing struct {
+// failureRecorder records a fatal failure and ends its goroutine, as testing.T does.
+type failureRecorder struct {
 	testing.TB
 	message string
 }
 
-func (f *failing) Helper() {}
+func (f *failureRecorder) Helper() {}
 
-func (f *failing) Fatalf(format string, args ...any) {
+func (f *failureRecorder) Fatalf(format string, args ...any) {
 	f.message = fmt.Sprintf(format, args...)
 	runtime.Goexit()
 }
@@ -32,10 +32,10 @@
 	require.Zero(t, await.Value(t, c, "the end"))
 }
 
-// TestSilentChannelFailsWithStacks guards against a test that hangs without
-// saying where.
+// TestSilentChannelFailsWithStacks checks that a wait that times out reports where all
+// goroutines are. It guards against tests that hang without a trace.
 func TestSilentChannelFailsWithStacks(t *testing.T) {
-	f := &failing{TB: t}
+	f := &failureRecorder{TB: t}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
