--- a/internal/testbed/bound/bound.go
+++ b/internal/testbed/bound/bound.go
@@ -1,14 +1,14 @@
-// Package bound tells what attainment the same arrivals would have with one
+// Package bound computes the deadline attainment that the same arrivals would have with one
 // pooled deadline queue for all servers, each of which holds every model.
 //
 // # Method
 //
-// The arrivals go through one core/queue with the slots of all engines, in
-// computed time. Nothing is moved, sent or reported late, prefixes are always
-// cached, requests are spread evenly over the engines, and urgent work displaces
-// running deferrable work without loss. A request's time a token is that of the
-// mean batch when it starts. The figure is a bound of what placement and routing
-// can reach with this order of the queue, not of all conceivable orders.
+// The arrivals go through one core/queue with the slots of all engines, in simulated time.
+// Nothing is moved, sent or reported late, prefixes are always cached, requests are spread
+// evenly over the engines, and urgent work preempts running deferrable work without loss.
+// The time per token of a request is that of the mean batch at its start. The result is an
+// upper bound for placement and routing with this queue order, not for all conceivable
+// orders.
 //
 // # Usage
 //
@@ -25,40 +25,39 @@
 	"guavapaddle/internal/testbed/workload"
 )
 
-// cachedTail is the length in tokens of the part of a prompt that is never
-// cached.
+// cachedTail is the number of tokens at the end of a prompt that are never cached.
 const cachedTail = 24
 
 type (
-	// job is a request that runs.
+	// job is a running request.
 	job struct {
 		number   int
 		started  time.Duration
 		perToken time.Duration
 		tokens   int
 		ends     time.Duration
-		index    int // in the heap
+		index    int // index in the heap
 	}
 
-	// jobs is a heap by end, for container/heap.
+	// jobs is a heap of jobs by end time, for container/heap.
 	jobs []*job
 
-	// pool is the pooled queue with what runs.
+	// pool is the pooled queue and the running requests.
 	pool struct {
-		d        workload.Deployment
-		arrivals []workload.Arrival
-		q        *queue.Queue
-		ends     jobs
-		running  map[string]*job
-		left     []int // tokens that an arrival still needs
-		met      []bool
+		deployment workload.Deployment
+		arrivals   []workload.Arrival
+		q          *queue.Queue
+		ends       jobs
+		running    map[string]*job
+		remaining  []int // by arrival: tokens that it still needs
+		met        []bool
 	}
 )
 
 // Len returns the number of jobs.
 func (j jobs) Len() int { return len(j) }
 
-// Less tells whether job a ends before job b.
+// Less reports whether job a ends before job b.
 func (j jobs) Less(a, b int) bool { return j[a].ends < j[b].ends }
 
 // Swap swaps two jobs.
@@ -67,63 +66,64 @@
 	j[a].index, j[b].index = a, b
 }
 
-// Push adds a *job at the end.
+// Push appends a *job.
 func (j *jobs) Push(x any) {
 	n := x.(*job)
 	n.index = len(*j)
 	*j = append(*j, n)
 }
 
-// Pop takes the last job off.
+// Pop removes and returns the last job.
 func (j *jobs) Pop() any {
 	last := (*j)[len(*j)-1]
 	*j = (*j)[:len(*j)-1]
 	return last
 }
 
-// Run returns for each arrival whether it would be met in time.
-func Run(d workload.Deployment, arrivals []workload.Arrival) []bool {
+// Run reports for each arrival whether it meets its deadline.
+func Run(deployment workload.Deployment, arrivals []workload.Arrival) []bool {
 	p := &pool{
-		d: d, arrivals: arrivals, running: map[string]*job{},
-		left: make([]int, len(arrivals)), met: make([]bool, len(arrivals)),
+		deployment: deployment, arrivals: arrivals, running: map[string]*job{},
+		remaining: make([]int, len(arrivals)), met: make([]bool, len(arrivals)),
 		q: queue.New(queue.Settings{
-			Slots: d.Engines * d.Slots, Reserve: -1, Limit: len(arrivals) + 1, CancelToPreempt: true,
-			StepSeconds: d.FullStep().Seconds(),
+			Slots: deployment.Engines * deployment.Slots, Reserve: -1, Limit: len(arrivals) + 1, CancelToPreempt: true,
+			StepSeconds: deployment.FullStep().Seconds(),
 		}),
 	}
 	for i, a := range arrivals {
 		p.finishUntil(a.At)
-		p.left[i] = a.Tokens
-		p.offer(i, a.At)
+		p.remaining[i] = a.Tokens
+		p.enqueue(i, a.At)
 		p.start(a.At)
 	}
 	p.finishUntil(1 << 62)
 	return p.met
 }
 
-// clock turns computed time into the time that the queue wants.
-func clock(at time.Duration) time.Time { return time.Unix(0, 0).Add(at) }
+// queueTime converts simulated time to the time values that the queue takes.
+func queueTime(at time.Duration) time.Time { return time.Unix(0, 0).Add(at) }
 
-// offer puts an arrival, or the rest of a displaced one, into the queue.
-func (p *pool) offer(number int, now time.Duration) {
+// enqueue adds an arrival, or the remainder of a preempted one, to the queue.
+func (p *pool) enqueue(number int, now time.Duration) {
 	a := p.arrivals[number]
 	deadline := a.At + time.Duration(a.Mix.DeadlineMS)*time.Millisecond
-	p.q.Offer(clock(now), queue.Entry{
+	p.q.Offer(queueTime(now), queue.Entry{
 		ID: strconv.Itoa(number), Kind: a.Mix.Name, Urgency: a.Mix.Urgency, Value: a.Mix.Value,
-		Deadline: clock(deadline), Tokens: p.left[number],
+		Deadline: queueTime(deadline), Tokens: p.remaining[number],
 	})
 }
 
-// start dispatches what the pool has room for.
+// start dispatches requests until the pool has no free slot or the queue has no request that
+// may run.
 func (p *pool) start(now time.Duration) {
-	p.q.Expire(clock(now))
+	p.q.Expire(queueTime(now))
 	for {
-		e, ok := p.q.Next(clock(now))
+		e, ok := p.q.Next(queueTime(now))
 		if !ok {
 			return
 		}
 		if e.Preempts != "" {
-			p.displace(e.Preempts, now)
+			p.preempt(e.Preempts, now)
 		}
 		number, _ := strconv.Atoi(e.ID)
 		p.run(number, now)
@@ -132,35 +132,35 @@
 
 // run starts a request at the step time of the mean batch.
 func (p *pool) run(number int, now time.Duration) {
-	batch := (len(p.running) + p.d.Engines) / p.d.Engines
+	batch := (len(p.running) + p.deployment.Engines) / p.deployment.Engines
 	j := &job{
-		number: number, started: now + cachedTail*p.d.Prefill, tokens: p.left[number],
-		perToken: p.d.Step + time.Duration(batch-1)*p.d.StepSlope,
+		number: number, started: now + cachedTail*p.deployment.Prefill, tokens: p.remaining[number],
+		perToken: p.deployment.Step + time.Duration(batch-1)*p.deployment.StepSlope,
 	}
 	j.ends = j.started + time.Duration(j.tokens)*j.perToken
 	heap.Push(&p.ends, j)
 	p.running[strconv.Itoa(number)] = j
 }
 
-// displace puts a running request back with the tokens that it still needs.
-func (p *pool) displace(id string, now time.Duration) {
+// preempt stops a running request and enqueues it again with the tokens that it still needs.
+func (p *pool) preempt(id string, now time.Duration) {
 	j := p.running[id]
 	delete(p.running, id)
 	heap.Remove(&p.ends, j.index)
-	made := int(max(0, now-j.started) / j.perToken)
-	p.left[j.number] = max(1, j.tokens-made)
-	p.q.Done(id, clock(now), 0)
-	p.offer(j.number, now)
+	generated := int(max(0, now-j.started) / j.perToken)
+	p.remaining[j.number] = max(1, j.tokens-generated)
+	p.q.Done(id, queueTime(now), 0)
+	p.enqueue(j.number, now)
 }
 
-// finishUntil ends the requests that are done by a time, in order, and starts
-// others in their place.
+// finishUntil ends, in order, the requests that complete by a time, and starts others in
+// their place.
 func (p *pool) finishUntil(until time.Duration) {
 	for len(p.ends) > 0 && p.ends[0].ends <= until {
 		j := heap.Pop(&p.ends).(*job)
 		id := strconv.Itoa(j.number)
 		delete(p.running, id)
-		p.q.Done(id, clock(j.ends), (j.ends - j.started).Seconds())
+		p.q.Done(id, queueTime(j.ends), (j.ends - j.started).Seconds())
 		a := p.arrivals[j.number]
 		p.met[j.number] = j.ends <= a.At+time.Duration(a.Mix.DeadlineMS)*time.Millisecond
 		p.start(j.ends)
--- a/internal/testbed/bound/bound_test.go
+++ b/internal/testbed/bound/bound_test.go
@@ -11,8 +11,8 @@
 	"guavapaddle/internal/testbed/workload"
 )
 
-// small returns one engine with two slots and steps of 10 ms.
-func small() workload.Deployment {
+// smallDeployment returns a deployment of one engine with two slots and steps of 10 ms.
+func smallDeployment() workload.Deployment {
 	return workload.Deployment{Engines: 1, Slots: 2, Step: 10 * time.Millisecond}
 }
 
@@ -34,14 +34,14 @@
 		{"the third is late", []workload.Arrival{
 			arrival(0, 0, config.Normal, 100, s), arrival(1, 0, config.Normal, 100, s), arrival(2, 0, config.Normal, 100, s),
 		}, []bool{true, true, false}},
-		{"urgent work displaces deferrable work, which goes on", []workload.Arrival{
+		{"urgent work preempts deferrable work, which resumes", []workload.Arrival{
 			arrival(0, 0, config.Deferrable, 100, 3*s), arrival(1, 0, config.Deferrable, 100, 3*s),
 			arrival(2, s/2, config.Urgent, 100, s), arrival(3, s/2, config.Urgent, 100, s),
 		}, []bool{true, true, true, true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			require.Equal(t, tt.want, bound.Run(small(), tt.arrivals))
+			require.Equal(t, tt.want, bound.Run(smallDeployment(), tt.arrivals))
 		})
 	}
 }
