--- a/internal/testbed/cputime/cputime.go
+++ b/internal/testbed/cputime/cputime.go
@@ -1,7 +1,7 @@
-// Package cputime measures the processor time of a function, for tests that compare costs.
+// Package cputime measures the CPU time of a function, for tests that compare costs.
 //
-// Wall time grows with the load of the machine, and more for what runs long enough to be
-// preempted; the processor time of a thread doesn't count the time of others.
+// Wall time grows with the load of the machine, and more so for functions that run long
+// enough to be preempted. The CPU time of a thread excludes the time of other threads.
 //
 // # Usage
 //
@@ -16,16 +16,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Of returns the processor time that f takes on its own thread.
+// Of returns the CPU time of a call of f. It locks the goroutine to its thread during the
+// call.
 func Of(f func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	began := now()
+	began := threadTime()
 	f()
-	return now() - began
+	return threadTime() - began
 }
 
-// Least returns the least processor time of so many calls of f.
+// Least returns the minimum CPU time over the given number of calls of f.
 func Least(calls int, f func()) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for range calls {
@@ -34,11 +35,11 @@
 	return least
 }
 
-// now returns the processor time of the thread.
-func now() time.Duration {
+// threadTime returns the CPU time of the current thread.
+func threadTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic("cputime: no clock of the thread: " + err.Error())
+		panic("cputime: cannot read the thread's CPU clock: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
