--- a/internal/testbed/freeport/freeport.go
+++ b/internal/testbed/freeport/freeport.go
@@ -1,10 +1,10 @@
-// Package freeport finds loopback ports for processes that take their addresses
-// from settings.
+// Package freeport finds free loopback ports for processes that read their addresses from
+// settings.
 //
-// A port that the kernel chose for a listener that is closed again may be given
-// to the next outgoing connection before the process listens on it. So ports
-// are taken from below the range that the kernel chooses from, each once, and
-// from a place that differs between processes.
+// If the kernel chose a port for a listener that is closed again, it may assign the same
+// port to the next outgoing connection before the process listens on it. Ports are therefore
+// taken from below the kernel's ephemeral range, each at most once per process, and from an
+// offset that differs between processes.
 //
 // # Usage
 //
@@ -19,27 +19,27 @@
 )
 
 const (
-	lowest = 12000
-	count  = 18000 // up to 30000; the kernel chooses from 32768 on
-	stride = 97    // ports that a process takes before it may meet the next one's
+	minPort       = 12000
+	portCount     = 18000 // up to 30000; the kernel's ephemeral range starts at 32768
+	processStride = 97    // ports a process can take before it reaches those of the next process ID
 )
 
-var taken atomic.Int64
+var takenCount atomic.Int64
 
-// Take returns IP:port of a loopback port on which nothing listens, for TCP or
-// UDP. It panics if there is none.
+// Take returns the IP:port of a loopback port on which nothing listens over TCP or UDP. It
+// panics if there is none.
 func Take() string {
-	for range count {
-		n := int64(os.Getpid())*stride + taken.Add(1)
-		address := fmt.Sprintf("127.0.0.1:%d", lowest+n%count)
-		if free(address) {
+	for range portCount {
+		n := int64(os.Getpid())*processStride + takenCount.Add(1)
+		address := fmt.Sprintf("127.0.0.1:%d", minPort+n%portCount)
+		if isFree(address) {
 			return address
 		}
 	}
 	panic("freeport: no port is free")
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return false
