--- a/internal/testbed/tabletest/table.go
+++ b/internal/testbed/tabletest/table.go
@@ -1,5 +1,5 @@
-// Package tabletest holds an in-memory table service for tests, whose calls
-// fail on order. It keeps the conditions of docs/PROTOCOLS.md.
+// Package tabletest provides an in-memory table service for tests, with fault injection. It
+// evaluates conditions as docs/PROTOCOLS.md specifies.
 //
 // # Usage
 //
@@ -20,33 +20,33 @@
 	"guavapaddle/io/table"
 )
 
-// errOnOrder is the cause of every failure.
-var errOnOrder = eris.New("failed on order")
+// errInjected is the cause of every injected failure.
+var errInjected = eris.New("injected failure")
 
 type (
-	// Call is one call as a fault function sees it.
+	// Call describes a call to a fault function.
 	Call struct {
 		Write  bool
-		Number int // counts all calls from one
+		Number int // sequence number over all calls, from 1
 	}
 
-	// Fault is how a call fails. The zero value lets it succeed.
+	// Fault is how a call fails. The zero value makes it succeed.
 	Fault struct {
-		Refuse     bool          // surely not done
-		LoseAnswer bool          // done, and the answer is lost
-		Lose       bool          // not done, and nobody can tell
-		Hang       bool          // no answer until the caller gives up; not done
-		Late       time.Duration // no answer; done so much later
-		Delay      time.Duration // before anything else
+		Refuse     bool          // not executed, and the caller knows it
+		LoseAnswer bool          // executed, and the response is lost
+		Lose       bool          // not executed, and the caller cannot tell
+		Hang       bool          // not executed; no response until the caller gives up
+		Late       time.Duration // no response; a transaction is executed after this delay
+		Delay      time.Duration // delay before anything else
 	}
 
-	// Table is the table. Its fields are set before its first use.
+	// Table is an in-memory table. Fault is set before the first use or with SetFault.
 	Table struct {
 		Fault func(Call) Fault
 
 		mu           sync.Mutex
 		rows         map[string]row.Row
-		last         uint64
+		revision     uint64
 		calls        int
 		transactions int
 	}
@@ -55,14 +55,14 @@
 // New returns an empty table.
 func New() *Table { return &Table{rows: map[string]row.Row{}} }
 
-// SetFault sets how calls fail from now on.
+// SetFault sets the fault function for subsequent calls.
 func (t *Table) SetFault(f func(Call) Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.Fault = f
 }
 
-// Transactions returns the number of transactions that were begun.
+// Transactions returns the number of transactions started, including failed ones.
 func (t *Table) Transactions() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,29 +72,29 @@
 // Transact commits tx if its conditions hold.
 func (t *Table) Transact(ctx context.Context, tx row.Tx) (row.Result, error) {
 	f := t.begin(true)
-	if err := f.before(ctx); err != nil {
+	if err := f.inject(ctx); err != nil {
 		return row.Result{}, err
 	}
 	if f.Late > 0 {
 		time.AfterFunc(f.Late, func() { t.apply(tx) })
 		<-ctx.Done()
-		return row.Result{}, fail(table.Uncertain)
+		return row.Result{}, tableError(table.Uncertain)
 	}
 	res := t.apply(tx)
 	if f.LoseAnswer {
-		return row.Result{}, fail(table.Uncertain)
+		return row.Result{}, tableError(table.Uncertain)
 	}
 	return res, nil
 }
 
-// Read returns rows in the order of their keys.
+// Read returns the rows for the given keys, in the order of the keys.
 func (t *Table) Read(ctx context.Context, keys ...string) ([]row.Row, error) {
 	f := t.begin(false)
-	if err := f.before(ctx); err != nil {
+	if err := f.inject(ctx); err != nil {
 		return nil, err
 	}
 	if f.LoseAnswer || f.Late > 0 {
-		return nil, fail(table.Uncertain)
+		return nil, tableError(table.Uncertain)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,10 +106,10 @@
 	return out, nil
 }
 
-// Scan returns the rows whose keys begin with prefix.
+// Scan returns the rows whose keys begin with prefix, sorted by key.
 func (t *Table) Scan(ctx context.Context, prefix string) ([]row.Row, error) {
 	f := t.begin(false)
-	if err := f.before(ctx); err != nil {
+	if err := f.inject(ctx); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -138,23 +138,24 @@
 	return t.Fault(Call{Write: write, Number: t.calls})
 }
 
-// before waits and fails as ordered.
-func (f Fault) before(ctx context.Context) error {
+// inject applies the delay and the failures of a fault that take effect before the call is
+// executed.
+func (f Fault) inject(ctx context.Context) error {
 	if f.Delay > 0 {
 		select {
 		case <-time.After(f.Delay):
 		case <-ctx.Done():
-			return fail(table.Uncertain)
+			return tableError(table.Uncertain)
 		}
 	}
 	switch {
 	case f.Refuse:
-		return fail(table.Unavailable)
+		return tableError(table.Unavailable)
 	case f.Lose:
-		return fail(table.Uncertain)
+		return tableError(table.Uncertain)
 	case f.Hang:
 		<-ctx.Done()
-		return fail(table.Uncertain)
+		return tableError(table.Uncertain)
 	}
 	return nil
 }
@@ -173,16 +174,16 @@
 	if len(conflicts) > 0 {
 		return row.Result{Conflicts: conflicts}
 	}
-	t.last++
+	t.revision++
 	for _, w := range tx.Writes {
 		if w.Delete {
 			delete(t.rows, w.Key)
 			continue
 		}
-		t.rows[w.Key] = row.Row{Key: w.Key, Value: w.Value, Revision: t.last}
+		t.rows[w.Key] = row.Row{Key: w.Key, Value: w.Value, Revision: t.revision}
 	}
-	return row.Result{Committed: true, Revision: t.last}
+	return row.Result{Committed: true, Revision: t.revision}
 }
 
-// fail returns a failure of the table client.
-func fail(k table.Kind) error { return &table.Error{Kind: k, Call: "test", Err: errOnOrder} }
+// tableError returns an error of the table client.
+func tableError(k table.Kind) error { return &table.Error{Kind: k, Call: "test", Err: errInjected} }
