--- a/internal/testbed/bound/bound_test.go
+++ b/internal/testbed/bound/bound_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestBoundFallsWithLoad(t *testing.T) {
+func TestAttainmentFallsWithLoad(t *testing.T) {
 	share := func(load float64) float64 {
 		as := workload.Generate(workload.Settings{Deployment: workload.Corella(), Load: load, Duration: 60 * time.Second}, 1)
 		n := 0
--- a/internal/testbed/cputime/cputime_test.go
+++ b/internal/testbed/cputime/cputime_test.go
@@ -9,12 +9,12 @@
 	"guavapaddle/internal/testbed/cputime"
 )
 
-func TestWaitingCostsNothing(t *testing.T) {
+func TestOfExcludesWaiting(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	require.Less(t, cputime.Of(func() { <-time.After(wait) }), wait/2)
 }
 
-func TestWorkCosts(t *testing.T) {
+func TestLeastGrowsWithWork(t *testing.T) {
 	work := func(rounds int) func() {
 		return func() {
 			sum := 0
--- a/internal/testbed/session/notrun_test.go
+++ b/internal/testbed/session/notrun_test.go
@@ -40,20 +40,20 @@
 	ok := s.Do(0, http.MethodPost, "/bookings/confirm", `{"once":1}`, "Idempotency-Key", "used")
 	require.Equal(t, http.StatusOK, ok.Status, ok.Body)
 	before := s.Ran()
-	whole := session.Whole("drafter", "not to run", 5)
+	chatBody := session.Whole("drafter", "not to run", 5)
 	post := func(path, body string, header ...string) session.Answer {
 		return s.Do(0, http.MethodPost, path, body, header...)
 	}
-	for _, body := range []string{`{"model":`, `{}`, `{"model":"drafter","messages":[]}`, strings.Replace(whole, ":5,", ":0,", 1)} {
+	for _, body := range []string{`{"model":`, `{}`, `{"model":"drafter","messages":[]}`, strings.Replace(chatBody, ":5,", ":0,", 1)} {
 		requireRefused(t, post(chat, body), "bad-request")
 	}
-	requireRefused(t, post(chat, whole, "X-Kind", "none"), "bad-request")
-	requireRefused(t, post(chat, whole, "X-Deadline-Ms", "soon"), "bad-request")
-	requireRefused(t, post(chat, whole, "Last-Event-ID", "?"), "bad-request")
-	requireRefused(t, s.Do(0, http.MethodDelete, chat, whole), "bad-request")
+	requireRefused(t, post(chat, chatBody, "X-Kind", "none"), "bad-request")
+	requireRefused(t, post(chat, chatBody, "X-Deadline-Ms", "soon"), "bad-request")
+	requireRefused(t, post(chat, chatBody, "Last-Event-ID", "?"), "bad-request")
+	requireRefused(t, s.Do(0, http.MethodDelete, chat, chatBody), "bad-request")
 	requireRefused(t, post("/bookings/../records/1", `{}`), "bad-request", "not-found")
 	requireRefused(t, post(chat, session.Whole("drafter", strings.Repeat("long ", 1<<20), 5)), "body-too-large")
-	requireRefused(t, post(chat, whole, "Authorization", "Bearer nobody"), "unauthorized")
+	requireRefused(t, post(chat, chatBody, "Authorization", "Bearer nobody"), "unauthorized")
 	requireRefused(t, post("/bookings/confirm", `{}`, "Authorization", ""), "unauthorized")
 	requireRefused(t, post(chat, session.Whole("unknown", "x", 5)), "not-found")
 	requireRefused(t, post("/bookings/other", `{}`), "not-found")
@@ -75,7 +75,7 @@
 	for _, name := range []string{"gpu-1", "gpu-2"} {
 		s.Fault(s.Servers[name], "/fault", `{"leaving":true}`)
 	}
-	requireRefused(t, post(chat, whole, "X-Deadline-Ms", "1500"), "no-copy", "server-leaving")
+	requireRefused(t, post(chat, chatBody, "X-Deadline-Ms", "1500"), "no-copy", "server-leaving")
 	for _, name := range []string{"gpu-1", "gpu-2"} {
 		s.Fault(s.Servers[name], "/fault", `{}`)
 	}
--- a/internal/testbed/session/session_test.go
+++ b/internal/testbed/session/session_test.go
@@ -52,12 +52,12 @@
 	r.Step("a booking")
 	r.Answer(s.Do(0, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1"))
 	r.Step("the same booking through the other node")
-	var again session.Answer
+	var repeated session.Answer
 	s.Eventually("the stored response", func() bool {
-		again = s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1")
-		return again.Status != http.StatusConflict
+		repeated = s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1")
+		return repeated.Status != http.StatusConflict
 	})
-	r.Answer(again)
+	r.Answer(repeated)
 	r.Step("the same key with another body")
 	r.Answer(s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B13"}`, "Idempotency-Key", "k1"))
 	require.Equal(t, 1, s.Runs("desk-1", "/bookings/confirm"))
--- a/internal/testbed/session/stream_test.go
+++ b/internal/testbed/session/stream_test.go
@@ -215,9 +215,9 @@
 		require.Equal(t, "in-progress", a.Header.Get("X-Reason"), a.Body)
 	}
 	require.Positive(t, done)
-	again := s.Stream(2, session.Chat("drafter", "sign", 30), header...)
-	require.False(t, again.Read(-1), "another body under the same key")
-	require.Equal(t, http.StatusUnprocessableEntity, again.Status)
+	conflicting := s.Stream(2, session.Chat("drafter", "sign", 30), header...)
+	require.False(t, conflicting.Read(-1), "another body under the same key")
+	require.Equal(t, http.StatusUnprocessableEntity, conflicting.Status)
 	stored := s.Do(2, http.MethodPost, chat, session.Whole("drafter", "sign", 30), header...)
 	require.Equal(t, http.StatusOK, stored.Status)
 	require.Contains(t, stored.Body, want)
--- a/internal/testbed/soak/check.go
+++ b/internal/testbed/soak/check.go
@@ -122,15 +122,15 @@
 // must be present.
 func (c *Checker) Order(id, body string, events int, complete bool) {
 	list := strings.Split(body, "\n\n")
-	whole := list[:len(list)-1]
-	for i, e := range whole {
+	received := list[:len(list)-1]
+	for i, e := range received {
 		if want := fmt.Sprintf("id: %d\ndata: event %d", i+1, i+1); e != want {
 			c.Break("order", "event %d of request %s is %q", i+1, id, e)
 			return
 		}
 	}
-	if complete && (len(whole) != events || list[len(list)-1] != "") {
-		c.Break("order", "request %s ended as complete after %d of %d events", id, len(whole), events)
+	if complete && (len(received) != events || list[len(list)-1] != "") {
+		c.Break("order", "request %s ended as complete after %d of %d events", id, len(received), events)
 	}
 }
 
--- a/internal/testbed/soak/limits.go
+++ b/internal/testbed/soak/limits.go
@@ -164,9 +164,9 @@
 			end++
 		}
 		if rate := list[begin].Rate; rate > 0 {
-			most := rateFactor*rate*rateWindow.Seconds() + rateAllowance
-			if n := c.maxAtRate(list[begin:end]); float64(n) > most {
-				out = append(out, Violation{"rate", fmt.Sprintf("%s had set a rate of %.2f per second and got %d requests in %v, %.0f are allowed", server, rate, n, rateWindow, most)})
+			allowed := rateFactor*rate*rateWindow.Seconds() + rateAllowance
+			if n := c.maxAtRate(list[begin:end]); float64(n) > allowed {
+				out = append(out, Violation{"rate", fmt.Sprintf("%s had set a rate of %.2f per second and got %d requests in %v, %.0f are allowed", server, rate, n, rateWindow, allowed)})
 			}
 		}
 		begin = end
@@ -179,7 +179,7 @@
 func (c *Checker) maxAtRate(list []standin.Visit) int {
 	forwarded := c.forwardedResponses(list, func(standin.Visit) bool { return true })
 	var counted []time.Time
-	most := 0
+	highest := 0
 	for _, v := range list {
 		node := c.callers[v.ID].Node
 		if slices.ContainsFunc(forwarded, func(t forwardedResponse) bool {
@@ -191,8 +191,8 @@
 			counted = counted[1:]
 		}
 		if v.At.Sub(list[0].At) >= rateSettleTime {
-			most = max(most, len(counted))
+			highest = max(highest, len(counted))
 		}
 	}
-	return most
+	return highest
 }
--- a/internal/testbed/soak/load.go
+++ b/internal/testbed/soak/load.go
@@ -82,9 +82,8 @@
 	}
 }
 
-// Teams that call.
+// Teams that send requests: one without a quota and one with a quota.
 const (
-	// Teams that send requests: one without a quota and one with a quota.
 	unlimitedTeam = "free"
 	limitedTeam   = "bound"
 )
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -33,9 +33,8 @@
 	revocationDelay = 2 * time.Second
 )
 
-// The team that is bound: its quota, and how far it may go over in a window.
+// The quota of the limited team, and by how much it may be exceeded in a window.
 const (
-	// The quota of the limited team, and by how much it may be exceeded in a window.
 	quotaRate      = 4000 // tokens per second
 	quotaBurst     = 4000
 	quotaWindow    = 4 * time.Second
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestEachCheckFires checks that each check reports the violation that it exists for, and
-// that permitted behaviour is not reported.
-func TestEachCheckFires(t *testing.T) {
+// TestChecksReportViolations checks that each check reports the violation that it exists for,
+// and that permitted behaviour is not reported.
+func TestChecksReportViolations(t *testing.T) {
 	for promise, trigger := range map[string]func(c *soak.Checker){
 		"whole": func(c *soak.Checker) { c.Whole("a", "b", "stamp", "answer", 0) },
 		"order": func(c *soak.Checker) { c.Whole("a", "a", "stamp", "id: 1\ndata: event 1\n\n", 2) },
