--- a/internal/testbed/session/session_test.go
+++ b/internal/testbed/session/session_test.go
@@ -21,8 +21,8 @@
 	os.Exit(code)
 }
 
-// TestSession runs one whole session: two nodes, two engines, a service and
-// the platform, each a process of its own.
+// TestSession runs a complete session: two nodes, two engines, a service and the platform,
+// each in its own process.
 func TestSession(t *testing.T) {
 	t.Parallel()
 	s := session.New(t, session.Small(t, 2, 1), session.Options{})
@@ -52,12 +52,12 @@
 	r.Step("a booking")
 	r.Answer(s.Do(0, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1"))
 	r.Step("the same booking through the other node")
-	var again session.Answer
-	s.Eventually("stored answer", func() bool {
-		again = s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1")
-		return again.Status != http.StatusConflict
+	var repeated session.Answer
+	s.Eventually("the stored response", func() bool {
+		repeated = s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1")
+		return repeated.Status != http.StatusConflict
 	})
-	r.Answer(again)
+	r.Answer(repeated)
 	r.Step("the same key with another body")
 	r.Answer(s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B13"}`, "Idempotency-Key", "k1"))
 	require.Equal(t, 1, s.Runs("desk-1", "/bookings/confirm"))
