--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -8,111 +8,113 @@
 	"guavapaddle/io/peer"
 )
 
-// Kinds of frames.
+// Kinds of frames; their numbers are part of the protocol between nodes.
 const (
-	kindReport  peer.Kind = 1
-	kindPicture peer.Kind = 2
-	kindWant    peer.Kind = 3
-	kindOffer   peer.Kind = 4
-	kindPlace   peer.Kind = 5
-	kindPlaced  peer.Kind = 6
-	kindRelease peer.Kind = 7
-	kindQueued  peer.Kind = 8
-	kindBegun   peer.Kind = 9
-	kindRate    peer.Kind = 10
+	kindReport      peer.Kind = 1
+	kindReportReply peer.Kind = 2
+	kindLoadRequest peer.Kind = 3
+	kindLoadReply   peer.Kind = 4
+	kindSlotRequest peer.Kind = 5
+	kindSlotReply   peer.Kind = 6
+	kindRelease     peer.Kind = 7
+	kindQueued      peer.Kind = 8
+	kindPrefillDone peer.Kind = 9
+	kindRateUpdate  peer.Kind = 10
 )
 
-// AckTimeout bounds the wait for the first answer to a Place: that it is
-// granted, refused or queued. It takes some 3 ms. By its reports alone a node
-// notices a holder that is frozen or cut off after 1.3 s, by when half of the
-// requests of that time are late for a target of 0.6 s.
+// AckTimeout bounds the wait for the first reply to a Place, which says that the
+// request is granted, refused or queued. The reply normally takes about 3 ms. By
+// its reports alone a node detects a leader that is frozen or unreachable only
+// after 1.3 s, by which time half of the requests of that interval have missed a
+// target of 0.6 s.
 const AckTimeout = 250 * time.Millisecond
 
 type (
-	// Want asks the holder for a model or adapter at once.
+	// Want asks the leader to load a model or adapter immediately.
 	Want struct {
 		Item
-		Lacks   []string // servers that said of late that they don't hold it
-		Exclude []string // servers that requests for it exclude
+		Lacks   []string // servers that recently responded that it isn't resident
+		Exclude []string // servers that the waiting requests exclude
 	}
 
-	// Place asks the holder for a place at an engine. Its answer comes when the
-	// request may begin; the caller then says when its answer begins, and with a
-	// Released how it ended.
+	// Place asks the leader for a slot of an engine. The reply comes when the
+	// request may start. The caller then reports the end of the prefill, and the
+	// result of the request in a Released.
 	Place struct {
 		Item
-		Request  string // id, for the log
-		Tokens   int    // of the prompt
+		Request  string // request id, for the log
+		Tokens   int    // length of the prompt
 		Parts    []balance.Segment
 		Zone     string
-		Exclude  []string // servers not to be picked
-		Lacks    []string // servers that said of late that they don't hold the item
+		Exclude  []string // servers that must not be picked
+		Lacks    []string // servers that recently responded that the item isn't resident
 		Priority int
-		Waited   time.Duration // since the request came
-		Target   time.Duration // from now until it should have begun
-		Expire   time.Duration // from now until it must have begun
-		Charge   Charge        // of the team's quota, zero if that is done
+		Waited   time.Duration // since the request arrived
+		Target   time.Duration // from now until it should have started
+		Expire   time.Duration // from now until it must have started
+		Charge   Charge        // to the team's quota, zero if already charged
 	}
 
-	// Charge is what a request takes of its team's quota.
+	// Charge is the cost of a request, charged to its team's quota.
 	Charge struct {
 		Team string
 		Cost float64
 	}
 
-	// Placed answers a Place.
+	// Placed is the reply to a Place.
 	Placed struct {
 		Granted bool
 		Server  string // incarnation
-		Granter int64  // who counts it until its end
+		Granter int64  // granter that counts the request until it ends
 		Wait    time.Duration
 		Why     string
-		After   time.Duration // when a refused client may come back
+		After   time.Duration // when the client of a refused request may retry
 	}
 
-	// Grant is a place that was granted, or a wait that ended. Done must be called
-	// once.
+	// Grant is a granted slot, or a wait that ended without one. Done must be
+	// called exactly once.
 	Grant interface {
-		NamedRate(perSecond *float64) // the answer's server names a rate, or nil for no longer
-		Begun()                       // the prompt is read, the answer has begun
-		Done(r balance.Result)        // the send has ended
+		NamedRate(perSecond *float64) // the server's response sets a rate limit, or removes it if nil
+		Begun()                       // the prefill is done and the response has started
+		Done(r balance.Result)        // the request has ended
 	}
 
-	// Released ends a place that was granted.
+	// Released frees a granted slot.
 	Released struct{ Result balance.Result }
 
-	// Rated tells of the rate that a server names in an answer.
+	// Rated carries the rate limit of a server's response, nil for none.
 	Rated struct{ PerSecond *float64 }
 
-	// Offer tells where it is, or that it isn't to be had now.
+	// Offer is the reply to a Want: the server that holds the item, or why none
+	// can.
 	Offer struct {
 		Found  bool
 		Server string // incarnation
 		Why    string
 	}
 
-	// Client speaks to the holder of the lease.
+	// Client calls the leader.
 	Client struct {
 		Endpoint *peer.Endpoint
-		Heard    func() // the holder answered; nil for nobody
+		Heard    func() // called for each frame received from the leader, may be nil
 	}
 
-	// SilentError means that the holder gave no sign of life within AckTimeout.
+	// SilentError means that the leader didn't reply within AckTimeout.
 	SilentError struct{ Address string }
 
-	// Holder answers other nodes.
+	// Holder serves the calls of other nodes.
 	Holder interface {
 		Report(r Report) Picture
 		Want(ctx context.Context, w Want) Offer
-		// Place calls queued if the request has to wait.
+		// Place waits for a slot, and calls queued if the request has to wait.
 		Place(ctx context.Context, p Place, queued func()) (Placed, Grant, error)
 	}
 )
 
-// Error tells the holder's address.
-func (e *SilentError) Error() string { return "hub: no answer from " + e.Address }
+// Error implements error.
+func (e *SilentError) Error() string { return "hub: no reply from " + e.Address }
 
-// Pick returns what a pick depends on.
+// Pick returns the request for which a server is picked.
 func (p Place) Pick() balance.Request {
 	r := balance.Request{Service: p.Service, Model: p.Model, Adapter: p.Adapter, Tokens: p.Tokens, Segments: p.Parts, Zone: p.Zone}
 	if len(p.Exclude) > 0 {
@@ -124,23 +126,23 @@
 	return r
 }
 
-// Exchange reports to the holder and returns its picture.
+// Exchange reports to the leader and returns its reply.
 func (c *Client) Exchange(ctx context.Context, address string, r Report) (Picture, error) {
 	var p Picture
 	err := c.call(ctx, address, kindReport, r, &p)
 	return p, err
 }
 
-// Want asks the holder for a model or adapter.
+// Want asks the leader to load a model or adapter.
 func (c *Client) Want(ctx context.Context, address string, w Want) (Offer, error) {
 	var o Offer
-	err := c.call(ctx, address, kindWant, w, &o)
+	err := c.call(ctx, address, kindLoadRequest, w, &o)
 	return o, err
 }
 
-// Place asks the holder for a place.
+// Place asks the leader for a slot and waits until it is granted or refused.
 func (c *Client) Place(ctx context.Context, address string, p Place) (Placed, Grant, error) {
-	f, err := peer.Encode(kindPlace, p)
+	f, err := peer.Encode(kindSlotRequest, p)
 	if err != nil {
 		return Placed{}, nil, err
 	}
@@ -149,27 +151,27 @@
 		return Placed{}, nil, err
 	}
 	stop := context.AfterFunc(ctx, s.Cancel)
-	a, err := c.placed(s, address)
+	frame, err := c.readSlotReply(s, address)
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
-	var answer Placed
+	var reply Placed
 	if err == nil {
-		err = a.Decode(&answer)
+		err = frame.Decode(&reply)
 	}
 	if err != nil {
 		s.Cancel()
 		return Placed{}, nil, err
 	}
-	return answer, &streamGrant{s}, nil
+	return reply, &streamGrant{s}, nil
 }
 
-// streamGrant tells the holder on the stream of the request for the place.
+// streamGrant reports to the leader on the stream of the slot request.
 type streamGrant struct{ s *peer.Stream }
 
 // NamedRate implements Grant.
 func (g *streamGrant) NamedRate(perSecond *float64) {
-	f, err := peer.Encode(kindRate, Rated{perSecond})
+	f, err := peer.Encode(kindRateUpdate, Rated{perSecond})
 	if err != nil || g.s.Write(f) != nil {
 		g.s.Cancel()
 	}
@@ -177,13 +179,13 @@
 
 // Begun implements Grant.
 func (g *streamGrant) Begun() {
-	if g.s.Write(peer.Frame{Kind: kindBegun}) != nil {
+	if g.s.Write(peer.Frame{Kind: kindPrefillDone}) != nil {
 		g.s.Cancel()
 	}
 }
 
-// Done implements Grant. If the result can't be told the end of the stream frees
-// the place all the same.
+// Done implements Grant. If the result can't be sent, the end of the stream frees
+// the slot all the same.
 func (g *streamGrant) Done(r balance.Result) {
 	f, err := peer.Encode(kindRelease, Released{r})
 	if err == nil {
@@ -197,23 +199,23 @@
 	g.s.CancelRead()
 }
 
-// placed reads the answer to a Place.
-func (c *Client) placed(s *peer.Stream, address string) (peer.Frame, error) {
-	until := time.Now().Add(AckTimeout)
-	s.ReadBy(until)
-	f, err := c.read(s)
-	if err != nil && !time.Now().Before(until) {
+// readSlotReply reads the reply to a Place.
+func (c *Client) readSlotReply(s *peer.Stream, address string) (peer.Frame, error) {
+	deadline := time.Now().Add(AckTimeout)
+	s.ReadBy(deadline)
+	f, err := c.readFrame(s)
+	if err != nil && !time.Now().Before(deadline) {
 		return f, &SilentError{Address: address}
 	}
 	if err != nil || f.Kind != kindQueued {
 		return f, err
 	}
 	s.ReadBy(time.Time{})
-	return c.read(s)
+	return c.readFrame(s)
 }
 
-// read reads a frame and tells that the holder lives.
-func (c *Client) read(s *peer.Stream) (peer.Frame, error) {
+// readFrame reads a frame and calls Heard.
+func (c *Client) readFrame(s *peer.Stream) (peer.Frame, error) {
 	f, err := s.Read()
 	if err == nil && c.Heard != nil {
 		c.Heard()
@@ -221,7 +223,7 @@
 	return f, err
 }
 
-// call sends one frame and reads one back.
+// call sends one frame and decodes the reply to it.
 func (c *Client) call(ctx context.Context, address string, k peer.Kind, in, out any) error {
 	f, err := peer.Encode(k, in)
 	if err != nil {
@@ -233,21 +235,21 @@
 	}
 	defer s.CancelRead()
 	_ = s.Close()
-	if at, ok := ctx.Deadline(); ok {
-		s.ReadBy(at)
+	if deadline, ok := ctx.Deadline(); ok {
+		s.ReadBy(deadline)
 	}
-	a, err := c.read(s)
+	frame, err := c.readFrame(s)
 	if err != nil {
 		return err
 	}
-	return a.Decode(out)
+	return frame.Decode(out)
 }
 
-// Serve answers one call of another node.
+// Serve handles one call of another node.
 func Serve(ctx context.Context, h Holder, f peer.Frame, s *peer.Stream) {
 	defer s.CancelRead()
 	defer func() { _ = s.Close() }()
-	var answer peer.Frame
+	var reply peer.Frame
 	var err error
 	switch f.Kind {
 	case kindReport:
@@ -255,38 +257,38 @@
 		if f.Decode(&r) != nil {
 			return
 		}
-		answer, err = peer.Encode(kindPicture, h.Report(r))
-	case kindWant:
+		reply, err = peer.Encode(kindReportReply, h.Report(r))
+	case kindLoadRequest:
 		var w Want
 		if f.Decode(&w) != nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, wantTimeout)
+		ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 		defer cancel()
-		answer, err = peer.Encode(kindOffer, h.Want(ctx, w))
-	case kindPlace:
-		servePlace(ctx, h, f, s)
+		reply, err = peer.Encode(kindLoadReply, h.Want(ctx, w))
+	case kindSlotRequest:
+		serveSlotRequest(ctx, h, f, s)
 		return
 	default:
 		return
 	}
 	if err == nil {
-		_ = s.Write(answer) // the caller sees that nothing came
+		_ = s.Write(reply) // on failure the caller gets no reply
 	}
 }
 
-// wantTimeout bounds the work on one Want: an adapter takes up to some hundred
-// milliseconds from a busy store.
-const wantTimeout = time.Second
+// loadTimeout bounds the handling of one Want: loading an adapter from a busy store
+// takes up to a few hundred milliseconds.
+const loadTimeout = time.Second
 
-// servePlace answers one Place and holds what was granted until it is released
-// or the stream ends.
-func servePlace(ctx context.Context, h Holder, f peer.Frame, s *peer.Stream) {
+// serveSlotRequest handles one Place and keeps the granted slot until it is released or
+// the stream ends.
+func serveSlotRequest(ctx context.Context, h Holder, f peer.Frame, s *peer.Stream) {
 	var p Place
 	if f.Decode(&p) != nil {
 		return
 	}
-	queued := func() { _ = s.Write(peer.Frame{Kind: kindQueued}) } // a write that fails ends ctx
+	queued := func() { _ = s.Write(peer.Frame{Kind: kindQueued}) } // a failed write cancels ctx
 	placed, grant, err := h.Place(ctx, p, queued)
 	if err != nil {
 		s.Cancel()
@@ -294,26 +296,26 @@
 	}
 	result := balance.Abandoned
 	defer func() { grant.Done(result) }()
-	answer, err := peer.Encode(kindPlaced, placed)
-	if err != nil || s.Write(answer) != nil || !placed.Granted {
+	frame, err := peer.Encode(kindSlotReply, placed)
+	if err != nil || s.Write(frame) != nil || !placed.Granted {
 		return
 	}
-	s.ReadBy(time.Now().Add(placeLife))
+	s.ReadBy(time.Now().Add(grantTimeout))
 	for {
 		f, err := s.Read()
 		if err != nil {
 			return
 		}
 		switch f.Kind {
-		case kindRate:
+		case kindRateUpdate:
 			var r Rated
 			if f.Decode(&r) != nil {
 				return
 			}
 			grant.NamedRate(r.PerSecond)
-		case kindBegun:
+		case kindPrefillDone:
 			grant.Begun()
-			s.ReadBy(time.Now().Add(runLife))
+			s.ReadBy(time.Now().Add(maxRunTime))
 		case kindRelease:
 			var r Released
 			if f.Decode(&r) == nil {
@@ -327,8 +329,9 @@
 }
 
 const (
-	// placeLife bounds how long a place is held for a node that doesn't say more.
-	placeLife = 10 * time.Second
-	// runLife bounds how long a stream counts; the longest deadline is 30 s.
-	runLife = time.Minute
+	// grantTimeout bounds how long a slot is kept for a node that sends nothing more.
+	grantTimeout = 10 * time.Second
+	// maxRunTime bounds how long a request is counted as running after its prefill; the
+	// longest deadline is 30 s.
+	maxRunTime = time.Minute
 )
--- a/internal/hub/client_test.go
+++ b/internal/hub/client_test.go
@@ -15,27 +15,28 @@
 	"guavapaddle/io/peer"
 )
 
-// holder answers nothing, or a place once decide is closed.
-type holder struct {
+// slotServer grants a slot once decide is closed. If mute is set it doesn't confirm that the
+// request is queued.
+type slotServer struct {
 	hub.Holder
-	mute   bool
-	decide chan struct{}
+	unresponsive bool
+	decided      chan struct{}
 }
 
 // Place implements hub.Holder.
-func (h *holder) Place(ctx context.Context, _ hub.Place, queued func()) (hub.Placed, hub.Grant, error) {
-	if !h.mute {
+func (h *slotServer) Place(ctx context.Context, _ hub.Place, queued func()) (hub.Placed, hub.Grant, error) {
+	if !h.unresponsive {
 		queued()
 	}
 	select {
-	case <-h.decide:
+	case <-h.decided:
 		return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
 	case <-ctx.Done():
 		return hub.Placed{}, nil, ctx.Err()
 	}
 }
 
-// endpoint runs an endpoint that trusts everyone.
+// endpoint runs an endpoint that trusts every key.
 func endpoint(t testing.TB, name string, h hub.Holder) *peer.Endpoint {
 	t.Helper()
 	key, err := keys.NewMemory(name)
@@ -55,33 +56,33 @@
 	return e
 }
 
-func TestAHolderThatGivesNoSignOfLifeIsNoticedAtOnce(t *testing.T) {
-	mute := endpoint(t, "mute", &holder{mute: true})
-	heard := 0
-	c := &hub.Client{Endpoint: endpoint(t, "node", nil), Heard: func() { heard++ }}
-	began := time.Now()
-	_, _, err := c.Place(context.Background(), mute.Address, hub.Place{})
+func TestSlotRequestFailsWithoutAcknowledgement(t *testing.T) {
+	unresponsive := endpoint(t, "mute", &slotServer{unresponsive: true})
+	replies := 0
+	c := &hub.Client{Endpoint: endpoint(t, "node", nil), Heard: func() { replies++ }}
+	start := time.Now()
+	_, _, err := c.Place(context.Background(), unresponsive.Address, hub.Place{})
 	var silent *hub.SilentError
 	require.ErrorAs(t, err, &silent)
-	require.Equal(t, mute.Address, silent.Address)
-	require.GreaterOrEqual(t, time.Since(began), hub.AckTimeout)
-	require.Zero(t, heard)
+	require.Equal(t, unresponsive.Address, silent.Address)
+	require.GreaterOrEqual(t, time.Since(start), hub.AckTimeout)
+	require.Zero(t, replies)
 }
 
-func TestARequestThatIsQueuedWaitsForItsPlace(t *testing.T) {
-	h := &holder{decide: make(chan struct{})}
+func TestQueuedSlotRequestWaitsPastAckTimeout(t *testing.T) {
+	h := &slotServer{decided: make(chan struct{})}
 	e := endpoint(t, "holder", h)
-	told := make(chan struct{}, 8)
-	c := &hub.Client{Endpoint: endpoint(t, "node", nil), Heard: func() { told <- struct{}{} }}
-	time.AfterFunc(2*hub.AckTimeout, func() { close(h.decide) })
-	p, release, err := c.Place(context.Background(), e.Address, hub.Place{})
+	replies := make(chan struct{}, 8)
+	c := &hub.Client{Endpoint: endpoint(t, "node", nil), Heard: func() { replies <- struct{}{} }}
+	time.AfterFunc(2*hub.AckTimeout, func() { close(h.decided) })
+	p, grant, err := c.Place(context.Background(), e.Address, hub.Place{})
 	require.NoError(t, err)
 	require.True(t, p.Granted)
-	release.Done(balance.Succeeded)
-	require.Len(t, told, 2, "queued, then granted")
+	grant.Done(balance.Succeeded)
+	require.Len(t, replies, 2, "one frame for queued, one for granted")
 }
 
-// noGrant is a place that nobody counts.
+// noGrant ignores all calls.
 type noGrant struct{}
 
 // NamedRate implements hub.Grant.
@@ -93,18 +94,18 @@
 // Done implements hub.Grant.
 func (noGrant) Done(balance.Result) {}
 
-// granting grants every place at once.
-type granting struct{ hub.Holder }
+// grantingServer grants every slot request immediately.
+type grantingServer struct{ hub.Holder }
 
 // Place implements hub.Holder.
-func (granting) Place(context.Context, hub.Place, func()) (hub.Placed, hub.Grant, error) {
+func (grantingServer) Place(context.Context, hub.Place, func()) (hub.Placed, hub.Grant, error) {
 	return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
 }
 
-// BenchmarkPlace asks for places, from their request to their end, by both ends of one
-// connection in one process.
+// BenchmarkPlace measures slot requests from the call to the release, with both ends of
+// the connection in one process.
 func BenchmarkPlace(b *testing.B) {
-	e := endpoint(b, "holder", granting{})
+	e := endpoint(b, "holder", grantingServer{})
 	c := &hub.Client{Endpoint: endpoint(b, "node", nil)}
 	p := hub.Place{Item: hub.Item{Service: "drafter", Model: "mizi247a5b"}, Request: "9c41d07be2a35f68", Tokens: 1460, Zone: "seq-a", Priority: 2,
 		Parts:  []balance.Segment{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}, {ID: "e4402b7d", Tokens: 250}},
--- a/internal/hub/doc.go
+++ b/internal/hub/doc.go
@@ -1,17 +1,19 @@
-// Package hub spreads between nodes what each of them has at the backend
-// servers, and what it is asked for, through the node that holds the lease.
+// Package hub exchanges state between nodes through the leader, the node that
+// holds the lease: the load that each node has at the backend servers, and the
+// demand that it sees.
 //
-// Every node reports to the holder a few times a second and gets back the sum
-// of what all others reported: two messages a node and period, however many
-// nodes there are, where every node telling every other would take their
-// square. Nothing safe rests on it: a node that hears nothing decides by what
-// it has sent itself and by the servers' own answers.
+// Every node reports to the leader a few times a second and gets back the sum
+// of what all others reported. That is two messages per node and period,
+// whatever the number of nodes; if every node sent to every other, the number
+// of messages would grow with its square. Safety doesn't depend on the exchange:
+// a node that gets no reply decides by the requests that it has sent itself and
+// by the servers' own responses.
 //
 // # Usage
 //
 //	h := &hub.Hub{}
-//	picture := h.Take(now, report)           // at the holder
+//	reply := h.Take(now, report)             // at the leader
 //
 //	c := &hub.Client{Endpoint: endpoint}
-//	picture, err := c.Exchange(ctx, address, report)
+//	reply, err := c.Exchange(ctx, address, report)
 package hub
--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -18,39 +18,40 @@
 )
 
 const (
-	// reportLife is how long a node's last report counts.
-	reportLife = 1500 * time.Millisecond
-	// LimitLife is how long nodes tell each other what a server said of its rate.
+	// reportTTL is how long a node's last report is used.
+	reportTTL = 1500 * time.Millisecond
+	// LimitLife is how long nodes exchange a server's rate limit after it was last
+	// reported.
 	LimitLife = 10 * time.Second
-	// markLife is how long a request that crashed servers is remembered.
-	markLife = 60 * time.Second
-	// marksMost bounds the marks remembered.
-	marksMost = 512
-	// tidyEvery is how often old reports are dropped and the deputy is looked at, which
-	// takes a look at all nodes.
-	tidyEvery = 50 * time.Millisecond
+	// markTTL is how long the crash marks of a request are kept.
+	markTTL = 60 * time.Second
+	// maxMarks bounds the number of crash marks that are kept.
+	maxMarks = 512
+	// cleanupInterval is the interval at which old reports are dropped and the deputy is
+	// selected anew, both of which iterate over all nodes.
+	cleanupInterval = 50 * time.Millisecond
 )
 
 type (
 	// Item is a model, or an adapter of it, of a service.
 	Item = grant.Item
 
-	// Demand is what a node was asked for since its last report.
+	// Demand counts a node's requests for an item since its last report.
 	Demand struct {
 		Item
-		Tokens  int // of prompts
+		Tokens  int // prompt tokens
 		Waiting int // requests that wait for it now
 		Ran     Ran // streams that ended
 	}
 
-	// Ran sums streams that ended well.
+	// Ran sums up streams that ended successfully.
 	Ran struct {
-		Tokens int           // of their prompts
-		Time   time.Duration // in which they took a slot of an engine
+		Tokens int           // prompt tokens
+		Time   time.Duration // for which they occupied a slot of an engine
 	}
 
-	// Note tells that a server holds, or lacks, a model or adapter, before its
-	// entry in the store says so.
+	// Note is a residency update: it says whether a server holds a model or adapter
+	// before the server's entry in the store does.
 	Note struct {
 		Server  string
 		Model   string
@@ -58,196 +59,201 @@
 		Held    bool
 	}
 
-	// Mark counts the servers that ended while they ran a request.
+	// Mark is a crash mark: a server ended while it ran the request with this
+	// fingerprint.
 	Mark struct {
 		Fingerprint uint64
 		Server      string // incarnation that ended
 	}
 
-	// Contact is where a node is reached, the fingerprint of its certificate, and the
-	// processor that it may use.
+	// Contact is a node's address, the fingerprint of its certificate, and the number
+	// of processor cores that it may use.
 	Contact struct {
 		Address string
 		Key     string
 		Cores   float64
 	}
 
-	// Report is what a node tells the holder.
+	// Report is what a node sends to the leader.
 	Report struct {
 		Node   string
 		At     Contact
 		Counts map[string]balance.Count // by server
 		Demand []Demand
-		Marks  []Mark // new ones
+		Marks  []Mark // added since the last report
 		Known  follow.Known
-		Update *follow.Update // what this node has read that the holder hasn't
+		Update *follow.Update // changes that this node has read and the leader lacks
 
-		Contact  time.Duration // since the store last answered this node
-		Heard    Heard         // up to where this node was told notes and marks
+		Contact  time.Duration // since the store last responded to this node
+		Heard    Heard         // residency updates and crash marks that this node has received
 		Lease    int64         // version of the lease's row that this node has
-		Roster   uint64        // up to where this node was told who reports
+		Roster   uint64        // version of the list of reporting nodes that this node has
 		Echo     Echo
 		Quotas   quota.UsageReport
-		Limits   []Limit                 // that servers named to this node, or withdrew of late
-		Departed []departure.Incarnation // servers that have said that they leave while their entries don't
+		Limits   []Limit                 // rate limits that servers set or removed in responses to this node
+		Departed []departure.Incarnation // servers that announced that they leave but whose entries don't say so yet
 	}
 
-	// Limit is what a server said of the rate that it takes.
+	// Limit is the rate limit that a server set or removed.
 	Limit struct {
 		Server string
-		Rate   float64 // requests a second
-		Active bool    // the server names it
+		Rate   float64 // requests per second
+		Active bool    // false if the server removed its limit
 		Age    time.Duration
 	}
 
-	// Echo places what a node read of the store on the clock of the node to which it
-	// reports, whatever time the report takes: it names the last answer that came.
+	// Echo relates the time at which a node read the store to the clock of the node to
+	// which it reports, independently of the report's delay: it names the last reply
+	// received from that node.
 	Echo struct {
-		Hub   uint64        // that answered, 0 for none
-		Stamp time.Duration // of its answer
-		After time.Duration // from the answer's arrival until the configuration was the newest for certain
+		Hub   uint64        // that replied, 0 for none
+		Stamp time.Duration // of its reply
+		After time.Duration // from the arrival of the reply until the configuration was last confirmed as the newest
 	}
 
-	// Heard says up to which number a node was told what a hub has taken in.
+	// Heard acknowledges the residency updates and crash marks of a hub up to a
+	// number.
 	Heard struct {
-		Hub    uint64 // that counted
+		Hub    uint64 // that numbered them
 		Number uint64
 	}
 
-	// Picture is what the holder answers.
+	// Picture is the leader's reply to a report.
 	Picture struct {
-		Leading  bool     // the answering node holds the lease
-		Acting   bool     // the answering node is the deputy, and grants places while nobody holds the lease
-		Deputy   bool     // the asking node shall follow the store
+		Leading  bool     // the replying node holds the lease
+		Acting   bool     // the replying node is the deputy, and grants slots while nobody holds the lease
+		Deputy   bool     // the reporting node is the deputy and follows the store
 		DeputyAt Contact  // of the deputy
-		Keys     []string // of all nodes that report, told to the deputy when they have changed
-		Roster   uint64   // up to where they are told
-		Nodes    int      // that reported of late, the asking one included
+		Keys     []string // of all reporting nodes, sent to the deputy when they have changed
+		Roster   uint64   // version of Keys
+		Nodes    int      // nodes with a recent report, including the reporting one
 		Counts   map[string]balance.Count
-		Notes    []Note // those that the asking node wasn't told yet
+		Notes    []Note // those that the reporting node hasn't acknowledged
 		Marks    []Mark // likewise
 		Heard    Heard
-		Stamp    time.Duration           // boot time of the answering node
+		Stamp    time.Duration           // boot time of the replying node
 		Quotas   map[string]quota.State  // by team
-		Limits   []Limit                 // that servers named to any node, or withdrew of late
-		Departed []departure.Incarnation // that have said so to any node
+		Limits   []Limit                 // rate limits that servers set or removed in responses to any node
+		Departed []departure.Incarnation // servers that announced to any node that they leave
 		Update   follow.Update           // of the store's tables
-		Lease    platform.Row            // as the holder last wrote it, unless the asking node has it
+		Lease    platform.Row            // as the leader last wrote it, unless the reporting node has it
 	}
 
-	// Hub merges the reports. The zero value is ready and safe for concurrent
-	// use. Its exported fields are set before the first report.
+	// Hub merges the nodes' reports. The zero value is ready to use and safe for
+	// concurrent use. Its exported fields are set before the first report.
 	Hub struct {
-		Self string // the own node's name
-		// Granted tells of a server that requests begin at it where a granter has them
-		// begin, so that nodes needn't know what others have there; nil for none.
+		Self string // name of this node
+		// Granted reports whether requests to a server start only by a granter's
+		// decision, so that nodes don't need the counts of others there; nil for no
+		// server.
 		Granted func(server string) bool
 
-		mu     sync.Mutex
-		deputy deputy.Selector
-		chosen string // the deputy
-		tidied time.Time
-		nodes  map[string]entry
-		sum    map[string]balance.Count // of all nodes, by server
-		notes  []dated[Note]
-		marks  []dated[Mark]
-		demand []Demand                  // since the last Demand call
-		limits map[string]throttle.Limit // by server
-		named  map[string]time.Time      // when a node last reported what is in limits
-		id     uint64                    // of this hub, not zero once it is used
-		number uint64                    // notes and marks taken in
-		roster uint64                    // changes of who reports
+		mu            sync.Mutex
+		deputy        deputy.Selector
+		deputyNode    string // name of the deputy
+		cleanedAt     time.Time
+		nodes         map[string]nodeReport
+		total         map[string]balance.Count // over all nodes, by server
+		updates       []numbered[Note]
+		marks         []numbered[Mark]
+		demand        []Demand                  // since the last call of Demand
+		limits        map[string]throttle.Limit // by server
+		reportedAt    map[string]time.Time      // when a node last reported a server's limit
+		id            uint64                    // of this hub, random and not zero after the first report
+		lastNumber    uint64                    // of the last residency update or crash mark
+		rosterVersion uint64                    // version of the list of reporting nodes
 	}
 
-	entry struct {
+	nodeReport struct {
 		report Report
 		at     time.Time
 	}
 
-	dated[T any] struct {
+	numbered[T any] struct {
 		value  T
 		at     time.Time
 		number uint64
 	}
 )
 
-// Take takes in a node's report and returns what the others have.
+// Take merges a node's report and returns the reply: what the other nodes reported.
 func (h *Hub) Take(now time.Time, r Report) Picture {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.nodes == nil {
-		h.nodes = map[string]entry{}
-		h.sum = map[string]balance.Count{}
+		h.nodes = map[string]nodeReport{}
+		h.total = map[string]balance.Count{}
 	}
 	h.demand = append(h.demand, r.Demand...)
 	for _, m := range r.Marks {
-		h.marks = append(h.marks, dated[Mark]{m, now, h.next()})
+		h.marks = append(h.marks, numbered[Mark]{m, now, h.nextNumber()})
 	}
-	h.learn(now, r.Limits)
+	h.mergeLimits(now, r.Limits)
 	r.Demand, r.Marks, r.Update, r.Limits = nil, nil, nil, nil
-	before, known := h.nodes[r.Node]
-	if !known || before.report.At.Key != r.At.Key {
-		h.roster++
+	previous, known := h.nodes[r.Node]
+	if !known || previous.report.At.Key != r.At.Key {
+		h.rosterVersion++
 	}
-	h.drop(r.Node)
-	h.nodes[r.Node] = entry{r, now}
-	h.add(r.Counts, 1)
-	if !known || now.Sub(h.tidied) >= tidyEvery {
-		h.tidied = now
-		h.forget(now)
-		h.choose(now)
+	h.removeReport(r.Node)
+	h.nodes[r.Node] = nodeReport{r, now}
+	h.addCounts(r.Counts, 1)
+	if !known || now.Sub(h.cleanedAt) >= cleanupInterval {
+		h.cleanedAt = now
+		h.removeExpired(now)
+		h.selectDeputy(now)
 	}
-	p := Picture{Leading: true, Nodes: len(h.nodes), Counts: h.others(r.Counts), Deputy: h.chosen == r.Node,
-		DeputyAt: h.nodes[h.chosen].report.At}
+	reply := Picture{Leading: true, Nodes: len(h.nodes), Counts: h.countsOfOthers(r.Counts), Deputy: h.deputyNode == r.Node,
+		DeputyAt: h.nodes[h.deputyNode].report.At}
 	if h.id == 0 {
 		h.id = 1 + rand.Uint64N(math.MaxUint64)
-		h.roster += h.id // another hub counts from elsewhere
+		h.rosterVersion += h.id // versions of different hubs must not be equal
 	}
-	if p.Roster = h.roster; p.Deputy && r.Roster != h.roster {
-		p.Keys = h.keys()
+	if reply.Roster = h.rosterVersion; reply.Deputy && r.Roster != h.rosterVersion {
+		reply.Keys = h.nodeKeys()
 	}
-	p.Heard = Heard{h.id, h.number}
-	after := uint64(0)
+	reply.Heard = Heard{h.id, h.lastNumber}
+	acknowledged := uint64(0)
 	if r.Heard.Hub == h.id {
-		after = r.Heard.Number
+		acknowledged = r.Heard.Number
 	}
-	p.Notes = since(h.notes, after)
-	p.Marks = since(h.marks, after)
-	p.Limits = Limits(now, h.limits)
-	return p
+	reply.Notes = numberedAfter(h.updates, acknowledged)
+	reply.Marks = numberedAfter(h.marks, acknowledged)
+	reply.Limits = Limits(now, h.limits)
+	return reply
 }
 
-// Limits returns what servers said of their rates, as it goes to another node.
-func Limits(now time.Time, said map[string]throttle.Limit) []Limit {
-	out := make([]Limit, 0, len(said))
-	for id, l := range said {
+// Limits converts rate limits to the form in which they are sent to another node,
+// with ages instead of times.
+func Limits(now time.Time, limits map[string]throttle.Limit) []Limit {
+	out := make([]Limit, 0, len(limits))
+	for id, l := range limits {
 		out = append(out, Limit{Server: id, Rate: l.Rate, Active: l.Active, Age: now.Sub(l.At)})
 	}
 	return out
 }
 
-// Said returns a limit on the clock of the node that it came to.
+// Said converts a received limit to one on the local clock.
 func (l Limit) Said(now time.Time) throttle.Limit {
 	return throttle.Limit{Rate: l.Rate, Active: l.Active, At: now.Add(-l.Age)}
 }
 
-// learn takes in what servers said to a node; h.mu is held. A rate is forgotten once no
-// node reports it any more, however long ago the server named it.
-func (h *Hub) learn(now time.Time, list []Limit) {
+// mergeLimits merges the rate limits that a node reported; h.mu is held. A limit is kept for as
+// long as nodes report it, however long ago the server set it.
+func (h *Hub) mergeLimits(now time.Time, list []Limit) {
 	if h.limits == nil {
-		h.limits, h.named = map[string]throttle.Limit{}, map[string]time.Time{}
+		h.limits, h.reportedAt = map[string]throttle.Limit{}, map[string]time.Time{}
 	}
 	for _, l := range list {
-		if said := l.Said(now); said.At.After(h.limits[l.Server].At) {
-			h.limits[l.Server] = said
+		if limit := l.Said(now); limit.At.After(h.limits[l.Server].At) {
+			h.limits[l.Server] = limit
 		}
-		h.named[l.Server] = now
+		h.reportedAt[l.Server] = now
 	}
 }
 
-// keys returns the keys of all nodes that report; h.mu is held. The deputy has to know them
-// before it is asked: the store may be out of reach then.
-func (h *Hub) keys() []string {
+// nodeKeys returns the keys of all reporting nodes; h.mu is held. The deputy needs them before
+// other nodes call it, since the store may be unreachable by then.
+func (h *Hub) nodeKeys() []string {
 	out := make([]string, 0, len(h.nodes))
 	for _, e := range h.nodes {
 		out = append(out, e.report.At.Key)
@@ -255,16 +261,16 @@
 	return out
 }
 
-// next returns the number of the next note or mark; h.mu is held.
-func (h *Hub) next() uint64 {
-	h.number++
-	return h.number
+// nextNumber returns the number of the next residency update or crash mark; h.mu is held.
+func (h *Hub) nextNumber() uint64 {
+	h.lastNumber++
+	return h.lastNumber
 }
 
-// since returns the values with a higher number. Each node is told each of them
-// once: told again for as long as they last, marks and notes were 35 of 95 MB that
-// a holder sent to 77 nodes in 20 s.
-func since[T any](list []dated[T], number uint64) []T {
+// numberedAfter returns the values with a higher number, so that each node gets each value only
+// once. When they were repeated until they expired, crash marks and residency updates
+// were 35 of the 95 MB that a leader sent to 77 nodes in 20 s.
+func numberedAfter[T any](list []numbered[T], number uint64) []T {
 	var out []T
 	for _, d := range list {
 		if d.number > number {
@@ -274,25 +280,26 @@
 	return out
 }
 
-// choose looks for the node that follows the store beside this one; h.mu is held.
-func (h *Hub) choose(now time.Time) {
+// selectDeputy selects the deputy, which follows the store in addition to this node; h.mu is
+// held.
+func (h *Hub) selectDeputy(now time.Time) {
 	list := make([]deputy.Candidate, 0, len(h.nodes))
 	for name, e := range h.nodes {
 		if name != h.Self {
 			list = append(list, deputy.Candidate{Node: name, Age: e.report.Contact + now.Sub(e.at), Cores: e.report.At.Cores})
 		}
 	}
-	h.chosen = h.deputy.Select(now, list)
+	h.deputyNode = h.deputy.Select(now, list)
 }
 
-// Note adds a note that all nodes are told for a while.
+// Note adds a residency update, which is sent to all nodes until it expires.
 func (h *Hub) Note(now time.Time, n Note) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.notes = append(h.notes, dated[Note]{n, now, h.next()})
+	h.updates = append(h.updates, numbered[Note]{n, now, h.nextNumber()})
 }
 
-// Demand returns what was asked for since the last call.
+// Demand returns the demand reported since the last call.
 func (h *Hub) Demand() []Demand {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -301,71 +308,73 @@
 	return d
 }
 
-// Counts returns what all nodes have at each server.
+// Counts returns the counts of each server, summed over all nodes.
 func (h *Hub) Counts() map[string]balance.Count {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return maps.Clone(h.sum)
+	return maps.Clone(h.total)
 }
 
-// others returns what all nodes have but for one, at the servers where no granter says
-// where requests begin; h.mu is held. With hundreds of servers the counts of all of them
-// were most of what each node was sent.
-func (h *Hub) others(own map[string]balance.Count) map[string]balance.Count {
+// countsOfOthers returns the counts of all nodes but one, leaving out servers for which Granted is
+// true; h.mu is held. With hundreds of servers the counts of all of them made up most of
+// each reply.
+func (h *Hub) countsOfOthers(own map[string]balance.Count) map[string]balance.Count {
 	out := map[string]balance.Count{}
-	for id, c := range h.sum {
+	for id, c := range h.total {
 		if h.Granted != nil && h.Granted(id) {
 			continue
 		}
-		if c = plus(c, own[id], -1); c != (balance.Count{}) {
+		if c = addScaled(c, own[id], -1); c != (balance.Count{}) {
 			out[id] = c
 		}
 	}
 	return out
 }
 
-// drop forgets a node's last report; h.mu is held.
-func (h *Hub) drop(node string) {
-	h.add(h.nodes[node].report.Counts, -1)
+// removeReport removes a node's last report; h.mu is held.
+func (h *Hub) removeReport(node string) {
+	h.addCounts(h.nodes[node].report.Counts, -1)
 	delete(h.nodes, node)
 }
 
-// add adds one node's counts to the sum so many times; h.mu is held. The sum is kept,
-// since to make it anew for each report takes the product of nodes and servers.
-func (h *Hub) add(counts map[string]balance.Count, times int) {
+// addCounts adds one node's counts to the sum, multiplied by times; h.mu is held. The sum is
+// maintained incrementally: computing it for each report costs the product of nodes and
+// servers.
+func (h *Hub) addCounts(counts map[string]balance.Count, times int) {
 	for id, c := range counts {
-		if c = plus(h.sum[id], c, times); c == (balance.Count{}) {
-			delete(h.sum, id)
+		if c = addScaled(h.total[id], c, times); c == (balance.Count{}) {
+			delete(h.total, id)
 			continue
 		}
-		h.sum[id] = c
+		h.total[id] = c
 	}
 }
 
-// plus returns a sum of counts, the second so many times.
-func plus(a, b balance.Count, times int) balance.Count {
+// addScaled returns a + times*b.
+func addScaled(a, b balance.Count, times int) balance.Count {
 	return balance.Count{Pending: a.Pending + times*b.Pending, Running: a.Running + times*b.Running,
 		Tokens: a.Tokens + times*b.Tokens, Granted: a.Granted + times*b.Granted}
 }
 
-// forget drops what is too old.
-func (h *Hub) forget(now time.Time) {
+// removeExpired removes expired reports, residency updates, limits and crash marks; h.mu is held.
+func (h *Hub) removeExpired(now time.Time) {
 	for name, e := range h.nodes {
-		if now.Sub(e.at) > reportLife {
-			h.drop(name)
+		if now.Sub(e.at) > reportTTL {
+			h.removeReport(name)
 		}
 	}
-	h.notes = younger(h.notes, now.Add(-reportLife))
-	maps.DeleteFunc(h.named, func(_ string, at time.Time) bool { return now.Sub(at) > LimitLife })
-	maps.DeleteFunc(h.limits, func(id string, _ throttle.Limit) bool { return h.named[id].IsZero() })
-	h.marks = younger(h.marks, now.Add(-markLife))
-	if n := len(h.marks) - marksMost; n > 0 {
+	h.updates = addedSince(h.updates, now.Add(-reportTTL))
+	maps.DeleteFunc(h.reportedAt, func(_ string, at time.Time) bool { return now.Sub(at) > LimitLife })
+	maps.DeleteFunc(h.limits, func(id string, _ throttle.Limit) bool { return h.reportedAt[id].IsZero() })
+	h.marks = addedSince(h.marks, now.Add(-markTTL))
+	if n := len(h.marks) - maxMarks; n > 0 {
 		h.marks = h.marks[n:]
 	}
 }
 
-// younger returns the values that are not older than at; they are in order.
-func younger[T any](list []dated[T], at time.Time) []dated[T] {
+// addedSince returns the values that were added at or after a time. The list is ordered by
+// time.
+func addedSince[T any](list []numbered[T], at time.Time) []numbered[T] {
 	for len(list) > 0 && list[0].at.Before(at) {
 		list = list[1:]
 	}
--- a/internal/hub/hub_test.go
+++ b/internal/hub/hub_test.go
@@ -12,7 +12,7 @@
 	"guavapaddle/internal/hub"
 )
 
-func TestANodeHearsWhatAllOthersHave(t *testing.T) {
+func TestReplyHoldsWhatOtherNodesReported(t *testing.T) {
 	h := &hub.Hub{}
 	now := time.Unix(1000, 0)
 	h.Take(now, hub.Report{Node: "a", Counts: map[string]balance.Count{"i-1": {Pending: 1, Running: 2, Tokens: 300}},
@@ -22,30 +22,30 @@
 	p := h.Take(now, hub.Report{Node: "c", Counts: map[string]balance.Count{"i-1": {Pending: 50}}})
 	require.True(t, p.Leading)
 	require.Equal(t, 3, p.Nodes)
-	require.Equal(t, balance.Count{Pending: 2, Running: 2, Tokens: 400}, p.Counts["i-1"], "without its own")
+	require.Equal(t, balance.Count{Pending: 2, Running: 2, Tokens: 400}, p.Counts["i-1"], "counts of the other nodes only")
 	require.Equal(t, []hub.Mark{{Fingerprint: 7, Server: "i-9"}}, p.Marks)
 	require.Len(t, p.Notes, 1)
 	require.Len(t, h.Demand(), 1)
-	require.Empty(t, h.Demand(), "each demand counts once")
+	require.Empty(t, h.Demand(), "each demand is returned once")
 
 	again := h.Take(now, hub.Report{Node: "c", Heard: p.Heard})
-	require.Empty(t, again.Marks, "told once")
+	require.Empty(t, again.Marks, "sent once")
 	require.Empty(t, again.Notes)
 	h.Note(now, hub.Note{Server: "i-2", Model: "m", Held: true})
 	again = h.Take(now, hub.Report{Node: "c", Heard: again.Heard})
 	require.Equal(t, []hub.Note{{Server: "i-2", Model: "m", Held: true}}, again.Notes)
 	other := &hub.Hub{}
 	other.Note(now, hub.Note{Server: "i-3"})
-	require.Len(t, other.Take(now, hub.Report{Node: "c", Heard: again.Heard}).Notes, 1, "another holder counts anew")
+	require.Len(t, other.Take(now, hub.Report{Node: "c", Heard: again.Heard}).Notes, 1, "another hub numbers its own updates")
 
 	later := now.Add(5 * time.Second)
 	p = h.Take(later, hub.Report{Node: "c"})
-	require.Equal(t, 1, p.Nodes, "nodes that fell silent don't count")
-	require.Empty(t, p.Notes, "by now the entries tell")
-	require.Len(t, p.Marks, 1, "marks last longer")
+	require.Equal(t, 1, p.Nodes, "expired reports are dropped")
+	require.Empty(t, p.Notes, "residency updates expire with the reports")
+	require.Len(t, p.Marks, 1, "crash marks are kept longer")
 }
 
-func TestOneNodeThatTheStoreAnswersFollowsItBesideTheHolder(t *testing.T) {
+func TestOneNodeWithStoreContactIsDeputy(t *testing.T) {
 	h := &hub.Hub{Self: "holder"}
 	now := time.Unix(1000, 0)
 	contact := map[string]time.Duration{"holder": 0, "a": time.Hour, "b": time.Hour, "c": time.Hour}
@@ -69,12 +69,12 @@
 	contact[first[0]] = time.Hour
 	later := now.Add(13 * time.Second)
 	deputies(later)
-	require.NotEqual(t, first, deputies(later), "the store turns it away")
+	require.NotEqual(t, first, deputies(later), "a deputy without contact to the store is replaced")
 }
 
-// TestTheSumIsThatOfTheLastReports plays nodes that report, fall silent and come back,
-// and compares what each is told with the sum of the others' last reports.
-func TestTheSumIsThatOfTheLastReports(t *testing.T) {
+// TestCountsAreSummedOverLastReports simulates nodes that report, stop and resume, and compares
+// each reply with the sum of the others' last reports.
+func TestCountsAreSummedOverLastReports(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
 	h := &hub.Hub{}
 	now := time.Unix(1000, 0)
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestCountsOfServersWithPlacesAreNotTold leaves out servers for which a granter says
-// where requests begin: nobody else picks them by counts.
-func TestCountsOfServersWithPlacesAreNotTold(t *testing.T) {
+// TestCountsOfGrantedServersAreLeftOut checks that replies leave out the servers whose
+// requests a granter starts: no node picks them by counts.
+func TestCountsOfGrantedServersAreLeftOut(t *testing.T) {
 	h := &hub.Hub{Granted: func(id string) bool { return id == "engine" }}
 	now := time.Unix(1000, 0)
 	counts := map[string]balance.Count{"engine": {Running: 3}, "plain": {Running: 2}}
@@ -119,7 +119,8 @@
 	require.Equal(t, counts, h.Counts())
 }
 
-// BenchmarkReport is one node's report at a holder with many nodes and servers.
+// BenchmarkReport measures the merging of one node's report at a leader with many nodes and
+// servers.
 func BenchmarkReport(b *testing.B) {
 	for _, size := range []struct{ nodes, servers int }{{8, 16}, {100, 100}, {300, 265}, {350, 600}} {
 		b.Run(fmt.Sprintf("%d-nodes-%d-servers", size.nodes, size.servers), func(b *testing.B) {
@@ -136,22 +137,22 @@
 	}
 }
 
-// TestARateThatHoldsIsInEachAnswer guards against nodes that join, and get no rate of a server
-// because its last answer is some time ago.
-func TestARateThatHoldsIsInEachAnswer(t *testing.T) {
+// TestReportedLimitIsInEachReply guards against a node that joins and doesn't get a server's
+// rate limit because the response that set it is older than LimitLife.
+func TestReportedLimitIsInEachReply(t *testing.T) {
 	h := &hub.Hub{}
-	named := time.Unix(1000, 0)
+	setAt := time.Unix(1000, 0)
 	limit := func(now time.Time) []hub.Limit {
-		return []hub.Limit{{Server: "i-1", Rate: 2, Active: true, Age: now.Sub(named)}}
+		return []hub.Limit{{Server: "i-1", Rate: 2, Active: true, Age: now.Sub(setAt)}}
 	}
-	now := named
+	now := setAt
 	for range 100 {
 		now = now.Add(200 * time.Millisecond)
 		h.Take(now, hub.Report{Node: "a", Limits: limit(now)})
 		p := h.Take(now.Add(100*time.Millisecond), hub.Report{Node: "b"})
-		require.Len(t, p.Limits, 1, "%v after the rate was named", now.Sub(named))
-		require.Equal(t, now.Add(100*time.Millisecond).Sub(named), p.Limits[0].Age)
+		require.Len(t, p.Limits, 1, "%v after the limit was set", now.Sub(setAt))
+		require.Equal(t, now.Add(100*time.Millisecond).Sub(setAt), p.Limits[0].Age)
 	}
 	p := h.Take(now.Add(2*hub.LimitLife), hub.Report{Node: "b"})
-	require.Empty(t, p.Limits, "no node reports it any more")
+	require.Empty(t, p.Limits, "a limit that no node reports expires")
 }
