--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -1,14 +1,14 @@
-// Package granter runs the scheduler of core/grant at the node that holds the
-// lease: it takes requests for a place from all nodes, answers each when it is
-// decided, and has adapters loaded that no engine holds.
+// Package granter runs the scheduler of core/grant at the leader. It accepts
+// slot requests from all nodes, replies to each when it is granted or refused,
+// and requests the loading of adapters that no engine holds.
 //
 // # Usage
 //
 //	g := &granter.Granter{Log: log, Adapter: placer.Want}
-//	g.Reset()                                   // when the lease is won
-//	d, place, err := g.Place(ctx, request, func() {})
-//	place.Begun()                               // with the first byte of the answer
-//	place.Done(balance.Succeeded)               // with the last
+//	g.Reset()                                   // when the lease is acquired
+//	d, slot, err := g.Place(ctx, request, func() {})
+//	slot.Begun()                                // with the first byte of the response
+//	slot.Done(balance.Succeeded)                // with the last byte
 package granter
 
 import (
@@ -28,65 +28,65 @@
 )
 
 const (
-	// Tick is how often waiting requests are looked at without a cause, for those
-	// that expire.
+	// Tick is the interval at which waiting requests are checked for expiry.
 	Tick = 50 * time.Millisecond
 
-	// deputyRatePart is the part of the rates that servers name which a deputy grants. The
-	// holder, which it can't reach, may be granting all of them to other nodes, and servers
-	// bear half as many requests again.
-	deputyRatePart = 0.5
+	// deputyRateFraction is the fraction of the servers' rate limits that a deputy grants. The
+	// leader, which it can't reach, may be granting all of them to other nodes, and servers
+	// tolerate 1.5 times their limit.
+	deputyRateFraction = 0.5
 
-	// limitedLife is how long a model counts as one whose servers take no more requests
-	// after one of its requests was refused for that reason.
-	limitedLife = 3 * time.Second
+	// limitedTTL is how long a model counts as rate limited after one of its requests was
+	// refused because its servers had reached their limits.
+	limitedTTL = 3 * time.Second
 )
 
-// OverQuota means that a request's team has spent its quota.
+// OverQuota is the reason of a refusal because the request's team has used up its quota.
 const OverQuota balance.Reason = "quota"
 
 type (
-	// Granter decides about places. Its exported fields are set before the first
-	// call. It is safe for concurrent use.
+	// Granter grants slots. Its exported fields are set before the first call. It
+	// is safe for concurrent use.
 	Granter struct {
 		Log      *zap.Logger
 		Settings grant.Settings
-		Adapter  func(ctx context.Context, w hub.Want) hub.Offer // has an adapter loaded
-		Counts   func() map[string]balance.Count                 // what all nodes have, nil for nobody
-		Limits   func() []hub.Limit                              // what servers said of their rates, nil for nobody
-		// Tolerance is how far the use of a quota may go over.
+		Adapter  func(ctx context.Context, w hub.Want) hub.Offer // loads an adapter
+		Counts   func() map[string]balance.Count                 // counts over all nodes, by server; may be nil
+		Limits   func() []hub.Limit                              // known rate limits of servers; may be nil
+		// Tolerance is how far a team's usage may exceed its quota.
 		Tolerance quota.Tolerance
 
-		mu       sync.Mutex
-		picture  *balance.Picker
-		schedule *grant.Scheduler
-		servers  []fleet.Server
-		teams    []fleet.Team
-		ledger   quota.Ledger
-		next     uint64
-		waiters  map[uint64]waiter
-		fetching map[hub.Item]bool
-		limited  map[string]time.Time // when a model's servers last took no more requests
-		reset    chan struct{}        // closed by the next Reset
+		mu        sync.Mutex
+		picker    *balance.Picker
+		scheduler *grant.Scheduler
+		servers   []fleet.Server
+		teams     []fleet.Team
+		ledger    quota.Ledger
+		lastID    uint64
+		waiters   map[uint64]waiter
+		loading   map[hub.Item]bool
+		limitedAt map[string]time.Time // by model, when a request was last refused by rate limits
+		reset     chan struct{}        // closed by the next Reset
 	}
 
 	waiter struct {
-		place   hub.Place
-		since   time.Time
-		ahead   int // requests that waited when it came
-		decided chan grant.Decision
+		slot      hub.Place
+		arrivedAt time.Time
+		ahead     int // requests that were waiting when it arrived
+		decision  chan grant.Decision
 	}
 )
 
-// Reset forgets all grants, as a node that wins the lease must, and ends all waits. The
-// rates that servers have named bind on: what waits is offered anew at once.
-func (g *Granter) Reset() { g.begin(1) }
+// Reset discards all grants and ends all waits, as a node must when it acquires the lease.
+// Known rate limits stay in force, since the requests that waited are sent again immediately.
+func (g *Granter) Reset() { g.restart(1) }
 
-// ResetAsDeputy is Reset of a node that grants in place of a holder that it can't reach.
-func (g *Granter) ResetAsDeputy() { g.begin(deputyRatePart) }
+// ResetAsDeputy is Reset for a deputy, which grants while it can't reach the leader.
+func (g *Granter) ResetAsDeputy() { g.restart(deputyRateFraction) }
 
-// begin forgets all grants. From now on a part of the rates that servers name is granted.
-func (g *Granter) begin(ratePart float64) {
+// restart discards all grants. From now on the given fraction of the servers' rate limits is
+// granted.
+func (g *Granter) restart(rateFraction float64) {
 	var limits []hub.Limit
 	if g.Limits != nil {
 		limits = g.Limits()
@@ -97,33 +97,33 @@
 		close(g.reset)
 	}
 	g.reset = make(chan struct{})
-	g.picture = balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	g.picture.SetRateFraction(ratePart)
-	g.picture.Update(g.servers)
+	g.picker = balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	g.picker.SetRateFraction(rateFraction)
+	g.picker.Update(g.servers)
 	g.learnLimits(limits)
-	g.schedule = grant.New(g.picture, g.Settings)
+	g.scheduler = grant.New(g.picker, g.Settings)
 	g.waiters = map[uint64]waiter{}
-	g.fetching = map[hub.Item]bool{}
-	g.limited = map[string]time.Time{}
+	g.loading = map[hub.Item]bool{}
+	g.limitedAt = map[string]time.Time{}
 	g.ledger = quota.Ledger{Tolerance: g.Tolerance}
 	g.ledger.Reset(time.Now(), g.teams)
 }
 
-// Servers takes in the list of backend servers.
+// Servers sets the list of backend servers.
 func (g *Granter) Servers(list []fleet.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.servers = list
-	if g.picture == nil {
+	if g.picker == nil {
 		return
 	}
-	g.picture.Update(list)
-	g.schedule.Invalidate()
-	g.decide()
+	g.picker.Update(list)
+	g.scheduler.Invalidate()
+	g.grantSlots()
 }
 
-// Run looks after the requests that wait, and at what nodes began by themselves, until
-// ctx ends.
+// Run expires waiting requests and updates the counts of requests that nodes started
+// without a grant, until ctx ends.
 func (g *Granter) Run(ctx context.Context) {
 	t := time.NewTicker(Tick)
 	defer t.Stop()
@@ -140,109 +140,108 @@
 	}
 }
 
-// tick refuses what has waited too long and looks at all that waits.
+// tick refuses expired requests, grants free slots, and requests missing adapters.
 func (g *Granter) tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.schedule == nil || g.schedule.Waiting() == 0 {
+	if g.scheduler == nil || g.scheduler.Waiting() == 0 {
 		return
 	}
-	g.tell(g.schedule.Tick(time.Now()))
-	g.decide()
-	g.lacking()
+	g.deliver(g.scheduler.Tick(time.Now()))
+	g.grantSlots()
+	g.loadMissing()
 }
 
-// Note overlays what a server holds.
+// Note applies a residency update, which overrides the server's entry.
 func (g *Granter) Note(n hub.Note) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.picture == nil {
+	if g.picker == nil {
 		return
 	}
-	g.picture.SetResidency(time.Now(), n.Server, n.Model, n.Adapter, n.Held)
-	g.schedule.Invalidate()
-	g.decide()
+	g.picker.SetResidency(time.Now(), n.Server, n.Model, n.Adapter, n.Held)
+	g.scheduler.Invalidate()
+	g.grantSlots()
 }
 
-// LearnLimits takes in what servers said to another node of the rates that they take.
+// LearnLimits merges rate limits that servers set in responses to another node.
 func (g *Granter) LearnLimits(list []hub.Limit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.picture == nil {
+	if g.picker == nil {
 		return
 	}
 	if g.learnLimits(list) {
-		g.schedule.Invalidate()
+		g.scheduler.Invalidate()
 	}
-	g.decide()
+	g.grantSlots()
 }
 
-// learnLimits takes in what servers said of their rates, and returns whether that changes any;
-// g.mu is held.
+// learnLimits merges rate limits and reports whether any of them changed; g.mu is held.
 func (g *Granter) learnLimits(list []hub.Limit) bool {
 	changed := false
 	now := time.Now()
 	for _, l := range list {
-		changed = g.picture.LearnLimit(l.Server, l.Said(now)) || changed
+		changed = g.picker.LearnLimit(l.Server, l.Said(now)) || changed
 	}
 	return changed
 }
 
-// Running takes in how many streams all nodes have at each server. Those whose
-// places this granter has granted are known already.
+// Running sets how many streams all nodes have at each server. Those that this
+// granter has granted are subtracted, since they are counted already.
 func (g *Granter) Running(counts map[string]balance.Count) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.picture == nil {
+	if g.picker == nil {
 		return
 	}
 	running := make(map[string]balance.Count, len(counts))
 	for id, c := range counts {
 		running[id] = balance.Count{Running: c.Running - c.Granted}
 	}
-	g.picture.SetRemoteCounts(time.Now(), running)
-	g.decide()
+	g.picker.SetRemoteCounts(time.Now(), running)
+	g.grantSlots()
 }
 
-// Place waits until a request gets a place or is refused, and calls queued if
-// that isn't decided at once.
+// Place waits until a request is granted a slot or refused, and calls queued if
+// that isn't decided immediately.
 func (g *Granter) Place(ctx context.Context, p hub.Place, queued func()) (grant.Decision, hub.Grant, error) {
-	w := waiter{place: p, since: time.Now(), decided: make(chan grant.Decision, 1)}
+	w := waiter{slot: p, arrivedAt: time.Now(), decision: make(chan grant.Decision, 1)}
 	g.mu.Lock()
-	if g.schedule == nil {
+	if g.scheduler == nil {
 		g.mu.Unlock()
 		return grant.Decision{}, nil, context.Canceled
 	}
-	g.next++
-	id := g.next
+	g.lastID++
+	id := g.lastID
 	now := time.Now()
 	for _, s := range p.Lacks {
-		g.picture.SetResidency(now, s, p.Model, p.Adapter, false)
+		g.picker.SetResidency(now, s, p.Model, p.Adapter, false)
 	}
 	if ok, after := g.ledger.Charge(now, p.Charge.Team, p.Charge.Cost); !ok {
 		g.mu.Unlock()
 		d := grant.Decision{Reason: OverQuota, RetryAfter: after}
 		w.log(g.Log, d)
-		return d, &place{g, id}, nil
+		return d, &slot{g, id}, nil
 	}
-	w.ahead = g.schedule.Waiting()
+	w.ahead = g.scheduler.Waiting()
 	g.waiters[id] = w
-	g.schedule.Enqueue(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
+	g.scheduler.Enqueue(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
 		TargetStart: now.Add(p.Target), Deadline: now.Add(p.Expire)})
-	g.decide()
-	g.lacking()
+	g.grantSlots()
+	g.loadMissing()
 	reset := g.reset
 	g.mu.Unlock()
-	if len(w.decided) == 0 {
+	if len(w.decision) == 0 {
 		queued()
 	}
 	select {
-	case d := <-w.decided:
+	case d := <-w.decision:
 		if !d.Granted {
 			g.refund(p.Charge)
 		}
 		w.log(g.Log, d)
-		return d, &place{g, id}, nil
+		return d, &slot{g, id}, nil
 	case <-reset:
 		return grant.Decision{}, nil, context.Canceled
 	case <-ctx.Done():
@@ -252,75 +251,75 @@
 	}
 }
 
-// log tells how a wait ended and by what.
+// log records how a wait ended and the values that led to the decision.
 func (w waiter) log(log *zap.Logger, d grant.Decision) {
-	log.Info("place", zap.String("request-id", w.place.Request), zap.Bool("granted", d.Granted), zap.String("why", string(d.Reason)),
-		zap.String("server", d.Selection.Server.ID), zap.String("model", w.place.Model), zap.String("adapter", w.place.Adapter),
-		zap.Int("priority", w.place.Priority), zap.Int("tokens", w.place.Tokens), zap.Int("ahead", w.ahead),
-		zap.Duration("estimate", d.Selection.Wait), zap.Duration("age", d.Selection.Age), zap.Duration("waited", time.Since(w.since)),
-		zap.Duration("come-back", d.RetryAfter), zap.String("team", w.place.Charge.Team), zap.Float64("charge", w.place.Charge.Cost))
+	log.Info("place", zap.String("request-id", w.slot.Request), zap.Bool("granted", d.Granted), zap.String("why", string(d.Reason)),
+		zap.String("server", d.Selection.Server.ID), zap.String("model", w.slot.Model), zap.String("adapter", w.slot.Adapter),
+		zap.Int("priority", w.slot.Priority), zap.Int("tokens", w.slot.Tokens), zap.Int("ahead", w.ahead),
+		zap.Duration("estimate", d.Selection.Wait), zap.Duration("age", d.Selection.Age), zap.Duration("waited", time.Since(w.arrivedAt)),
+		zap.Duration("come-back", d.RetryAfter), zap.String("team", w.slot.Charge.Team), zap.Float64("charge", w.slot.Charge.Cost))
 }
 
-// place is a grant.
-type place struct {
+// slot implements hub.Grant for a decided request.
+type slot struct {
 	g  *Granter
 	id uint64
 }
 
 // NamedRate implements hub.Grant.
-func (p *place) NamedRate(perSecond *float64) {
-	p.g.mu.Lock()
-	defer p.g.mu.Unlock()
-	p.g.schedule.LearnLimit(time.Now(), p.id, perSecond)
-	p.g.decide()
+func (s *slot) NamedRate(perSecond *float64) {
+	s.g.mu.Lock()
+	defer s.g.mu.Unlock()
+	s.g.scheduler.LearnLimit(time.Now(), s.id, perSecond)
+	s.g.grantSlots()
 }
 
 // Begun implements hub.Grant.
-func (p *place) Begun() {
-	p.g.mu.Lock()
-	defer p.g.mu.Unlock()
-	p.g.schedule.PrefillDone(time.Now(), p.id)
-	p.g.decide()
+func (s *slot) Begun() {
+	s.g.mu.Lock()
+	defer s.g.mu.Unlock()
+	s.g.scheduler.PrefillDone(time.Now(), s.id)
+	s.g.grantSlots()
 }
 
 // Done implements hub.Grant.
-func (p *place) Done(r balance.Result) { p.g.release(p.id, r) }
+func (s *slot) Done(r balance.Result) { s.g.release(s.id, r) }
 
 // release ends a grant or a wait.
 func (g *Granter) release(id uint64, r balance.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiters, id)
-	g.schedule.Release(time.Now(), id, r) // a grant of an earlier lease is unknown
-	g.decide()
+	g.scheduler.Release(time.Now(), id, r) // ignores a grant from before the last Reset
+	g.grantSlots()
 }
 
-// decide grants all places that there are; g.mu is held.
-func (g *Granter) decide() { g.tell(g.schedule.Next(time.Now())) }
+// grantSlots grants all free slots; g.mu is held.
+func (g *Granter) grantSlots() { g.deliver(g.scheduler.Next(time.Now())) }
 
-// tell answers the requests that were decided about; g.mu is held.
-func (g *Granter) tell(list []grant.Decision) {
+// deliver delivers decisions to the waiting requests; g.mu is held.
+func (g *Granter) deliver(list []grant.Decision) {
 	for _, d := range list {
 		if w, ok := g.waiters[d.ID]; ok {
 			delete(g.waiters, d.ID)
 			if !d.Granted && d.Reason == balance.Limited {
-				g.limited[w.place.Model] = time.Now()
+				g.limitedAt[w.slot.Model] = time.Now()
 			}
-			w.decided <- d
+			w.decision <- d
 		}
 	}
 }
 
-// Limited returns the models of which requests were refused of late because all their servers
-// have got as many as they named as their rate.
+// Limited returns the models of which requests were recently refused because all their
+// servers had reached their rate limits.
 func (g *Granter) Limited() map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
 	now := time.Now()
-	for m, at := range g.limited {
-		if now.Sub(at) > limitedLife {
-			delete(g.limited, m)
+	for m, at := range g.limitedAt {
+		if now.Sub(at) > limitedTTL {
+			delete(g.limitedAt, m)
 			continue
 		}
 		out[m] = true
@@ -328,57 +327,58 @@
 	return out
 }
 
-// lacking has the adapters loaded that requests wait for; g.mu is held.
-func (g *Granter) lacking() {
-	for i := range g.schedule.WaitingByMissingItem() {
-		if i.Adapter != "" && !g.fetching[i] {
-			g.fetching[i] = true
-			go g.fetch(i)
+// loadMissing requests the loading of adapters for which requests wait; g.mu is held.
+func (g *Granter) loadMissing() {
+	for i := range g.scheduler.WaitingByMissingItem() {
+		if i.Adapter != "" && !g.loading[i] {
+			g.loading[i] = true
+			go g.loadAdapter(i)
 		}
 	}
 }
 
-// fetch has an adapter loaded.
-func (g *Granter) fetch(w hub.Item) {
+// loadAdapter requests the loading of one adapter and records where it is resident.
+func (g *Granter) loadAdapter(item hub.Item) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	o := g.Adapter(ctx, g.wanted(w))
-	if !o.Found {
+	reply := g.Adapter(ctx, g.loadRequest(item))
+	if !reply.Found {
 		clock.Sleep(ctx, Tick)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.fetching, w)
-	if o.Found {
-		g.picture.SetResidency(time.Now(), o.Server, w.Model, w.Adapter, true)
-		g.schedule.Invalidate()
+	delete(g.loading, item)
+	if reply.Found {
+		g.picker.SetResidency(time.Now(), reply.Server, item.Model, item.Adapter, true)
+		g.scheduler.Invalidate()
 	}
-	g.decide()
+	g.grantSlots()
 }
 
-// wanted returns what the requests that wait for an item need.
-func (g *Granter) wanted(i hub.Item) hub.Want {
+// loadRequest returns the load request for an item, with the servers that the requests
+// waiting for it exclude or found without it.
+func (g *Granter) loadRequest(i hub.Item) hub.Want {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := hub.Want{Item: i}
 	for _, w := range g.waiters {
-		if w.place.Item == i {
-			out.Lacks = append(out.Lacks, w.place.Lacks...)
-			out.Exclude = append(out.Exclude, w.place.Exclude...)
+		if w.slot.Item == i {
+			out.Lacks = append(out.Lacks, w.slot.Lacks...)
+			out.Exclude = append(out.Exclude, w.slot.Exclude...)
 		}
 	}
 	return out
 }
 
-// Waiting returns how many requests wait for each model that no server holds.
+// Waiting returns the number of waiting requests for each model that no server holds.
 func (g *Granter) Waiting() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]int{}
-	if g.schedule == nil {
+	if g.scheduler == nil {
 		return out
 	}
-	for i, n := range g.schedule.WaitingByMissingItem() {
+	for i, n := range g.scheduler.WaitingByMissingItem() {
 		if i.Adapter == "" {
 			out[i.Model] += n
 		}
--- a/internal/granter/quotas.go
+++ b/internal/granter/quotas.go
@@ -19,7 +19,7 @@
 	quotaRate = prometheus.NewDesc("guavapaddle_quota_rate", "Units a second that a team's quota allows.", quotaLabels, nil)
 )
 
-// Teams puts the quotas of teams in force.
+// Teams sets the quotas of teams.
 func (g *Granter) Teams(teams []fleet.Team) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -28,14 +28,14 @@
 	g.ledger.Configure(time.Now(), teams)
 }
 
-// Spent takes in what a node reports to have spent, and returns what it is told of the quotas.
+// Spent records the usage that a node reports and returns the quota states to send to it.
 func (g *Granter) Spent(r hub.Report) map[string]quota.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Report(time.Now(), r.Node, r.At.Key, r.Quotas)
 }
 
-// Accounts returns the use of all teams with a quota.
+// Accounts returns the usage of all teams with a quota.
 func (g *Granter) Accounts() []quota.Balance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// refund gives back what a request was charged that got no place.
+// refund returns the charge of a request that got no slot.
 func (g *Granter) refund(c hub.Charge) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
