--- a/internal/follow/proof_test.go
+++ b/internal/follow/confirmation_test.go
@@ -20,55 +20,55 @@
 )
 
 const (
-	proofTime  = 30 * time.Second
-	proofNodes = 4
-	proofBound = 5 * time.Second // in which each node must know that a key is gone
+	confirmTime  = 30 * time.Second
+	confirmNodes = 4
+	confirmBound = 5 * time.Second // within which each node must know that a key was removed
 )
 
 type (
-	// proofStore is a store with a configuration that changes. It serves nodes or turns
-	// them away, quickly or slowly.
-	proofStore struct {
-		mu      sync.Mutex
-		rng     *rand.Rand
-		version int64
-		written []time.Time // when each version was acknowledged, the first as version 1
-		changed chan struct{}
-		away    map[int]bool
+	// confirmStore is a store with a changing configuration. It is reachable or unreachable
+	// for each node, and some of its calls are slow.
+	confirmStore struct {
+		mu          sync.Mutex
+		rng         *rand.Rand
+		version     int64
+		written     []time.Time // when each version was acknowledged, starting with version 1
+		changed     chan struct{}
+		unreachable map[int]bool
 	}
 
-	// proofView is the store as one node reaches it.
-	proofView struct {
-		*proofStore
+	// confirmView is the store as seen by one node.
+	confirmView struct {
+		*confirmStore
 		node int
 	}
 
-	// proofNode follows the store, and passes on or is passed what was read.
-	proofNode struct {
+	// confirmNode follows the store and exchanges its copy with other nodes.
+	confirmNode struct {
 		follower *follow.Follower
 		mu       sync.Mutex
 		inForce  int64
 	}
 )
 
-func (s *proofStore) row() platform.Row {
+func (s *confirmStore) row() platform.Row {
 	return platform.Row{Table: platform.TableOperator, Key: platform.KeyConfig, Version: s.version,
 		Value: fmt.Appendf(nil, `{"version":%d}`, s.version)}
 }
 
-// delay waits as long as a call takes one way and tells whether it arrives.
-func (v proofView) delay(ctx context.Context) bool {
+// delay waits for the time of a call in one direction and reports whether it arrives.
+func (v confirmView) delay(ctx context.Context) bool {
 	v.mu.Lock()
 	d := time.Duration(v.rng.IntN(4)) * time.Millisecond
 	if v.rng.IntN(10) == 0 {
 		d *= 100
 	}
-	away := v.away[v.node]
+	unreachable := v.unreachable[v.node]
 	v.mu.Unlock()
-	return clock.Sleep(ctx, d) && !away
+	return clock.Sleep(ctx, d) && !unreachable
 }
 
-func (v proofView) Read(ctx context.Context, table, _, _ string) ([]platform.Row, int64, error) {
+func (v confirmView) Read(ctx context.Context, table, _, _ string) ([]platform.Row, int64, error) {
 	if !v.delay(ctx) {
 		return nil, 0, errNoAnswer
 	}
@@ -84,7 +84,7 @@
 	return rows, version, nil
 }
 
-func (v proofView) Feed(ctx context.Context, table string, after int64, wait time.Duration) ([]platform.Row, int64, error) {
+func (v confirmView) Feed(ctx context.Context, table string, after int64, wait time.Duration) ([]platform.Row, int64, error) {
 	if !v.delay(ctx) {
 		return nil, 0, errNoAnswer
 	}
@@ -114,7 +114,7 @@
 }
 
 // change writes the next version.
-func (s *proofStore) change() {
+func (s *confirmStore) change() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -124,39 +124,39 @@
 }
 
 // newestAt returns the version that had been acknowledged by a time.
-func (s *proofStore) newestAt(at time.Time) int64 {
+func (s *confirmStore) newestAt(at time.Time) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, _ := slices.BinarySearchFunc(s.written, at, time.Time.Compare)
 	return int64(before)
 }
 
-// TestNoConfigurationIsTakenForNewerThanItIsInTime plays nodes that read the store, are
-// turned away by it, pass on what they have, and get answers late. Whatever age
-// a node tells of its configuration, no version had been acknowledged by then that it
-// doesn't have.
-func TestNoConfigurationIsTakenForNewerThanItIsInTime(t *testing.T) {
+// TestConfigAgeIsNeverTooLowInSimulatedTime simulates nodes that read the store, lose
+// contact to it, pass their copies on, and receive replies late. For any age that a node
+// states for its configuration, it must have every version that had been acknowledged that
+// long ago.
+func TestConfigAgeIsNeverTooLowInSimulatedTime(t *testing.T) {
 	for seed := range uint64(*simSeeds) {
-		synctest.Test(t, func(t *testing.T) { playProofs(t, seed) })
+		synctest.Test(t, func(t *testing.T) { simulateConfirmations(t, seed) })
 	}
 }
 
-func playProofs(t *testing.T, seed uint64) {
+func simulateConfirmations(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	began := time.Now()
-	store := &proofStore{rng: rand.New(rand.NewPCG(seed, 4)), changed: make(chan struct{}), away: map[int]bool{}}
+	store := &confirmStore{rng: rand.New(rand.NewPCG(seed, 4)), changed: make(chan struct{}), unreachable: map[int]bool{}}
 	store.change()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	nodes := make([]*proofNode, proofNodes)
+	nodes := make([]*confirmNode, confirmNodes)
 	for i := range nodes {
-		n := &proofNode{}
+		n := &confirmNode{}
 		nodes[i] = n
 		role := follow.Alone
 		if i == 0 {
 			role = follow.Holder
 		}
-		n.follower = &follow.Follower{Store: proofView{store, i}, Log: zap.NewNop(), ProofWithin: proofBound,
+		n.follower = &follow.Follower{Store: confirmView{store, i}, Log: zap.NewNop(), ProofWithin: confirmBound,
 			Clock:     func() time.Duration { return time.Since(began) + time.Second },
 			Role:      func() follow.Role { return role },
 			OnServers: func([]fleet.Server) {},
@@ -168,59 +168,59 @@
 		wg.Go(func() { n.follower.Run(ctx) })
 	}
 	wg.Go(func() { passOn(ctx, rand.New(rand.NewPCG(seed, 5)), began, nodes) })
-	proven := 0
-	for time.Since(began) < proofTime {
+	checks := 0
+	for time.Since(began) < confirmTime {
 		clock.Sleep(ctx, time.Duration(1+rng.IntN(60))*time.Millisecond)
 		switch rng.IntN(40) {
 		case 0:
 			store.change()
 		case 1:
-			i := rng.IntN(proofNodes)
+			i := rng.IntN(confirmNodes)
 			store.mu.Lock()
-			store.away[i] = !store.away[i]
+			store.unreachable[i] = !store.unreachable[i]
 			store.mu.Unlock()
 		}
 		for i, n := range nodes {
-			age := n.follower.ConfigAge() // before what is in force, as requests look at it
+			age := n.follower.ConfigAge() // read before the version in force, as for requests
 			n.mu.Lock()
 			has := n.inForce
 			n.mu.Unlock()
-			if age > proofBound {
+			if age > confirmBound {
 				continue
 			}
-			proven++
+			checks++
 			at := time.Now().Add(-age)
 			require.GreaterOrEqual(t, has, store.newestAt(at), "seed %d, node %d, %v: age %v", seed, i, time.Since(began), age)
 		}
 	}
-	require.Positive(t, proven, "seed %d", seed)
+	require.Positive(t, checks, "seed %d", seed)
 	cancel()
 	wg.Wait()
 }
 
-// passOn has nodes ask the holder for what it has, with answers that take their time.
-func passOn(ctx context.Context, rng *rand.Rand, began time.Time, nodes []*proofNode) {
+// passOn exchanges updates between the leader and the other nodes, some of them late.
+func passOn(ctx context.Context, rng *rand.Rand, began time.Time, nodes []*confirmNode) {
 	for clock.Sleep(ctx, time.Duration(20+rng.IntN(200))*time.Millisecond) {
 		from, to := nodes[0], nodes[1+rng.IntN(len(nodes)-1)]
 		if rng.IntN(4) == 0 {
 			from, to = to, from
 		}
-		asked := time.Since(began) + time.Second
-		late := func() bool {
+		requestedAt := time.Since(began) + time.Second
+		delay := func() bool {
 			d := time.Duration(rng.IntN(5)) * time.Millisecond
 			if rng.IntN(6) == 0 {
 				d = time.Duration(rng.IntN(3000)) * time.Millisecond
 			}
 			return clock.Sleep(ctx, d)
 		}
-		if !late() {
+		if !delay() {
 			return
 		}
 		u := from.follower.Since(time.Now(), to.follower.Known())
-		if !late() {
+		if !delay() {
 			return
 		}
 		to.follower.Take(time.Now(), u)
-		to.follower.Proved(u.Operator, asked-u.ConfigAge)
+		to.follower.Proved(u.Operator, requestedAt-u.ConfigAge)
 	}
 }
--- a/internal/follow/doc.go
+++ b/internal/follow/doc.go
@@ -1,15 +1,16 @@
 // Package follow keeps a node's copy of the configuration and of the list of
 // backend servers up to date from the platform's store.
 //
-// Each table is read whole once and then followed by its feed. The version of
-// a row orders it: an older row never replaces a newer one. When the feed says
-// that its history is gone the table is read whole again. A feed that is
-// silent for longer than it was asked to wait counts as broken, and a fresh
-// connection is used.
+// Each table is read in full once and then followed through its feed. Rows are
+// ordered by version: an older row never replaces a newer one. When the feed
+// reports that its history is gone, the table is read in full again. A feed
+// call that doesn't return within the requested wait plus a margin counts as
+// failed, and the next call uses a new connection.
 //
-// While the store is away everything known stays in use. Entries of servers
-// lapse meanwhile and are back soon after its return if the server lives, so
-// for Grace after the store is reached again an entry that vanished is kept.
+// While the store is unreachable the last known state stays in use. Entries of
+// servers expire in the store meanwhile, and a live server writes its entry again
+// soon after the store's return. A missing entry is therefore kept for Grace
+// after the store is reachable again.
 //
 // # Usage
 //
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -14,155 +14,161 @@
 
 const (
 	// Grace is how long after the store's return an entry may be missing before
-	// its server counts as gone; they are back within about two seconds.
+	// its server counts as gone; live servers' entries are back within about two
+	// seconds.
 	Grace = 1800 * time.Millisecond
-	// feedWait is how long a feed waits for a change. A feed that went silent is
-	// noticed after it and answerSlack, which must fit well into the two
-	// seconds in which a leaving server has to be known.
+	// feedWait is how long a feed call waits for a change. A call without a
+	// response is detected after feedWait + responseMargin, which must be well below
+	// the two seconds within which a leaving server has to be known.
 	feedWait = time.Second
-	// deputyWait is the same for a deputy: what it knows goes to the holder and
-	// on to all nodes, each way up to 0.8 s.
+	// deputyWait replaces feedWait at a deputy, whose changes go to the leader and
+	// from there to all nodes, with up to 0.8 s for each of the two steps.
 	deputyWait = 600 * time.Millisecond
-	// quickWait is the same for the first call after a rest, or after one without an
-	// answer: what changed meanwhile is there already, and a call that gets no answer
-	// is noticed after 0.42 s, not 1.4 s. A node to which nothing was passed on for 0.7 s
-	// had been without news for 2.1 s by then.
+	// quickWait replaces feedWait in the first call after a pause or a failed call:
+	// changes made meanwhile are returned immediately, and a call without a response
+	// is detected after 0.42 s instead of 1.4 s. With feedWait, a node that received no
+	// updates for 0.7 s would have had no news for 2.1 s by then.
 	quickWait = 20 * time.Millisecond
-	// gapHolder, gapDeputy and gapAlone are the least time from one answer of a
-	// feed to the next call, for the node that passes changes on, its deputy, and
-	// nodes that nobody leads. Without them each change of a server is a call: of
-	// 65 nodes that lost their holder as 17 servers came back, 860 calls a second.
-	gapHolder = 100 * time.Millisecond
-	gapDeputy = 250 * time.Millisecond
-	gapAlone  = 400 * time.Millisecond
-	// gapWhole is the most time from a reading of the whole table to the first call of
-	// its feed.
-	gapWhole = time.Second
-	// answerSlack is added for the answer itself; a slow store takes 200 ms.
-	answerSlack = 400 * time.Millisecond
-	// fedCheck is how often a node to which changes are passed on looks whether
-	// that still holds.
-	fedCheck = 100 * time.Millisecond
-	// goneMost bounds the entries that went and are remembered for other nodes.
-	goneMost = 256
-	// refusedMost bounds the unreadable entries that are remembered, so that each
-	// is told once.
-	refusedMost = 1024
-	readTimeout = 1500 * time.Millisecond
-	retryFirst  = 50 * time.Millisecond
-	retryMost   = 500 * time.Millisecond
-	// ledFirst and ledMost bound the pauses of a node that the holder answers,
-	// though its copy is old: the holder and its deputy try more often, and tell
+	// gapLeader, gapDeputy and gapAlone are the minimum time from a response of a feed
+	// to the next call, at the leader, its deputy and standalone nodes. Without them
+	// each change of a server costs a call: 65 nodes that lost their leader while 17
+	// servers came back made 860 calls per second.
+	gapLeader     = 100 * time.Millisecond
+	gapDeputy     = 250 * time.Millisecond
+	gapStandalone = 400 * time.Millisecond
+	// maxFirstGap is the maximum time from a full read of a table to the first call of its
+	// feed.
+	maxFirstGap = time.Second
+	// responseMargin is added to the wait for the response itself; a slow store takes
+	// 200 ms.
+	responseMargin = 400 * time.Millisecond
+	// feedCheckInterval is the interval at which a node that receives updates from another one
+	// checks whether it still does.
+	feedCheckInterval = 100 * time.Millisecond
+	// maxRemoved bounds the removed entries that are kept for other nodes.
+	maxRemoved = 256
+	// maxUnreadable bounds the versions of unreadable entries that are kept so that
+	// each is logged once.
+	maxUnreadable = 1024
+	readTimeout   = 1500 * time.Millisecond
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// minLeaderRetryDelay and ledMost bound the retry delay of a node whose leader replies with an
+	// outdated copy: the leader and its deputy retry more often, and pass changes on
 	// when the store is back.
-	ledFirst = time.Second
-	ledMost  = 4 * time.Second
-	// defaultHeartbeat is how often servers write their entries where nothing says so;
-	// the users' platforms say 1.2 s.
+	minLeaderRetryDelay = time.Second
+	maxLeaderRetryDelay = 4 * time.Second
+	// defaultHeartbeat is how often servers write their entries if Heartbeat isn't set;
+	// the users' platforms state 1.2 s.
 	defaultHeartbeat = 1200 * time.Millisecond
-	// proofParts is how many waits of the operator's feed fit into ProofWithin: a proof is
-	// as old as the wait when it comes, and the last one holds for the next wait.
-	proofParts = 12
-	// lapsePart is how many heartbeats the store must have been away for entries to
-	// lapse in it: they do after three without one, the last of which may just have been
-	// due. A little less, for heartbeats that come late.
-	lapsePart = 1.8
+	// waitsPerConfigAge is how many waits of the operator table's feed fit into ProofWithin. A
+	// confirmation is already as old as the wait when it arrives, and has to last until
+	// the next wait ends.
+	waitsPerConfigAge = 12
+	// outageHeartbeats is the number of heartbeat intervals for which the store must have been
+	// unreachable for entries to expire in it. They expire after three intervals without
+	// a heartbeat, and a heartbeat may have been due just when the outage began. The
+	// value is slightly lower to allow for late heartbeats.
+	outageHeartbeats = 1.8
 )
 
 type (
-	// Store is the platform's store as far as it is followed.
+	// Store is the part of the platform's store that a follower uses.
 	Store interface {
-		// Read returns the rows of a table and the version as of which they hold.
+		// Read returns the rows of a table and the version of the table that they
+		// represent.
 		Read(ctx context.Context, table, from, to string) ([]platform.Row, int64, error)
-		// Feed waits for changes after a version.
+		// Feed waits for changes after a version, and returns them with the new version.
 		Feed(ctx context.Context, table string, after int64, wait time.Duration) ([]platform.Row, int64, error)
 	}
 
-	// Follower follows the store. Its exported fields are set before Run. The
-	// functions are called one at a time for each table.
+	// Follower follows the store. Its exported fields are set before Run. Calls of
+	// OnConfig don't overlap, nor do calls of OnServers.
 	Follower struct {
 		Store     Store
 		Log       *zap.Logger
 		OnConfig  func(*fleet.Config)
 		OnServers func([]fleet.Server)
-		// Fed tells whether another node passes changes on, so that this one
-		// needn't ask the store; nil for never.
+		// Fed reports whether this node receives changes from another one, and so
+		// doesn't need to query the store; nil for never.
 		Fed func() bool
-		// Led tells whether another node would pass changes on if it could read
-		// the store, nil for never.
+		// Led reports whether this node has a leader that would pass changes on if it
+		// could read the store; nil for never.
 		Led func() bool
-		// Role tells for whom this node follows, nil for itself.
+		// Role returns the node's role, nil for Alone.
 		Role func() Role
 
-		// ProofWithin is the age up to which the configuration is to be known as the newest,
-		// zero for any: the holder and its deputy ask often enough for all nodes to.
+		// ProofWithin is the maximum age of the last confirmation that the configuration is
+		// the newest, zero for no limit. The leader and its deputy query the store often
+		// enough for all nodes to keep to it.
 		ProofWithin time.Duration
 
 		// Heartbeat is how often servers write their entries, zero for 1.2 s.
 		Heartbeat time.Duration
 
-		// Clock returns a time that goes on while the process stands still, clock.Boot if nil.
+		// Clock returns a time that advances while the process is suspended; clock.Boot if
+		// nil.
 		Clock func() time.Duration
 
-		// Ask asks another node for its copy when a table can't be read, nil for
-		// never.
+		// Ask fetches another node's copy when a table can't be read, nil for never.
 		Ask func(ctx context.Context)
 
-		operator table
-		server   table
-		proof    proof
-		entries  map[string]fleet.Server // as last read, by key
-		refused  map[string]int64        // versions of entries that can't be read
-		known    map[string]bool         // servers that were passed on, and whether they leave
+		operator     table
+		server       table
+		confirmation confirmation
+		entries      map[string]fleet.Server // as last read, by key
+		unreadable   map[string]int64        // versions of unreadable entries that were logged
+		leaving      map[string]bool         // servers in the last call of OnServers, and whether they leave
 	}
 
-	// Role tells for whom a node follows.
+	// Role is the part that a node takes in the distribution of the tables.
 	Role int
 )
 
 const (
-	// Alone follows for itself.
+	// Alone is a standalone node, which passes nothing on.
 	Alone Role = iota
-	// Holder passes changes on to all nodes.
+	// Holder is the leader, which passes changes on to all nodes.
 	Holder
-	// Deputy passes changes on to the holder.
+	// Deputy passes changes on to the leader.
 	Deputy
 )
 
 // Run follows both tables until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.operator.start(f, platform.TableOperator, f.config)
-	f.server.start(f, platform.TableServers, f.servers)
+	f.operator.start(f, platform.TableOperator, f.applyConfig)
+	f.server.start(f, platform.TableServers, f.applyServers)
 	var wg sync.WaitGroup
 	wg.Go(func() { f.operator.run(ctx) })
 	wg.Go(func() { f.server.run(ctx) })
 	wg.Wait()
 }
 
-// Age returns how old the copy of the tables is, whoever read them.
+// Age returns the age of the copy of the tables, whichever node read them.
 func (f *Follower) Age(now time.Time) time.Duration {
 	operator, _ := f.operator.ages(now)
 	server, _ := f.server.ages(now)
 	return max(operator, server)
 }
 
-// Contact returns how long ago the store answered this node itself, for the
-// table that it answered least recently.
+// Contact returns the time since the store last responded to this node itself,
+// for the table whose last response is older.
 func (f *Follower) Contact(now time.Time) time.Duration {
 	_, operator := f.operator.ages(now)
 	_, server := f.server.ages(now)
 	return max(operator, server)
 }
 
-// lapse returns how long the store must have been away for entries to lapse.
-func (f *Follower) lapse() time.Duration {
-	beat := f.Heartbeat
-	if beat <= 0 {
-		beat = defaultHeartbeat
+// minOutage returns how long the store must have been unreachable for entries to expire.
+func (f *Follower) minOutage() time.Duration {
+	heartbeat := f.Heartbeat
+	if heartbeat <= 0 {
+		heartbeat = defaultHeartbeat
 	}
-	return time.Duration(float64(beat) * lapsePart)
+	return time.Duration(float64(heartbeat) * outageHeartbeats)
 }
 
-// role tells for whom this node follows.
+// role returns the node's role.
 func (f *Follower) role() Role {
 	if f.Role == nil {
 		return Alone
@@ -170,9 +176,9 @@
 	return f.Role()
 }
 
-// ConfigAge returns how long ago the configuration that was passed on was the newest for
-// certain, whoever read it.
-func (f *Follower) ConfigAge() time.Duration { return f.proof.age(f.now()) }
+// ConfigAge returns the time since the configuration given to OnConfig was last confirmed
+// as the newest, whichever node read it.
+func (f *Follower) ConfigAge() time.Duration { return f.confirmation.age(f.now()) }
 
 // now returns the time of the clock.
 func (f *Follower) now() time.Duration {
@@ -182,50 +188,50 @@
 	return f.Clock()
 }
 
-// Proved takes in that a version of the configuration's row was the newest at a time of
-// the clock.
+// Proved records that a version of the configuration's row was the newest at a time of
+// Clock.
 func (f *Follower) Proved(version int64, at time.Duration) {
 	t := &f.operator
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if own := t.own(); own > 0 && own >= version {
-		f.proof.advance(at)
+		f.confirmation.advance(at)
 	}
 }
 
-// feedTime returns how long a feed of a table waits for a change.
-func (f *Follower) feedTime(t *table) time.Duration {
+// waitTime returns how long a feed call of a table waits for a change.
+func (f *Follower) waitTime(t *table) time.Duration {
 	wait := feedWait
 	if f.role() == Deputy {
 		wait = deputyWait
 	}
 	if t == &f.operator && f.ProofWithin > 0 && f.role() != Alone {
-		wait = min(wait, f.ProofWithin/proofParts)
+		wait = min(wait, f.ProofWithin/waitsPerConfigAge)
 	}
 	return wait
 }
 
-// gap returns the least time between two calls of a feed.
+// gap returns the minimum time between a response of a feed and the next call.
 func (f *Follower) gap() time.Duration {
 	switch f.role() {
 	case Holder:
-		return gapHolder
+		return gapLeader
 	case Deputy:
 		return gapDeputy
 	default:
-		return gapAlone
+		return gapStandalone
 	}
 }
 
-// config passes the newest configuration on. One that can't be read leaves the
-// last one in force.
-func (f *Follower) config(t *table) {
+// applyConfig calls OnConfig with the newest configuration. If that can't be parsed, the
+// last one stays in force.
+func (f *Follower) applyConfig(t *table) {
 	r, ok := t.rows[platform.KeyConfig]
 	if !ok {
 		return
 	}
 	c, err := platform.Config(r)
-	f.proof.readable(err == nil)
+	f.confirmation.setReadable(err == nil)
 	if err != nil {
 		f.Log.Error("config-unreadable", zap.Int64("version", r.Version), zap.Error(err))
 		return
@@ -233,10 +239,10 @@
 	f.OnConfig(c)
 }
 
-// servers passes the list of servers on. An entry that can't be read names no
-// server. Only entries that have changed are read: with hundreds of servers some change
+// applyServers calls OnServers with the list of servers, leaving out entries that can't be
+// parsed. Only changed entries are parsed, since among hundreds of servers some change
 // all the time.
-func (f *Follower) servers(t *table) {
+func (f *Follower) applyServers(t *table) {
 	list := make([]fleet.Server, 0, len(t.rows))
 	entries := make(map[string]fleet.Server, len(t.rows))
 	for key, r := range t.rows {
@@ -244,7 +250,7 @@
 		if !ok || s.Version != r.Version {
 			var err error
 			if s, err = platform.Server(r); err != nil {
-				f.unreadable(r, err)
+				f.logUnreadable(r, err)
 				continue
 			}
 		}
@@ -252,38 +258,38 @@
 		list = append(list, s)
 	}
 	f.entries = entries
-	f.left(list, time.Since(t.heard))
+	f.logDepartures(list, time.Since(t.lastComplete))
 	f.OnServers(list)
 }
 
-// left tells which servers leave, or are gone, since the list before.
-func (f *Follower) left(list []fleet.Server, age time.Duration) {
-	known := make(map[string]bool, len(list))
+// logDepartures logs the servers that have begun to leave, or are gone, since the last list.
+func (f *Follower) logDepartures(list []fleet.Server, age time.Duration) {
+	leaving := make(map[string]bool, len(list))
 	for _, s := range list {
-		known[s.ID] = s.Leaving
-		if s.Leaving && !f.known[s.ID] {
+		leaving[s.ID] = s.Leaving
+		if s.Leaving && !f.leaving[s.ID] {
 			f.Log.Info("server-leaving", zap.String("server", s.ID), zap.Int64("version", s.Version), zap.Duration("age", age))
 		}
 	}
-	for id := range f.known {
-		if _, ok := known[id]; !ok {
+	for id := range f.leaving {
+		if _, ok := leaving[id]; !ok {
 			f.Log.Info("server-gone", zap.String("server", id), zap.Duration("age", age))
 		}
 	}
-	f.known = known
+	f.leaving = leaving
 }
 
-// unreadable tells once of each version of an entry that can't be read.
-func (f *Follower) unreadable(r platform.Row, err error) {
-	if f.refused == nil {
-		f.refused = map[string]int64{}
+// logUnreadable logs an entry that can't be parsed, once for each version.
+func (f *Follower) logUnreadable(r platform.Row, err error) {
+	if f.unreadable == nil {
+		f.unreadable = map[string]int64{}
 	}
-	if f.refused[r.Key] == r.Version {
+	if f.unreadable[r.Key] == r.Version {
 		return
 	}
-	if len(f.refused) >= refusedMost {
-		clear(f.refused)
+	if len(f.unreadable) >= maxUnreadable {
+		clear(f.unreadable)
 	}
-	f.refused[r.Key] = r.Version
+	f.unreadable[r.Key] = r.Version
 	f.Log.Error("server-unreadable", zap.String("server", r.Key), zap.Int64("version", r.Version), zap.Error(err))
 }
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -18,7 +18,7 @@
 	"guavapaddle/platform/standin"
 )
 
-// node is a follower with what it told last.
+// node is a follower that records the last calls of OnConfig and OnServers.
 type node struct {
 	*follow.Follower
 
@@ -27,7 +27,7 @@
 	servers map[string]fleet.Server
 }
 
-func start(t testing.TB, s *standin.Store, fed func() bool) *node {
+func startNode(t testing.TB, s *standin.Store, fed func() bool) *node {
 	t.Helper()
 	n := &node{}
 	n.Follower = &follow.Follower{
@@ -87,37 +87,37 @@
 	require.Eventually(t, ok, 5*time.Second, time.Millisecond, what)
 }
 
-// outage takes the store away for so long that entries lapse in it: they do after
-// three heartbeats of 1.2 s without one.
+// outage makes the store unreachable for so long that entries expire in it, which they do
+// after three intervals of 1.2 s without a heartbeat.
 func outage(t *testing.T, s *standin.Store) {
 	t.Helper()
 	s.Outage(true)
 	began, calls := time.Now(), s.Calls("/rows-feed")
-	eventually(t, "the outage is noticed", func() bool {
+	eventually(t, "the outage is detected", func() bool {
 		return s.Calls("/rows-feed") > calls+6 && time.Since(began) > 2500*time.Millisecond
 	})
 }
 
-func TestChangesArriveInOrderAndUnreadableOnesChangeNothing(t *testing.T) {
+func TestChangesAreAppliedInOrderAndUnreadableOnesIgnored(t *testing.T) {
 	s := standin.NewStore(t)
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":5}`))
 	eventually(t, "first", func() bool { return n.version() == 5 })
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":`))
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	eventually(t, "server", func() bool { return n.has("i-1") })
-	require.EqualValues(t, 5, n.version(), "the last good one stays")
+	require.EqualValues(t, 5, n.version(), "the last readable one stays in force")
 	s.Put(platform.TableServers, "i-1", entry("draining"))
 	eventually(t, "leaving", func() bool { return n.leaving("i-1") })
 	s.Drop(platform.TableServers, "i-1")
 	eventually(t, "gone", func() bool { return !n.has("i-1") })
 }
 
-func TestAfterTheHistoryIsGoneTheTableIsReadWhole(t *testing.T) {
+func TestTableIsReadInFullAfterHistoryIsGone(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	s.Put(platform.TableServers, "i-2", entry("ready"))
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	eventually(t, "both", func() bool { return n.has("i-1") && n.has("i-2") })
 	s.Outage(true)
 	s.Drop(platform.TableServers, "i-1")
@@ -129,77 +129,77 @@
 	require.True(t, n.has("i-2"))
 }
 
-func TestEntriesThatLapsedInAnOutageAreKeptForAMoment(t *testing.T) {
+func TestEntriesExpiredInOutageAreKeptForGrace(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	s.Put(platform.TableServers, "i-2", entry("ready"))
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	eventually(t, "both", func() bool { return n.has("i-1") && n.has("i-2") })
 	outage(t, s)
 	require.True(t, n.has("i-1"), "known servers stay in use")
 	s.Drop(platform.TableServers, "i-1")
 	s.Drop(platform.TableServers, "i-2")
 	s.Outage(false)
-	back := time.Now()
+	outageEnd := time.Now()
 	s.Put(platform.TableServers, "i-3", entry("ready"))
 	eventually(t, "contact", func() bool { return n.has("i-3") })
 	require.True(t, n.has("i-1") && n.has("i-2"), "they may come back")
 	s.Put(platform.TableServers, "i-2", entry("ready"))
-	eventually(t, "missing after the grace is gone", func() bool { return !n.has("i-1") })
-	require.WithinDuration(t, back.Add(follow.Grace), time.Now(), 1500*time.Millisecond)
+	eventually(t, "a missing entry is dropped after Grace", func() bool { return !n.has("i-1") })
+	require.WithinDuration(t, outageEnd.Add(follow.Grace), time.Now(), 1500*time.Millisecond)
 	require.True(t, n.has("i-2"))
 }
 
-func TestANodeThatIsFedAsksTheStoreOnlyForTheConfiguration(t *testing.T) {
+func TestNodeWithFeedReadsOnlyConfigurationFromStore(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":5}`))
-	holder := start(t, s, nil)
-	n := start(t, s, func() bool { return true })
-	eventually(t, "start", func() bool { return n.has("i-1") && n.version() == 5 && holder.has("i-1") })
+	leader := startNode(t, s, nil)
+	n := startNode(t, s, func() bool { return true })
+	eventually(t, "start", func() bool { return n.has("i-1") && n.version() == 5 && leader.has("i-1") })
 	s.Put(platform.TableServers, "i-2", entry("ready"))
 	s.Put(platform.TableServers, "i-1", entry("draining"))
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":6}`))
-	eventually(t, "holder", func() bool { return holder.leaving("i-1") && holder.version() == 6 })
+	eventually(t, "holder", func() bool { return leader.leaving("i-1") && leader.version() == 6 })
 	require.EqualValues(t, 5, n.version())
-	n.Take(time.Now(), holder.Since(time.Now(), n.Known()))
+	n.Take(time.Now(), leader.Since(time.Now(), n.Known()))
 	require.True(t, n.has("i-2") && n.leaving("i-1"))
 	eventually(t, "configuration", func() bool { return n.version() == 6 })
 	s.Drop(platform.TableServers, "i-2")
-	eventually(t, "gone at the holder", func() bool { return !holder.has("i-2") })
-	n.Take(time.Now(), holder.Since(time.Now(), n.Known()))
+	eventually(t, "gone at the leader", func() bool { return !leader.has("i-2") })
+	n.Take(time.Now(), leader.Since(time.Now(), n.Known()))
 	require.False(t, n.has("i-2"))
 	n.Take(time.Now(), follow.Update{Servers: []platform.Row{{Table: platform.TableServers, Key: "i-1", Version: 2, Value: entry("ready")}}, Version: 2})
 	require.True(t, n.leaving("i-1"), "an older row never replaces a newer one")
 }
 
-func TestADeputyKeepsTheCopyOfAHolderYoungThatTheStoreTurnsAway(t *testing.T) {
-	away, s := standin.NewStore(t), standin.NewStore(t)
-	for _, x := range []*standin.Store{away, s} {
+func TestDeputyUpdatesLeaderWithoutStoreContact(t *testing.T) {
+	leaderStore, s := standin.NewStore(t), standin.NewStore(t)
+	for _, x := range []*standin.Store{leaderStore, s} {
 		x.Put(platform.TableServers, "i-1", entry("ready"))
 		x.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":5}`))
 	}
-	holder, deputy := start(t, away, nil), start(t, s, nil)
+	leader, deputy := startNode(t, leaderStore, nil), startNode(t, s, nil)
 	eventually(t, "start", func() bool {
-		return holder.version() == 5 && holder.has("i-1") && deputy.version() == 5 && deputy.has("i-1")
+		return leader.version() == 5 && leader.has("i-1") && deputy.version() == 5 && deputy.has("i-1")
 	})
-	away.Outage(true)
-	eventually(t, "the holder's own contact grows old", func() bool { return holder.Contact(time.Now()) > 1500*time.Millisecond })
+	leaderStore.Outage(true)
+	eventually(t, "the leader's own contact is old", func() bool { return leader.Contact(time.Now()) > 1500*time.Millisecond })
 	s.Put(platform.TableServers, "i-1", entry("draining"))
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":6}`))
 	eventually(t, "deputy", func() bool { return deputy.leaving("i-1") && deputy.version() == 6 })
-	u := deputy.Since(time.Now(), holder.Known())
-	holder.Take(time.Now(), u)
-	require.True(t, holder.leaving("i-1"))
-	require.LessOrEqual(t, holder.Age(time.Now()), u.Age+time.Second, "its copy is as young as the deputy's")
-	require.Greater(t, holder.Contact(time.Now()), 1500*time.Millisecond)
-	require.Equal(t, u.Operator, holder.Since(time.Now(), follow.Known{}).Operator, "it tells of a configuration that it can't read")
+	u := deputy.Since(time.Now(), leader.Known())
+	leader.Take(time.Now(), u)
+	require.True(t, leader.leaving("i-1"))
+	require.LessOrEqual(t, leader.Age(time.Now()), u.Age+time.Second, "its copy is as young as the deputy's")
+	require.Greater(t, leader.Contact(time.Now()), 1500*time.Millisecond)
+	require.Equal(t, u.Operator, leader.Since(time.Now(), follow.Known{}).Operator, "it announces a configuration that it can't read")
 }
 
-func TestANodeThatIsFedKeepsEntriesAsLongAsTheHolder(t *testing.T) {
+func TestNodeWithFeedKeepsMissingEntriesAsLongAsLeader(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
-	n := start(t, s, func() bool { return true })
+	n := startNode(t, s, func() bool { return true })
 	eventually(t, "start", func() bool { return n.has("i-1") })
 	gone := platform.Row{Table: platform.TableServers, Key: "i-1", Version: 100, Gone: true}
 	began := time.Now()
@@ -209,10 +209,10 @@
 	require.GreaterOrEqual(t, time.Since(began), 500*time.Millisecond)
 }
 
-func TestAFeedThatChangesOftenIsNotAskedAtEachChange(t *testing.T) {
+func TestFeedCallsAreSpacedDespiteFrequentChanges(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-0", entry("ready"))
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	eventually(t, "start", func() bool { return n.has("i-0") })
 	began := time.Now()
 	for i := 1; i <= 4; i++ {
@@ -223,13 +223,13 @@
 	require.GreaterOrEqual(t, time.Since(began), time.Second, "three pauses of 0.4 s")
 }
 
-func TestAnOldCopyOfAnotherNodeDoesNotHideAnOutage(t *testing.T) {
+func TestOldCopyOfAnotherNodeDoesNotHideOutage(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	eventually(t, "start", func() bool { return n.has("i-1") })
 	outage(t, s)
-	n.Take(time.Now(), follow.Update{Age: 4 * time.Second}) // as the holder has it, which can't read the store either
+	n.Take(time.Now(), follow.Update{Age: 4 * time.Second}) // of the leader, which can't read the store either
 	s.Drop(platform.TableServers, "i-1")
 	s.Outage(false)
 	s.Put(platform.TableServers, "i-2", entry("ready"))
@@ -237,34 +237,34 @@
 	require.True(t, n.has("i-1"), "it may come back")
 }
 
-// TestAServerThatIsGoneDoesNotComeBackFromAnOlderCopy: requests went to a server long
-// after its entry was gone. A node had read the removal from the store itself, while
-// nobody held the lease; then the first answer of the new holder came, which was older
-// and still had the entry. No later change ever removed it.
-func TestAServerThatIsGoneDoesNotComeBackFromAnOlderCopy(t *testing.T) {
+// TestRemovedServerIsNotRestoredByOlderCopy guards against requests to a server
+// whose entry is gone. A node reads the removal from the store itself while there is no
+// leader; then the first reply of the new leader, whose copy is older, still has the
+// entry, and no later change would remove it.
+func TestRemovedServerIsNotRestoredByOlderCopy(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	s.Put(platform.TableServers, "i-2", entry("ready"))
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	eventually(t, "both", func() bool { return n.has("i-1") && n.has("i-2") })
 	old := s.Row(platform.TableServers, "i-1")
 	s.Drop(platform.TableServers, "i-1")
 	eventually(t, "gone", func() bool { return !n.has("i-1") })
 	n.Take(time.Now(), follow.Update{Servers: []platform.Row{old}, Version: old.Version})
-	require.False(t, n.has("i-1"), "by an update")
+	require.False(t, n.has("i-1"), "from an update")
 	n.Load(time.Now(), follow.Copy{Servers: []platform.Row{old}, Version: old.Version}, 0)
-	require.False(t, n.has("i-1"), "by a whole copy")
+	require.False(t, n.has("i-1"), "from a full copy")
 	s.Put(platform.TableServers, "i-1", entry("ready"))
-	eventually(t, "a newer entry counts", func() bool { return n.has("i-1") })
+	eventually(t, "a newer entry is applied", func() bool { return n.has("i-1") })
 }
 
-// TestAnEntryKeptForAMomentIsNotRenewedByAnOlderCopy has an entry lapse in an outage.
-// While it is kept for a moment, another node's answer that is older than the outage
-// still has it: that is no sign that its server lives.
-func TestAnEntryKeptForAMomentIsNotRenewedByAnOlderCopy(t *testing.T) {
+// TestMissingEntryIsNotRenewedByOlderCopy guards against a missing entry that is
+// kept after Grace. It expires in an outage, and another node's reply from before the outage
+// still has it, which doesn't show that its server lives.
+func TestMissingEntryIsNotRenewedByOlderCopy(t *testing.T) {
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	eventually(t, "there", func() bool { return n.has("i-1") })
 	old := s.Row(platform.TableServers, "i-1")
 	outage(t, s)
@@ -274,19 +274,19 @@
 	eventually(t, "contact", func() bool { return n.has("i-2") })
 	require.True(t, n.has("i-1"), "it may come back")
 	n.Take(time.Now(), follow.Update{Servers: []platform.Row{old}, Version: old.Version})
-	eventually(t, "it doesn't", func() bool { return !n.has("i-1") })
+	eventually(t, "it is dropped", func() bool { return !n.has("i-1") })
 }
 
-// TestALostCallIsNoOutageInWhichEntriesLapse: requests went to servers that had been gone
-// for three seconds, on a day without any outage. One call to the store got no answer,
-// and a server was gone meanwhile. The node took its next answer for the store's return,
-// after which entries that lapsed are kept for a moment, and kept the server.
-func TestALostCallIsNoOutageInWhichEntriesLapse(t *testing.T) {
-	const drain = 2 * time.Second // within which a server that is gone gets no more requests
+// TestLostCallIsNotAnOutage guards against requests to servers that have been
+// gone for three seconds, in a simulated run without any outage. One call to the store gets no
+// response, and a server's entry is removed meanwhile. If the node takes the next response for
+// the end of an outage, it keeps the missing entry for Grace.
+func TestLostCallIsNotAnOutage(t *testing.T) {
+	const drain = 2 * time.Second // how long a server that is gone may still get requests
 	s := standin.NewStore(t)
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	s.Put(platform.TableServers, "i-2", entry("ready"))
-	n := start(t, s, nil)
+	n := startNode(t, s, nil)
 	eventually(t, "both", func() bool { return n.has("i-1") && n.has("i-2") })
 	s.HangFeeds(platform.TableServers, 1)
 	eventually(t, "a feed hangs", func() bool { return s.Hung() > 0 })
@@ -297,7 +297,7 @@
 	require.True(t, n.has("i-2"))
 }
 
-// BenchmarkChange takes in one changed entry beside many others.
+// BenchmarkChange measures the update of one entry among many.
 func BenchmarkChange(b *testing.B) {
 	for _, servers := range []int{16, 265, 600} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -305,7 +305,7 @@
 			for i := range servers {
 				s.Put(platform.TableServers, fmt.Sprint("i-", i), entry("ready"))
 			}
-			n := start(b, s, func() bool { return true })
+			n := startNode(b, s, func() bool { return true })
 			last := fmt.Sprint("i-", servers-1)
 			require.Eventually(b, func() bool { return n.has(last) }, 5*time.Second, time.Millisecond)
 			r := s.Row(platform.TableServers, last)
--- a/internal/follow/share.go
+++ b/internal/follow/share.go
@@ -7,62 +7,62 @@
 )
 
 type (
-	// Known is what a node has of the tables.
+	// Known holds the versions up to which a node has the tables.
 	Known struct {
-		Operator int64 // versions
+		Operator int64
 		Servers  int64
 	}
 
-	// Copy is all that a node has of the tables.
+	// Copy is a node's full copy of the tables.
 	Copy struct {
 		Operator []platform.Row `json:"operator"`
 		Servers  []platform.Row `json:"servers"`
 		Version  int64          `json:"version"` // of the table of servers
 		Age      time.Duration  `json:"age"`
 
-		ConfigAge time.Duration `json:"config-age"` // as of ConfigAge
+		ConfigAge time.Duration `json:"config-age"` // as Follower.ConfigAge returns it
 	}
 
-	// Update is what another node has beyond that.
+	// Update holds the changes that one node has and another one lacks.
 	Update struct {
 		Operator int64 // version of the newest configuration row
 		Servers  []platform.Row
-		After    int64 // version after which Servers are all changes, if not Whole
+		After    int64 // unless Whole, Servers are all changes after this version
 		Version  int64 // of the table of servers
-		Whole    bool  // Servers are all rows
+		Whole    bool  // Servers are all rows of the table
 		Age      time.Duration
-		Grace    time.Duration // for which entries that went are still kept
+		Grace    time.Duration // for which removed entries are still kept
 
-		ConfigAge time.Duration // how long ago Operator was the newest for certain
+		ConfigAge time.Duration // since Operator was last confirmed as the newest version
 	}
 )
 
-// Known returns the versions that this node has.
+// Known returns the versions up to which this node has the tables.
 func (f *Follower) Known() Known {
 	f.operator.mu.Lock()
 	defer f.operator.mu.Unlock()
 	return Known{Operator: f.operator.own(), Servers: f.server.Version()}
 }
 
-// Version returns the version up to which all changes are known.
+// Version returns the version up to which this node has all changes.
 func (t *table) Version() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// Behind tells whether another node told of a configuration newer than this one's.
+// Behind reports whether another node announced a newer configuration than this node has.
 func (f *Follower) Behind() bool { return f.operator.behind() }
 
-// newest returns the version of the newest row that this node has or was told
-// of.
+// newest returns the version of the newest row that this node has or that another
+// node announced.
 func (t *table) newest() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.told, t.own())
+	return max(t.announced, t.own())
 }
 
-// own returns the version of the newest row here; t.mu is held.
+// own returns the version of the newest row in this copy; t.mu is held.
 func (t *table) own() int64 {
 	v := int64(0)
 	for _, r := range t.rows {
@@ -71,23 +71,24 @@
 	return v
 }
 
-// Since returns what this node has beyond what another one knows. The
-// configuration is large and changes seldom, so only its version is told.
+// Since returns the changes that this node has and another one, with the given
+// versions, lacks. The configuration is large and seldom changes, so only its
+// version is included.
 func (f *Follower) Since(now time.Time, k Known) Update {
-	age := f.ConfigAge() // before the version, which may be newer than what the age proves
+	age := f.ConfigAge() // read before the version: a version read earlier might be older than the one confirmed
 	u := Update{Operator: f.operator.newest(), After: k.Servers, Age: f.Age(now), ConfigAge: age}
 	t := &f.server
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u.Version = t.version
-	u.Grace = max(0, t.back.Add(Grace).Sub(now))
-	u.Whole = k.Servers < t.floor
+	u.Grace = max(0, t.outageEnd.Add(Grace).Sub(now))
+	u.Whole = k.Servers < t.removedAfter
 	for _, r := range t.rows {
-		if _, vanished := t.vanished[r.Key]; !vanished && (u.Whole || r.Version > k.Servers) {
+		if _, missing := t.missing[r.Key]; !missing && (u.Whole || r.Version > k.Servers) {
 			u.Servers = append(u.Servers, r)
 		}
 	}
-	for _, r := range t.gone {
+	for _, r := range t.removed {
 		if !u.Whole && r.Version > k.Servers && t.rows[r.Key].Version <= r.Version {
 			u.Servers = append(u.Servers, r)
 		}
@@ -95,63 +96,63 @@
 	return u
 }
 
-// Take takes in what another node has. Changes that don't begin where this copy ends
-// leave it as whole as it was: a node reports what the holder lacked when it last heard
-// of it, and a new holder's copy may be older. Taken for whole, that copy lacked for good
-// what had changed between.
+// Take applies another node's update. Changes that begin after the version of this copy
+// don't advance its version. A node reports the changes that the leader lacked at its last
+// reply, and the copy of a new leader may be older; if its version advanced, the leader
+// would never get the changes in between.
 func (f *Follower) Take(now time.Time, u Update) {
-	f.operator.tell(now, u)
+	f.operator.recordAnnounced(now, u)
 	t := &f.server
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !u.Whole && u.After > t.version {
-		t.take(u.Servers, t.version)
+		t.applyChanges(u.Servers, t.version)
 		return
 	}
-	t.fed(now, u)
+	t.recordFeed(now, u)
 	if u.Whole {
-		t.replace(u.Servers, u.Version)
+		t.applyAll(u.Servers, u.Version)
 		return
 	}
-	t.take(u.Servers, u.Version)
+	t.applyChanges(u.Servers, u.Version)
 }
 
-// tell notes the newest version that another node knows of, and has the table
-// read if that isn't here.
-func (t *table) tell(now time.Time, u Update) {
+// recordAnnounced records the newest version that another node announces, and wakes the table's
+// loop to read the table if this copy is older.
+func (t *table) recordAnnounced(now time.Time, u Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.told = max(t.told, u.Operator)
-	t.fed(now, u) // a version that isn't here is at least known
+	t.announced = max(t.announced, u.Operator)
+	t.recordFeed(now, u) // even without the row, its version is known
 	if t.own() >= u.Operator {
 		return
 	}
 	select {
 	case t.wake <- struct{}{}:
-	default: // it is being read already
+	default: // a read is already due
 	}
 }
 
-// fed notes up to when another node's copy is whole, and until when it keeps
-// entries that went; t.mu is held.
-func (t *table) fed(now time.Time, u Update) {
-	if at := now.Add(-u.Age); at.After(t.heard) {
-		t.heard = at
+// recordFeed records the time up to which another node's copy is complete, and until when it
+// keeps removed entries; t.mu is held.
+func (t *table) recordFeed(now time.Time, u Update) {
+	if at := now.Add(-u.Age); at.After(t.lastComplete) {
+		t.lastComplete = at
 	}
-	if back := now.Add(u.Grace - Grace); u.Grace > 0 && back.After(t.back) {
-		t.back = back
+	if outageEnd := now.Add(u.Grace - Grace); u.Grace > 0 && outageEnd.After(t.outageEnd) {
+		t.outageEnd = outageEnd
 	}
 }
 
-// Copy returns all that this node has; ok is false if that isn't whole.
+// Copy returns this node's copy of the tables, and false if either table is empty.
 func (f *Follower) Copy(now time.Time) (Copy, bool) {
 	age := f.ConfigAge()
-	c := Copy{ConfigAge: age, Operator: f.operator.all(), Servers: f.server.all(), Version: f.server.Version(), Age: f.Age(now)}
+	c := Copy{ConfigAge: age, Operator: f.operator.allRows(), Servers: f.server.allRows(), Version: f.server.Version(), Age: f.Age(now)}
 	return c, len(c.Operator) > 0 && len(c.Servers) > 0
 }
 
-// all returns the rows of the table.
-func (t *table) all() []platform.Row {
+// allRows returns the rows of the table.
+func (t *table) allRows() []platform.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rows := make([]platform.Row, 0, len(t.rows))
@@ -161,21 +162,21 @@
 	return rows
 }
 
-// Load takes in another node's copy, for which this node asked at a boot time. Newer rows
-// that are here stay.
-func (f *Follower) Load(now time.Time, c Copy, asked time.Duration) {
-	f.operator.load(c.Operator, 0)
+// Load applies another node's copy, which this node requested at a boot time. Newer local
+// rows stay.
+func (f *Follower) Load(now time.Time, c Copy, requestedAt time.Duration) {
+	f.operator.applyRows(c.Operator, 0)
 	for _, r := range c.Operator {
 		if r.Key == platform.KeyConfig {
-			f.Proved(r.Version, asked-c.ConfigAge)
+			f.Proved(r.Version, requestedAt-c.ConfigAge)
 		}
 	}
 	f.Take(now, Update{Servers: c.Servers, Version: c.Version, Age: c.Age})
 }
 
-// load takes in rows.
-func (t *table) load(rows []platform.Row, version int64) {
+// applyRows applies rows of another node's copy.
+func (t *table) applyRows(rows []platform.Row, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.take(rows, version)
+	t.applyChanges(rows, version)
 }
--- a/internal/follow/sim_test.go
+++ b/internal/follow/sim_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	simNodes  = 6
-	simTime   = 40 * time.Second
-	simPeriod = 200 * time.Millisecond // between reports to the holder
-	simSilent = 700 * time.Millisecond // after which a node follows the store itself
-	simApart  = 4 * time.Second        // between calls without an answer
-	// simDrain is how long after the store's word a server that leaves, or is gone, may
-	// get requests.
+	simNodes        = 6
+	simTime         = 40 * time.Second
+	simPeriod       = 200 * time.Millisecond // between reports to the leader
+	simFeedTimeout  = 700 * time.Millisecond // after which a node follows the store itself
+	simHangInterval = 4 * time.Second        // minimum time between calls without a response
+	// simDrain is how long a server may get requests after the store says that it leaves
+	// or is gone.
 	simDrain = 2 * time.Second
 	// simJoin is how long a new server may stay unknown.
 	simJoin = 2 * time.Second
@@ -36,29 +36,29 @@
 
 var errNoAnswer = errors.New("no answer")
 
-var simSeeds = flag.Int("sim-seeds", 20, "seeds that are played in simulated time")
+var simSeeds = flag.Int("sim-seeds", 20, "number of seeds to run in simulated time")
 
 type (
-	// simFleet is a store and nodes that follow it, one of which holds the lease and
-	// passes changes on. All that is drawn comes from one seed.
+	// simFleet is a store and nodes that follow it, one of which is the leader and passes
+	// changes on. All random values come from one seed.
 	simFleet struct {
 		t  *testing.T
 		wg sync.WaitGroup
 
-		mu      sync.Mutex
-		rng     *rand.Rand
-		version int64
-		rows    map[string]platform.Row
-		log     []platform.Row
-		changed chan struct{}
-		hung    time.Time            // when a call last got no answer
-		still   time.Time            // some node stands still until then
-		ready   map[string]time.Time // servers, since when they are there
-		left    map[string]time.Time // servers, since when they leave or are gone
-		holder  int
-		events  []string
-		began   time.Time
-		nodes   []*simNode
+		mu             sync.Mutex
+		rng            *rand.Rand
+		version        int64
+		rows           map[string]platform.Row
+		log            []platform.Row
+		changed        chan struct{}
+		hungAt         time.Time            // when a call last got no response
+		suspendedUntil time.Time            // a node is suspended until then
+		readySince     map[string]time.Time // by server, since when it is ready
+		departed       map[string]time.Time // by server, since when it leaves or is gone
+		leader         int
+		events         []string
+		began          time.Time
+		nodes          []*simNode
 	}
 
 	// simNode is one of the nodes.
@@ -68,30 +68,30 @@
 		fleet *simFleet
 		index int
 
-		mu     sync.Mutex
-		list   map[string]fleet.Server
-		fed    time.Time // when the holder last passed its copy on
-		has    int64     // version of the holder's copy
-		asleep time.Time // its exchange stands still until then
+		mu             sync.Mutex
+		list           map[string]fleet.Server
+		fedAt          time.Time // when the leader last passed its copy on
+		leaderVersion  int64     // version of the leader's copy
+		suspendedUntil time.Time // its exchange is suspended until then
 	}
 )
 
-// TestServersThatLeaveAreKnownInTime plays seeds in which servers come, leave, and go
-// without a word, single calls to the store get no answer, answers between nodes are
-// late, nodes stand still for seconds, and the lease moves. No node keeps a server in
-// use later than it may, and none lacks one that is there.
-func TestServersThatLeaveAreKnownInTime(t *testing.T) {
+// TestLeavingServersAreKnownInTime simulates servers that join, leave, and end without
+// notice, single store calls without a response, late replies between nodes, nodes that are
+// suspended for seconds, and changes of the leader. No node may use a server for too long
+// after it leaves, or lack one for too long that is ready.
+func TestLeavingServersAreKnownInTime(t *testing.T) {
 	for i := range *simSeeds {
 		t.Run(fmt.Sprint("seed-", i), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { playFleet(t, uint64(i)) })
+			synctest.Test(t, func(t *testing.T) { simulateFleet(t, uint64(i)) })
 		})
 	}
 }
 
-func playFleet(t *testing.T, seed uint64) {
+func simulateFleet(t *testing.T, seed uint64) {
 	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 3)), rows: map[string]platform.Row{}, changed: make(chan struct{}),
-		ready: map[string]time.Time{}, left: map[string]time.Time{}, began: time.Now()}
+		readySince: map[string]time.Time{}, departed: map[string]time.Time{}, began: time.Now()}
 	ctx, cancel := context.WithCancel(t.Context())
 	for i := range 8 {
 		f.put(fmt.Sprint("i-", i), "ready")
@@ -115,7 +115,7 @@
 func (f *simFleet) start(ctx context.Context, i int) {
 	n := &simNode{fleet: f, index: i}
 	n.Follower = &follow.Follower{Store: n, Log: zap.NewNop(), OnConfig: func(*fleet.Config) {}, OnServers: n.servers,
-		Fed: n.isFed, Led: func() bool { return n.role() == follow.Alone && n.isFed() }, Role: n.role}
+		Fed: n.hasFeed, Led: func() bool { return n.role() == follow.Alone && n.hasFeed() }, Role: n.role}
 	f.nodes = append(f.nodes, n)
 	f.wg.Go(func() { n.Run(ctx) })
 	f.wg.Go(func() { n.exchange(ctx) })
@@ -130,63 +130,63 @@
 	}
 }
 
-// role returns for whom the node follows: the one after the holder is its deputy.
+// role returns the node's role: the node after the leader is its deputy.
 func (n *simNode) role() follow.Role {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	switch n.index {
-	case n.fleet.holder:
+	case n.fleet.leader:
 		return follow.Holder
-	case (n.fleet.holder + 1) % simNodes:
+	case (n.fleet.leader + 1) % simNodes:
 		return follow.Deputy
 	}
 	return follow.Alone
 }
 
-func (n *simNode) isFed() bool {
+func (n *simNode) hasFeed() bool {
 	if n.role() != follow.Alone {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.fed.IsZero() && time.Since(n.fed) < simSilent
+	return !n.fedAt.IsZero() && time.Since(n.fedAt) < simFeedTimeout
 }
 
-// exchange reports to the holder, as nodes do: it is told what this node read and
-// answers with what this node lacks.
+// exchange reports to the leader as nodes do: the report carries the changes that this
+// node has read, and the reply those that it lacks.
 func (n *simNode) exchange(ctx context.Context) {
 	for clock.Sleep(ctx, simPeriod) {
 		n.mu.Lock()
-		pause := time.Until(n.asleep)
-		has := n.has
+		pause := time.Until(n.suspendedUntil)
+		leaderVersion := n.leaderVersion
 		n.mu.Unlock()
 		f := n.fleet
 		f.mu.Lock()
-		h := f.nodes[f.holder]
+		target := f.nodes[f.leader]
 		there, back := f.delay(), f.delay()
 		f.mu.Unlock()
-		if h == n {
+		if target == n {
 			continue
 		}
 		known := n.Known()
-		update := n.Since(time.Now(), follow.Known{Operator: known.Operator, Servers: has})
-		clock.Sleep(ctx, max(pause, there)) // a node that stands still reports what it had read
-		if has != 0 {
-			h.Take(time.Now(), update)
+		update := n.Since(time.Now(), follow.Known{Operator: known.Operator, Servers: leaderVersion})
+		clock.Sleep(ctx, max(pause, there)) // a suspended node reports what it had read before
+		if leaderVersion != 0 {
+			target.Take(time.Now(), update)
 		}
-		answer := h.Since(time.Now(), known)
+		answer := target.Since(time.Now(), known)
 		clock.Sleep(ctx, back)
 		n.Take(time.Now(), answer)
 		n.mu.Lock()
-		n.has = answer.Version
+		n.leaderVersion = answer.Version
 		if answer.Age <= 1300*time.Millisecond {
-			n.fed = time.Now()
+			n.fedAt = time.Now()
 		}
 		n.mu.Unlock()
 	}
 }
 
-// delay draws the time of a message between nodes; f.mu is held.
+// delay returns a random delay of a message between nodes; f.mu is held.
 func (f *simFleet) delay() time.Duration {
 	if f.rng.IntN(50) == 0 {
 		return time.Duration(f.rng.IntN(400)) * time.Millisecond
@@ -194,22 +194,23 @@
 	return time.Duration(1+f.rng.IntN(5)) * time.Millisecond
 }
 
-// call takes the time of a call to the store. Now and then one gets no answer; with two
-// in a row a node knows nothing for longer than a server may stay in use.
+// call waits for the time of a store call. Some calls get no response, at least simHangInterval
+// apart: with two in a row, a node would have no news for longer than a server may stay in
+// use.
 func (n *simNode) call(ctx context.Context, table string) error {
 	f := n.fleet
 	f.mu.Lock()
 	wait := time.Duration(2+f.rng.IntN(6)) * time.Millisecond
-	hang := time.Since(f.hung) > simApart && time.Now().After(f.still) && f.rng.IntN(20) == 0
+	hang := time.Since(f.hungAt) > simHangInterval && time.Now().After(f.suspendedUntil) && f.rng.IntN(20) == 0
 	if hang {
-		f.hung = time.Now()
+		f.hungAt = time.Now()
 	}
 	f.mu.Unlock()
 	if !hang {
 		clock.Sleep(ctx, wait)
 		return ctx.Err()
 	}
-	f.event(fmt.Sprint("no answer for ", n.index, " of ", table))
+	f.event(fmt.Sprint("no response for ", n.index, " of ", table))
 	<-ctx.Done()
 	return errNoAnswer
 }
@@ -271,13 +272,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	_, there := f.ready[key]
+	_, there := f.readySince[key]
 	switch {
 	case state == "ready" && !there:
-		f.ready[key] = now
-	case state == "draining" && f.left[key].IsZero():
-		f.left[key] = now
-		delete(f.ready, key)
+		f.readySince[key] = now
+	case state == "draining" && f.departed[key].IsZero():
+		f.departed[key] = now
+		delete(f.readySince, key)
 	}
 	f.write(r)
 	f.rows[r.Table+key] = r
@@ -287,15 +288,15 @@
 func (f *simFleet) drop(key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.left[key].IsZero() {
-		f.left[key] = time.Now()
+	if f.departed[key].IsZero() {
+		f.departed[key] = time.Now()
 	}
-	delete(f.ready, key)
+	delete(f.readySince, key)
 	delete(f.rows, platform.TableServers+key)
 	f.write(platform.Row{Table: platform.TableServers, Key: key, Gone: true})
 }
 
-// write enters a row into the history; f.mu is held.
+// write appends a row to the history; f.mu is held.
 func (f *simFleet) write(r platform.Row) {
 	f.version++
 	r.Version = f.version
@@ -311,19 +312,19 @@
 	f.events = append(f.events, fmt.Sprint(time.Since(f.began), " ", what))
 }
 
-// step does something now and then.
+// step makes a random change, or none.
 func (f *simFleet) step(ctx context.Context, next *int) {
 	f.mu.Lock()
 	n, pick, wait := f.rng.IntN(200), f.rng.IntN(1<<20), time.Duration(f.rng.IntN(4000))*time.Millisecond
-	ids := make([]string, 0, len(f.ready))
-	for id := range f.ready {
+	ids := make([]string, 0, len(f.readySince))
+	for id := range f.readySince {
 		ids = append(ids, id)
 	}
 	f.mu.Unlock()
 	slices.Sort(ids)
 	id := ids[pick%len(ids)]
 	switch {
-	case n < 20: // something of a server has changed
+	case n < 20: // a ready server changes its entry
 		f.put(id, "ready")
 	case n < 32 && len(ids) > 4:
 		f.put(id, "draining")
@@ -342,31 +343,32 @@
 		*next++
 	case n < 72:
 		f.mu.Lock()
-		f.holder = pick % simNodes
+		f.leader = pick % simNodes
 		f.mu.Unlock()
-		f.event(fmt.Sprint("holder ", pick%simNodes))
+		f.event(fmt.Sprint("leader ", pick%simNodes))
 	case n < 76:
 		s := f.nodes[pick%simNodes]
-		if !f.stand(wait) {
+		if !f.suspend(wait) {
 			return
 		}
-		f.event(fmt.Sprint("still ", s.index))
+		f.event(fmt.Sprint("suspended ", s.index))
 		s.mu.Lock()
-		s.asleep = time.Now().Add(wait)
+		s.suspendedUntil = time.Now().Add(wait)
 		s.mu.Unlock()
 	}
 }
 
-// stand tells whether a node may stand still for a time. While a call gets no answer
-// none does: with the holder's call lost and the deputy still, or both at one node,
-// that node isn't in touch with the store.
-func (f *simFleet) stand(wait time.Duration) bool {
+// suspend reports whether a node may be suspended for a duration, and records it. None may
+// be within two seconds of a call without a response: if the leader's call is lost while
+// the deputy is suspended, or both happen at one node, that node has no contact to the
+// store.
+func (f *simFleet) suspend(wait time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.hung) < 2*time.Second {
+	if time.Since(f.hungAt) < 2*time.Second {
 		return false
 	}
-	f.still = time.Now().Add(wait)
+	f.suspendedUntil = time.Now().Add(wait)
 	return true
 }
 
@@ -379,12 +381,12 @@
 		list := n.list
 		n.mu.Unlock()
 		for id, s := range list {
-			at, left := f.left[id]
-			if left && !s.Leaving {
+			at, departed := f.departed[id]
+			if departed && !s.Leaving {
 				require.Less(f.t, time.Since(at), simDrain, "node %d has %s at %v\n%v", n.index, id, time.Since(f.began), f.events)
 			}
 		}
-		for id, at := range f.ready {
+		for id, at := range f.readySince {
 			if _, ok := list[id]; !ok {
 				require.Less(f.t, time.Since(at), simJoin, "node %d lacks %s at %v\n%v", n.index, id, time.Since(f.began), f.events)
 			}
--- a/internal/follow/stale.go
+++ b/internal/follow/stale.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// defaultNotice is how long after the store's word that a server leaves requests may
-	// reach it, where nothing says so.
+	// defaultNotice is the notice period of a leaving server if none is set: how long after
+	// the store says that it leaves requests may still reach it.
 	defaultNotice = 2 * time.Second
-	// ownRead is the part of that time in which a node reads the store itself, once
-	// another node's copy isn't trusted any more.
-	ownRead = 700 * time.Millisecond
-	// staleLeast is the age up to which a copy is trusted in any case: a feed that works
-	// is heard of each second.
-	staleLeast = 1300 * time.Millisecond
+	// readTime is the part of the notice period reserved for a node to read the store itself
+	// once another node's copy is stale.
+	readTime = 700 * time.Millisecond
+	// minStale is the age up to which a copy is always trusted: a working feed returns
+	// every second.
+	minStale = 1300 * time.Millisecond
 )
 
-// StaleAfter returns the age from which on another node's copy of the tables isn't
-// trusted, where requests may reach a server for some time after the store's word that it
-// leaves, zero for 2 s. A copy that is just young enough is believed for as long as the
-// other node may be silent.
+// StaleAfter returns the age from which another node's copy of the tables is stale. The
+// notice is how long after the store says that a server leaves requests may still reach
+// it, zero for 2 s. The silence is how long the other node may send nothing; it is
+// subtracted because a copy just below the limit is used for that time.
 func StaleAfter(notice, silence time.Duration) time.Duration {
-	return max(staleLeast, cmp.Or(notice, defaultNotice)-silence-ownRead)
+	return max(minStale, cmp.Or(notice, defaultNotice)-silence-readTime)
 }
--- a/internal/follow/stale_test.go
+++ b/internal/follow/stale_test.go
@@ -9,11 +9,11 @@
 	"guavapaddle/internal/follow"
 )
 
-// TestACopyIsTrustedNoLongerThanLeavingServersAllow adds up the longest time without news:
-// a copy that is just young enough, silence of the node that passes it on, and a reading
-// of the store itself.
-func TestACopyIsTrustedNoLongerThanLeavingServersAllow(t *testing.T) {
-	const read = 420 * time.Millisecond // the first call after a rest, and its answer
+// TestStaleAfterLeavesTimeWithinNotice adds up the longest time without news, which
+// must be below the notice period: the age of a copy that is just not stale, the silence of the
+// node that passes it on, and the node's own read of the store.
+func TestStaleAfterLeavesTimeWithinNotice(t *testing.T) {
+	const read = 420 * time.Millisecond // the first call after a pause, and its response
 	for _, c := range []struct{ notice, silence time.Duration }{
 		{4 * time.Second, 700 * time.Millisecond},
 		{4 * time.Second, 1300 * time.Millisecond},
@@ -23,5 +23,5 @@
 		require.Less(t, stale+c.silence+read, c.notice)
 		require.GreaterOrEqual(t, stale, 1300*time.Millisecond)
 	}
-	require.Equal(t, 1300*time.Millisecond, follow.StaleAfter(0, 700*time.Millisecond), "a feed that works is heard of each second")
+	require.Equal(t, 1300*time.Millisecond, follow.StaleAfter(0, 700*time.Millisecond), "a working feed returns every second")
 }
--- a/internal/follow/table.go
+++ b/internal/follow/table.go
@@ -19,20 +19,20 @@
 		f     *Follower
 		name  string
 		apply func(*table)
-		wake  chan struct{} // another node tells of a newer version
+		wake  chan struct{} // another node announced a newer version
 
-		mu       sync.Mutex
-		rows     map[string]platform.Row
-		vanished map[string]time.Time // entries that are kept for now, until then
-		gone     []platform.Row       // entries that went of late, for other nodes
-		floor    int64                // gone is whole for changes after this version
-		version  int64
-		contact  time.Time // when the store last answered this node
-		heard    time.Time // up to when the copy is whole, by whoever read it
-		told     int64     // newest version that another node told of
-		back     time.Time // when the store was last reached again
-		lost     bool
-		quick    bool // the next call asks for what is there, without a wait
+		mu           sync.Mutex
+		rows         map[string]platform.Row
+		missing      map[string]time.Time // missing entries, and until when they are kept
+		removed      []platform.Row       // recently removed entries, for other nodes
+		removedAfter int64                // removed is complete for changes after this version
+		version      int64
+		lastContact  time.Time // when the store last responded to this node
+		lastComplete time.Time // up to when the copy is complete, whichever node read it
+		announced    int64     // newest version that another node announced
+		outageEnd    time.Time // when the store's last outage ended
+		unreachable  bool
+		quick        bool // the next feed call uses quickWait
 	}
 )
 
@@ -41,111 +41,113 @@
 	defer t.mu.Unlock()
 	t.f, t.name, t.apply = f, name, apply
 	t.rows = map[string]platform.Row{}
-	t.vanished = map[string]time.Time{}
+	t.missing = map[string]time.Time{}
 	t.wake = make(chan struct{}, 1)
 }
 
-// ages returns the age of the copy and the time since the store answered.
-func (t *table) ages(now time.Time) (heard, contact time.Duration) {
+// ages returns the age of the copy and the time since the store responded to this node.
+func (t *table) ages(now time.Time) (lastComplete, lastContact time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Sub(t.heard), now.Sub(t.contact)
+	return now.Sub(t.lastComplete), now.Sub(t.lastContact)
 }
 
-// run reads the table and follows it until ctx ends.
+// run reads the table in full and follows its feed until ctx ends.
 func (t *table) run(ctx context.Context) {
-	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = retryFirst, retryMost
-	led := backoff.NewExponentialBackOff()
-	led.InitialInterval, led.MaxInterval = ledFirst, ledMost
-	whole := true
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = minRetryDelay, maxRetryDelay
+	leaderRetry := backoff.NewExponentialBackOff()
+	leaderRetry.InitialInterval, leaderRetry.MaxInterval = minLeaderRetryDelay, maxLeaderRetryDelay
+	full := true
 	for ctx.Err() == nil {
-		if !whole && t.isFed() {
-			whole = t.rest(ctx)
+		if !full && t.hasFeed() {
+			full = t.idle(ctx)
 			continue
 		}
-		err := t.step(ctx, whole)
+		err := t.poll(ctx, full)
 		if ctx.Err() != nil {
 			return
 		}
 		var status *platform.StatusError
 		if errors.As(err, &status) && status.HistoryGone() {
 			t.f.Log.Info("feed-history-gone", zap.String("table", t.name), zap.Int64("after", t.Version()))
-			whole = true
+			full = true
 			continue
 		}
 		if err != nil {
-			t.miss(err)
-			if (whole || t.behind()) && t.f.Ask != nil {
+			t.recordFailure(err)
+			if (full || t.behind()) && t.f.Ask != nil {
 				t.f.Ask(ctx)
-				whole = t.empty()
+				full = t.empty()
 			}
-			if !whole && t.led() {
-				t.pause(ctx, led.NextBackOff())
+			if !full && t.hasLeader() {
+				t.pause(ctx, leaderRetry.NextBackOff())
 			} else {
-				clock.Sleep(ctx, b.NextBackOff())
+				clock.Sleep(ctx, retry.NextBackOff())
 			}
 			continue
 		}
-		if whole {
-			t.wait(ctx)
+		if full {
+			t.awaitFeed(ctx)
 		} else {
 			clock.Sleep(ctx, t.f.gap())
 		}
-		whole = false
-		b.Reset()
-		led.Reset()
+		full = false
+		retry.Reset()
+		leaderRetry.Reset()
 	}
 }
 
-// isFed tells whether another node passes changes on.
-func (t *table) isFed() bool { return t.f.Fed != nil && t.f.Fed() }
+// hasFeed reports whether this node receives changes from another one.
+func (t *table) hasFeed() bool { return t.f.Fed != nil && t.f.Fed() }
 
-// led tells whether another node will tell when the store is back.
-func (t *table) led() bool { return t.f.Led != nil && t.f.Led() }
+// hasLeader reports whether this node has a leader, which passes changes on when the store is
+// back.
+func (t *table) hasLeader() bool { return t.f.Led != nil && t.f.Led() }
 
-// pause waits for a time, but no longer than another node leads this one, and
-// only until it passes changes on again.
+// pause waits for a duration, but only while this node has a leader and until the
+// leader passes changes on again.
 func (t *table) pause(ctx context.Context, d time.Duration) {
-	for until := time.Now().Add(d); time.Now().Before(until) && t.led() && !t.isFed(); {
-		if !clock.Sleep(ctx, fedCheck) {
+	for until := time.Now().Add(d); time.Now().Before(until) && t.hasLeader() && !t.hasFeed(); {
+		if !clock.Sleep(ctx, feedCheckInterval) {
 			return
 		}
 	}
 }
 
-// wait gives another node the time to pass changes on before this one, which has just
-// read the table whole, follows it by itself: a node that starts finds the holder of the
-// lease within a second, and hundreds may start at once.
-func (t *table) wait(ctx context.Context) {
+// awaitFeed delays the first feed call after a full read until another node passes changes on,
+// for at most maxFirstGap. A starting node finds the leader within a second, and hundreds of
+// nodes may start at once and call the store.
+func (t *table) awaitFeed(ctx context.Context) {
 	t.mu.Lock()
 	t.quick = t.f.role() == Alone
 	t.mu.Unlock()
-	for until := time.Now().Add(gapWhole); time.Now().Before(until) && t.f.role() == Alone && !t.isFed(); {
-		if !clock.Sleep(ctx, fedCheck) {
+	for until := time.Now().Add(maxFirstGap); time.Now().Before(until) && t.f.role() == Alone && !t.hasFeed(); {
+		if !clock.Sleep(ctx, feedCheckInterval) {
 			return
 		}
 	}
 }
 
-// behind tells whether another node told of a newer version than is here.
+// behind reports whether another node announced a newer version than this copy has.
 func (t *table) behind() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.told > t.own()
+	return t.announced > t.own()
 }
 
-// empty tells whether nothing is known of the table.
+// empty reports whether the copy has no rows.
 func (t *table) empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.rows) == 0
 }
 
-// rest waits while another node passes changes on. It returns whether that
-// node knows of a newer version of a table that must be read whole.
-func (t *table) rest(ctx context.Context) bool {
-	timer := time.NewTimer(fedCheck)
+// idle waits for feedCheckInterval while another node passes changes on, and drops entries
+// whose grace period is over. It reports whether the other node announced a newer version,
+// so that the table must be read in full.
+func (t *table) idle(ctx context.Context) bool {
+	timer := time.NewTimer(feedCheckInterval)
 	defer timer.Stop()
 	select {
 	case <-t.wake:
@@ -157,15 +159,15 @@
 	defer t.mu.Unlock()
 	t.quick = true
 	if at := t.nextExpiry(); !at.IsZero() && !time.Now().Before(at) {
-		t.take(nil, t.version)
+		t.applyChanges(nil, t.version)
 	}
 	return false
 }
 
-// step reads the table whole or waits for its next changes.
-func (t *table) step(ctx context.Context, whole bool) error {
+// poll reads the table in full or makes one feed call.
+func (t *table) poll(ctx context.Context, full bool) error {
 	began := t.f.now()
-	if whole {
+	if full {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
 		rows, version, err := t.f.Store.Read(ctx, t.name, "", "")
@@ -175,13 +177,13 @@
 		hideKeys(rows)
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.reach()
-		t.replace(rows, version)
-		t.prove(began)
+		t.recordResponse()
+		t.applyAll(rows, version)
+		t.confirm(began)
 		return nil
 	}
 	t.mu.Lock()
-	wait, after := t.f.feedTime(t), t.version
+	wait, after := t.f.waitTime(t), t.version
 	if t.quick {
 		wait = quickWait
 	}
@@ -189,7 +191,7 @@
 		wait = max(quickWait, min(wait, time.Until(at)))
 	}
 	t.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, wait+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseMargin)
 	defer cancel()
 	rows, version, err := t.f.Store.Feed(ctx, t.name, after, wait)
 	hideKeys(rows)
@@ -199,14 +201,14 @@
 	if err != nil {
 		return err
 	}
-	t.reach()
-	t.take(rows, version)
-	t.prove(began)
+	t.recordResponse()
+	t.applyChanges(rows, version)
+	t.confirm(began)
 	return nil
 }
 
-// hideKeys replaces keys of callers in the configuration's row by their digests, before
-// it is kept or passed on.
+// hideKeys replaces callers' API keys in the configuration's row by their digests before
+// the row is kept or passed on.
 func hideKeys(rows []platform.Row) {
 	for i, r := range rows {
 		if r.Table == platform.TableOperator && r.Key == platform.KeyConfig && !r.Gone {
@@ -215,52 +217,54 @@
 	}
 }
 
-// prove notes that the copy held all that the store had when a call began; t.mu is held.
-func (t *table) prove(began time.Duration) {
+// confirm records that the copy is complete up to the start of a store call; t.mu is held.
+func (t *table) confirm(began time.Duration) {
 	if t == &t.f.operator && t.own() > 0 {
-		t.f.proof.advance(began)
+		t.f.confirmation.advance(began)
 	}
 }
 
-// replace takes in all rows of the table; those that are missing have vanished.
+// applyAll applies a full read of the table: local rows that it lacks were removed.
 // t.mu is held.
-func (t *table) replace(rows []platform.Row, version int64) {
-	if version < t.version { // a change that came meanwhile is newer
+func (t *table) applyAll(rows []platform.Row, version int64) {
+	if version < t.version { // changes applied meanwhile are newer
 		return
 	}
-	there := make(map[string]bool, len(rows))
+	present := make(map[string]bool, len(rows))
 	for _, r := range rows {
-		there[r.Key] = true
+		present[r.Key] = true
 	}
 	for k := range t.rows {
-		if !there[k] {
+		if !present[k] {
 			rows = append(rows, platform.Row{Table: t.name, Key: k, Version: version, Gone: true})
 		}
 	}
-	t.floor = version
-	t.gone = nil
+	t.removedAfter = version
+	t.removed = nil
 	t.merge(rows, version)
 	t.apply(t)
 }
 
-// take takes in changes in the order of their versions, of the store or of another
-// node; t.mu is held. A row that isn't here though this copy is whole beyond its
-// version was removed since: another node's answer may be older than that, as one that
-// was on its way while this node read the store itself. Taken in, such an entry stayed
-// for good, and requests went to a server that was gone.
-func (t *table) take(rows []platform.Row, version int64) {
+// applyChanges applies changes, from the store or another node, in the order of their
+// versions; t.mu is held. A row that this copy lacks although it is complete beyond the
+// row's version has been removed since. Another node's reply may be older than the
+// removal, for instance if it was in transit while this node read the store itself. If
+// such a row were added it would never be removed, and requests would be sent to a server
+// that is gone.
+func (t *table) applyChanges(rows []platform.Row, version int64) {
 	fresh := make([]platform.Row, 0, len(rows))
 	for _, r := range rows {
-		_, here := t.rows[r.Key]
-		_, vanished := t.vanished[r.Key]
-		if here && !vanished || r.Gone || r.Version > t.version {
+		_, present := t.rows[r.Key]
+		_, missing := t.missing[r.Key]
+		if present && !missing || r.Gone || r.Version > t.version {
 			fresh = append(fresh, r)
 		}
 	}
 	t.merge(fresh, version)
 }
 
-// merge enters rows, each unless a newer one is here; t.mu is held.
+// merge stores rows that are not older than the local ones, drops entries whose grace
+// period is over, and calls apply if anything changed; t.mu is held.
 func (t *table) merge(rows []platform.Row, version int64) {
 	now := time.Now()
 	changed := false
@@ -271,21 +275,21 @@
 		changed = true
 		if !r.Gone {
 			t.rows[r.Key] = r
-			delete(t.vanished, r.Key)
+			delete(t.missing, r.Key)
 			continue
 		}
-		t.forget(r)
-		if _, ok := t.rows[r.Key]; ok && now.Before(t.back.Add(Grace)) {
-			t.vanished[r.Key] = t.back.Add(Grace)
+		t.recordRemoval(r)
+		if _, ok := t.rows[r.Key]; ok && now.Before(t.outageEnd.Add(Grace)) {
+			t.missing[r.Key] = t.outageEnd.Add(Grace)
 			continue
 		}
 		delete(t.rows, r.Key)
 	}
-	for k, at := range t.vanished {
+	for k, at := range t.missing {
 		if !now.Before(at) {
 			changed = true
 			delete(t.rows, k)
-			delete(t.vanished, k)
+			delete(t.missing, k)
 		}
 	}
 	t.version = max(t.version, version)
@@ -294,20 +298,21 @@
 	}
 }
 
-// forget remembers for other nodes that an entry went; t.mu is held.
-func (t *table) forget(r platform.Row) {
+// recordRemoval records the removal of an entry for other nodes; t.mu is held.
+func (t *table) recordRemoval(r platform.Row) {
 	r.Value = nil
-	t.gone = append(t.gone, r)
-	if n := len(t.gone) - goneMost; n > 0 {
-		t.floor = max(t.floor, t.gone[n-1].Version)
-		t.gone = t.gone[n:]
+	t.removed = append(t.removed, r)
+	if n := len(t.removed) - maxRemoved; n > 0 {
+		t.removedAfter = max(t.removedAfter, t.removed[n-1].Version)
+		t.removed = t.removed[n:]
 	}
 }
 
-// nextExpiry returns when the next entry that is kept for now is given up.
+// nextExpiry returns when the next missing entry is dropped, zero if there is none; t.mu is
+// held.
 func (t *table) nextExpiry() time.Time {
 	var next time.Time
-	for _, at := range t.vanished {
+	for _, at := range t.missing {
 		if next.IsZero() || at.Before(next) {
 			next = at
 		}
@@ -315,30 +320,30 @@
 	return next
 }
 
-// reach notes an answer of the store; t.mu is held. If nobody whose copy came here had
-// one for so long that entries lapse, it was away and is back. A call that got no
-// answer isn't enough: taken for an outage, it kept a server for 3.3 s after it was gone,
-// of which two are allowed.
-func (t *table) reach() {
+// recordResponse records a response of the store; t.mu is held. If neither this node nor
+// one whose copy it received had a response for so long that entries expire, an outage
+// has just ended. A single call without a response doesn't count as an outage: when it
+// did, a server was kept for 3.3 s after it was gone, where 2 s are allowed.
+func (t *table) recordResponse() {
 	now := time.Now()
-	last, heard := t.contact, t.heard
-	t.contact, t.heard = now, now
-	if !heard.IsZero() && now.Sub(heard) > t.f.lapse() {
-		t.back = now
+	last, lastComplete := t.lastContact, t.lastComplete
+	t.lastContact, t.lastComplete = now, now
+	if !lastComplete.IsZero() && now.Sub(lastComplete) > t.f.minOutage() {
+		t.outageEnd = now
 	}
-	if t.lost {
-		t.lost = false
+	if t.unreachable {
+		t.unreachable = false
 		t.f.Log.Info("store-regained", zap.String("table", t.name), zap.Duration("away", now.Sub(last)), zap.Int64("version", t.version))
 	}
 }
 
-// miss notes a failed call.
-func (t *table) miss(err error) {
+// recordFailure records a failed call, and logs the first of a series.
+func (t *table) recordFailure(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lost {
+	if t.unreachable {
 		return
 	}
-	t.lost = true
+	t.unreachable = true
 	t.f.Log.Warn("store-lost", zap.String("table", t.name), zap.Int64("version", t.version), zap.Error(err))
 }
