--- /dev/null
+++ b/internal/front/backoff_test.go
@@ -0,0 +1,57 @@
+package front_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"guavapaddle/platform/standin"
+)
+
+const (
+	requestedBackoff = 2 * time.Second
+	backoffGrace     = 500 * time.Millisecond // time after a refusal in which requests may still arrive
+	maxDuringBackoff = 2                      // requests of a node until the end of the backoff
+)
+
+// TestServerBackoffIsRespected has a server refuse all requests and ask each node for a
+// backoff.
+func TestServerBackoffIsRespected(t *testing.T) {
+	t.Parallel()
+	for name, x := range map[string]struct {
+		path, model string
+		onlyServer  bool // no other server can serve the requests
+	}{
+		"engine":        {"/plans/x", "m0", false},
+		"plain":         {"/calls/x", "", false},
+		"only engine":   {"/plans/x", "m0", true},
+		"only one left": {"/calls/x", "", true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			f, server, _ := newPair(t, 1, x.model, !x.onlyServer)
+			server.Do(standin.Shed)
+			server.AskRest(requestedBackoff)
+			start := time.Now()
+			statuses := f.sendLoad(x.path, x.model, 20*time.Millisecond, 5*time.Second)
+			require.Less(t, time.Since(start), 6*time.Second, "requests that can't be served are refused at once")
+			visits := server.Visits()
+			require.NotEmpty(t, visits)
+			for i, first := range visits {
+				n := 0
+				for _, later := range visits[i:] {
+					if d := later.At.Sub(first.At); d > backoffGrace && d < requestedBackoff {
+						n++
+					}
+				}
+				require.LessOrEqual(t, n, maxDuringBackoff, "request %d of %d, statuses %v", i, len(visits), statuses)
+			}
+			if !x.onlyServer {
+				require.GreaterOrEqual(t, statuses[200], 240, "%v", statuses)
+				return
+			}
+			require.GreaterOrEqual(t, statuses[503], 240, "%v", statuses)
+		})
+	}
+}
--- a/internal/front/deputy.go
+++ b/internal/front/deputy.go
@@ -12,16 +12,17 @@
 	"guavapaddle/platform"
 )
 
-// deputyPause is how long a deputy that didn't answer, or reaches the holder, isn't
-// asked again.
-const deputyPause = 500 * time.Millisecond
+// deputyBackoff is how long the deputy gets no queries after it didn't reply, or refused
+// because it reaches the leader.
+const deputyBackoff = 500 * time.Millisecond
 
-// isActing tells whether this node is the deputy of a holder that it can't reach, and so
-// says where requests begin. Places are no orders: two nodes that grant them cost time
-// and nothing else. Without it nodes pick engines by themselves until the lease has lapsed,
-// so that their picks collide at engines with few slots, and all of them follow the store.
+// isActing reports whether this node is the deputy of a leader that it can't reach, and
+// therefore grants slots. Unlike orders, slots may be granted by two nodes at the same time,
+// which costs only time. Without a deputy, nodes select engines by themselves until the
+// lease has expired, so that their selections collide at engines with few slots, and all
+// nodes follow the store.
 func (n *Node) isActing() bool {
-	acting := n.isDeputy.Load() && !n.placer.Holding() && n.leaderDoubted()
+	acting := n.isDeputy.Load() && !n.placer.Holding() && n.leaderSuspected()
 	if n.acting.Swap(acting) == acting {
 		return acting
 	}
@@ -32,82 +33,85 @@
 	return acting
 }
 
-// act answers another node's report while nobody holds the lease.
-func (n *Node) act(r hub.Report, lease platform.Row) hub.Picture {
+// replyAsDeputy replies to another node's report while the leader can't be reached.
+func (n *Node) replyAsDeputy(r hub.Report, lease platform.Row) hub.Picture {
 	p := n.hub.Take(time.Now(), r)
 	p.Leading, p.Acting, p.Deputy, p.Lease = false, true, false, lease
-	p.Nodes = max(p.Nodes, int(n.nodes.Load())) // not all have reported yet
+	p.Nodes = max(p.Nodes, int(n.nodeCount.Load())) // some nodes haven't reported yet
 	return p
 }
 
-// actingEpoch returns what names the deputy of a holder among those that grant places.
+// actingEpoch returns the negated epoch of the lease, which identifies the leader's deputy
+// among the nodes that grant slots.
 func actingEpoch(l leader.Lease) int64 { return -l.Epoch }
 
-// deputyToAsk returns the deputy if it may be asked in place of the holder.
-func (n *Node) deputyToAsk() (hub.Contact, bool) {
-	at := n.deputyAt.Load()
+// availableDeputy returns the deputy if it may be queried in place of the leader.
+func (n *Node) availableDeputy() (hub.Contact, bool) {
+	at := n.deputy.Load()
 	if at == nil || at.Address == "" || at.Key == n.key.Fingerprint() {
 		return hub.Contact{}, false
 	}
-	no := n.deputyRefused.Load()
-	return *at, no == 0 || clock.Boot()-time.Duration(no) > deputyPause
+	refusedAt := n.deputyRefusedAt.Load()
+	return *at, refusedAt == 0 || clock.Boot()-time.Duration(refusedAt) > deputyBackoff
 }
 
-// tellDeputy reports to the deputy, and tells whether it took the report.
-func (n *Node) tellDeputy(ctx context.Context, l leader.Lease, r hub.Report) bool {
+// reportToDeputy reports to the deputy and returns whether the deputy accepted the report.
+func (n *Node) reportToDeputy(ctx context.Context, l leader.Lease, r hub.Report) bool {
 	if n.isActing() {
-		n.take(r, n.Report(r))
+		n.applyReply(r, n.Report(r))
 		return true
 	}
-	at, ok := n.deputyToAsk()
-	if !ok || !n.leaderDoubted() {
+	at, ok := n.availableDeputy()
+	if !ok || !n.leaderSuspected() {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	r.Counts = n.gateway.Counts(actingEpoch(l))
-	asked := clock.Boot()
+	sentAt := clock.Boot()
 	p, err := (&hub.Client{Endpoint: n.endpoint}).Exchange(ctx, at.Address, r)
 	if err != nil || !p.Acting {
-		n.refusedBy(at, err)
+		n.recordRefusal(at, err)
 		return false
 	}
-	n.deputyHeard.Store(int64(clock.Boot()))
-	n.take(r, p)
-	n.fed(p.Update, asked)
+	n.deputyReplyAt.Store(int64(clock.Boot()))
+	n.applyReply(r, p)
+	n.onFeed(p.Update, sentAt)
 	n.placer.Learn(p.Lease)
 	return true
 }
 
-// isCovered tells whether this node needn't look for the holder of the lease in the
-// store: the holder answers, or its deputy does, which looks for the next one itself and
-// tells of it. Nodes as large as the deputy look too, and may take the lease.
-func (n *Node) isCovered() bool {
+// hasCoordinator reports whether this node need not look for a new leader in the store:
+// either the leader replies, or its deputy does, which looks for the next leader itself and
+// passes on the lease. Nodes with at least as many cores as the deputy look too, and may
+// acquire the lease.
+func (n *Node) hasCoordinator() bool {
 	if n.leaderReached() {
 		return true
 	}
-	at, answered := n.deputyAt.Load(), n.deputyHeard.Load()
-	return at != nil && n.settings.Cores < at.Cores && answered != 0 && clock.Boot()-time.Duration(answered) < n.silence()
+	at, repliedAt := n.deputy.Load(), n.deputyReplyAt.Load()
+	return at != nil && n.settings.Cores < at.Cores && repliedAt != 0 && clock.Boot()-time.Duration(repliedAt) < n.leaderTimeout()
 }
 
-// placeByDeputy asks the deputy for a place at an engine.
-func (n *Node) placeByDeputy(ctx context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
+// acquireFromDeputy requests a slot at an engine from the deputy.
+func (n *Node) acquireFromDeputy(ctx context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
 	if n.isActing() {
 		return n.Place(ctx, p, func() {})
 	}
-	at, ok := n.deputyToAsk()
+	at, ok := n.availableDeputy()
 	if !ok {
 		return hub.Placed{}, nil, context.Canceled
 	}
-	placed, grant, err := (&hub.Client{Endpoint: n.endpoint}).Place(ctx, at.Address, p)
+	reply, grant, err := (&hub.Client{Endpoint: n.endpoint}).Place(ctx, at.Address, p)
 	if err != nil && ctx.Err() == nil {
-		n.refusedBy(at, err)
+		n.recordRefusal(at, err)
 	}
-	return placed, grant, err
+	return reply, grant, err
 }
 
-// refusedBy notes that the deputy didn't answer, or reaches the holder.
-func (n *Node) refusedBy(at hub.Contact, err error) {
-	n.deputyRefused.Store(int64(clock.Boot()))
+// recordRefusal records that the deputy didn't reply, or refused because it reaches the
+// leader.
+func (n *Node) recordRefusal(at hub.Contact, err error) {
+	n.deputyRefusedAt.Store(int64(clock.Boot()))
 	n.log.Info("deputy-refused", zap.String("deputy", at.Address), zap.Error(err))
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -31,33 +31,33 @@
  "services":[{"name":"llm","engine":{"slots":8,"weights-mb":230000,"adapter-slots":4,"loads-per-s":2,"models":[{"name":"m0","weights-mb":72000,"load-time-s":1,"adapters":3,"adapter-size-mb":60},{"name":"m1","weights-mb":72000,"load-time-s":1}]}},{"name":"plain"}],
  "limits":{"max-header-bytes":16384,"max-body-bytes":1000000,"header-timeout-ms":3000,"idle-timeout-ms":15000}}`
 
-// fleetRig is nodes before a store and stand-in servers.
-type fleetRig struct {
-	t     *testing.T
-	store *standin.Store
-	seeds []string
-	lease time.Duration // time to live of the lease, 0.9 s if zero
-	tune  func(s *front.Settings)
-	key   string
-	nodes []*process
+// testCluster is a set of nodes with a store and stand-in backend servers.
+type testCluster struct {
+	t      *testing.T
+	store  *standin.Store
+	seeds  []string
+	lease  time.Duration // time to live of the lease, 0.9 s if zero
+	adjust func(s *front.Settings)
+	key    string
+	nodes  []*testNode
 }
 
-// process is a node with the means to end it.
-type process struct {
+// testNode is a running node.
+type testNode struct {
 	settings front.Settings
-	key      string // of the client that asks
+	key      string // API key of the test's requests
 	logs     *observer.ObservedLogs
 	stop     context.CancelFunc
 	done     chan error
 }
 
-func (f *fleetRig) start(name string) *process {
+func (f *testCluster) start(name string) *testNode {
 	f.t.Helper()
-	p := &process{done: make(chan error, 1), settings: front.Settings{Node: name, DataCentre: "z", Clients: freeport.Take(), Ready: freeport.Take(),
+	p := &testNode{done: make(chan error, 1), settings: front.Settings{Node: name, DataCentre: "z", Clients: freeport.Take(), Ready: freeport.Take(),
 		Peers: freeport.Take(), Metrics: freeport.Take(), Control: freeport.Take(), Store: f.store.Address(), Cores: 1, MemoryMB: 500, Descriptors: 1000, GraceS: 2, LeaseMS: int(cmp.Or(f.lease, 900*time.Millisecond).Milliseconds()),
 		LoadWindowS: 5, RepeatRatio: 0.2, RepeatExtra: 56, RepeatSpanS: 10, CheckEpochs: true, Seeds: f.seeds}}
-	if f.tune != nil {
-		f.tune(&p.settings)
+	if f.adjust != nil {
+		f.adjust(&p.settings)
 	}
 	core, logs := observer.New(zap.InfoLevel)
 	p.logs, p.key = logs, f.key
@@ -74,7 +74,7 @@
 	return p
 }
 
-func (p *process) ready() bool {
+func (p *testNode) ready() bool {
 	resp, err := http.Get("http://" + p.settings.Ready + "/ready")
 	if err != nil {
 		return false
@@ -84,7 +84,7 @@
 }
 
 // get sends a request and returns status and body.
-func (p *process) get(t *testing.T, path, id, model string) (int, string) {
+func (p *testNode) get(t *testing.T, path, id, model string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.settings.Clients+path, nil)
 	require.NoError(t, err)
@@ -109,20 +109,20 @@
 	return resp.StatusCode, string(b)
 }
 
-func newFleet(t *testing.T, nodes int) (*fleetRig, *standin.Worker, *standin.Worker) {
+func newCluster(t *testing.T, nodes int) (*testCluster, *standin.Worker, *standin.Worker) {
 	t.Helper()
-	return newFleetLeased(t, nodes, 0)
+	return newClusterWithLease(t, nodes, 0)
 }
 
-func newFleetLeased(t *testing.T, nodes int, lease time.Duration) (*fleetRig, *standin.Worker, *standin.Worker) {
+func newClusterWithLease(t *testing.T, nodes int, lease time.Duration) (*testCluster, *standin.Worker, *standin.Worker) {
 	t.Helper()
-	f := &fleetRig{t: t, store: standin.NewStore(t), lease: lease}
+	f := &testCluster{t: t, store: standin.NewStore(t), lease: lease}
 	engine, plain := f.run(nodes, configuration)
 	return f, engine, plain
 }
 
-// run starts the backend servers and so many nodes with a configuration.
-func (f *fleetRig) run(nodes int, configuration string) (engine, plain *standin.Worker) {
+// run starts the backend servers and the given number of nodes with a configuration.
+func (f *testCluster) run(nodes int, configuration string) (engine, plain *standin.Worker) {
 	t := f.t
 	t.Helper()
 	engine = (&standin.Worker{ID: "i-engine", Stream: 5}).Hold("m0").Start(t)
@@ -139,8 +139,8 @@
 	return engine, plain
 }
 
-func TestNodesServeLoadModelsAndOutliveTheHolder(t *testing.T) {
-	f, engine, plain := newFleet(t, 3)
+func TestNodesServeAndSurviveStopOfLeader(t *testing.T) {
+	f, engine, plain := newCluster(t, 3)
 	for i, p := range f.nodes {
 		status, body := p.get(t, "/calls/x", fmt.Sprint("c", i), "")
 		require.Equal(t, 200, status, body)
@@ -156,18 +156,18 @@
 		"a declared model without a copy is loaded")
 	f.store.Put(platform.TableServers, "i-engine", engine.Entry("llm", "z", false))
 
-	holder := string(f.store.Row("lease", "orders").Value)
+	leaderRow := string(f.store.Row("lease", "orders").Value)
 	for _, p := range f.nodes {
-		if strings.Contains(holder, `"node":"`+p.settings.Node+`"`) {
+		if strings.Contains(leaderRow, `"node":"`+p.settings.Node+`"`) {
 			p.stop()
 		}
 	}
 	require.Eventually(t, func() bool {
 		v := string(f.store.Row("lease", "orders").Value)
-		return v != holder && !strings.Contains(v, `"node":""`)
-	}, 5*time.Second, 5*time.Millisecond, "another node takes the lease")
+		return v != leaderRow && !strings.Contains(v, `"node":""`)
+	}, 5*time.Second, 5*time.Millisecond, "another node acquires the lease")
 	for i, p := range f.nodes {
-		if strings.Contains(holder, `"node":"`+p.settings.Node+`"`) {
+		if strings.Contains(leaderRow, `"node":"`+p.settings.Node+`"`) {
 			continue
 		}
 		require.Eventually(t, func() bool {
@@ -177,12 +177,12 @@
 	}
 }
 
-// TestTheNextHolderIsThereAtOnceAfterAPlannedStop: as the holder was restarted, the other
-// nodes stayed with it for three seconds, and had requests begin at engines that another
-// holder placed requests at too.
-func TestTheNextHolderIsThereAtOnceAfterAPlannedStop(t *testing.T) {
-	f, _, _ := newFleetLeased(t, 3, 3*time.Second)
-	holder := func() string {
+// TestPlannedStopHandsOverLeaseAtOnce guards against nodes that stay with a stopped leader
+// until its lease expires. After a planned stop of the leader the other nodes kept to it for
+// three seconds, and sent requests to engines at which the next leader granted slots too.
+func TestPlannedStopHandsOverLeaseAtOnce(t *testing.T) {
+	f, _, _ := newClusterWithLease(t, 3, 3*time.Second)
+	leaderName := func() string {
 		var l leader.Lease
 		if r := f.store.Row("lease", "orders"); r.Version == 0 || json.Unmarshal(r.Value, &l) != nil {
 			return ""
@@ -192,19 +192,19 @@
 	for _, p := range f.nodes {
 		require.Eventually(t, func() bool { return p.logs.FilterMessage("leader-reached").Len() > 0 }, 5*time.Second, time.Millisecond)
 	}
-	before := holder()
+	before := leaderName()
 	for _, p := range f.nodes {
 		if p.settings.Node == before {
 			p.stop()
 		}
 	}
 	stopped := time.Now()
-	require.Eventually(t, func() bool { h := holder(); return h != "" && h != before }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { h := leaderName(); return h != "" && h != before }, 5*time.Second, time.Millisecond)
 	require.Less(t, time.Since(stopped), time.Second)
 }
 
-func TestANodeServesOnWithoutTheStore(t *testing.T) {
-	f, _, _ := newFleet(t, 2)
+func TestNodesServeDuringStoreOutage(t *testing.T) {
+	f, _, _ := newCluster(t, 2)
 	f.store.Outage(true)
 	for i := range 20 {
 		p := f.nodes[i%2]
@@ -215,8 +215,8 @@
 	}
 }
 
-func TestAStopCutsNothingAndSaysNotReadyAtOnce(t *testing.T) {
-	f, engine, _ := newFleet(t, 2)
+func TestStopCompletesRequestsAndReportsNotReady(t *testing.T) {
+	f, engine, _ := newCluster(t, 2)
 	engine.Pause = 100 * time.Millisecond
 	p := f.nodes[0]
 	type result struct {
@@ -237,28 +237,28 @@
 	require.Equal(t, 200, r.status)
 	require.Equal(t, 5, strings.Count(r.body, "data:"))
 	require.NoError(t, await.Value(t, p.done, "the node's end"))
-	p.done <- nil // for the end of the test
+	p.done <- nil // read again by the cleanup
 }
 
-func TestANodeThatTheStoreTurnsAwayJoinsThroughAnother(t *testing.T) {
-	f, _, _ := newFleet(t, 2)
-	away := standin.NewStore(t)
-	away.Outage(true)
+func TestNodeRejectedByStoreJoinsThroughAnother(t *testing.T) {
+	f, _, _ := newCluster(t, 2)
+	unavailable := standin.NewStore(t)
+	unavailable.Outage(true)
 	f.seeds = []string{freeport.Take(), f.nodes[0].settings.Control}
-	served := f.store
-	f.store = away
+	available := f.store
+	f.store = unavailable
 	p := f.start("late")
-	f.store = served
+	f.store = available
 	require.Eventually(t, p.ready, 5*time.Second, 5*time.Millisecond)
 	status, body := p.get(t, "/calls/x", "c1", "")
 	require.Equal(t, 200, status, body)
 	require.Eventually(t, func() bool {
 		status, _ := p.get(t, "/plans/x", "p1", "m0/a1")
 		return status == 200
-	}, 5*time.Second, 5*time.Millisecond, "the holder accepts its key, since another node vouched for it")
+	}, 5*time.Second, 5*time.Millisecond, "the leader accepts its key, since another node wrote its row")
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestLoadChecksSettings(t *testing.T) {
 	good := `{"node":"n","data-centre":"z","clients":"1.2.3.4:1","ready":"1.2.3.4:2","peers":"1.2.3.4:3","metrics":"1.2.3.4:4","control":"1.2.3.4:6","seeds":["1.2.3.4:6"],"store":"1.2.3.4:5",
 "cores":0.4,"memory-mb":284,"descriptors":4100,"grace-s":8,"lease-ms":3000,"load-window-s":5,"repeat-ratio":0.2,"repeat-extra":56,"repeat-span-s":10,"engines-check-epochs":true,"log-level":"info"}`
 	file := filepath.Join(t.TempDir(), "node.json")
@@ -303,11 +303,11 @@
 	require.ErrorAs(t, err, &bad)
 }
 
-// TestTheDeputyGrantsPlacesWhileNobodyHoldsTheLease ends the holder while the store is
-// away, so that its lease can't be given up nor taken.
-func TestTheDeputyGrantsPlacesWhileNobodyHoldsTheLease(t *testing.T) {
-	f, _, _ := newFleetLeased(t, 3, 3*time.Second)
-	deputy := func() *process {
+// TestDeputyGrantsSlotsWithoutLeader stops the leader during an outage of the store, so that
+// its lease can be neither released nor acquired.
+func TestDeputyGrantsSlotsWithoutLeader(t *testing.T) {
+	f, _, _ := newClusterWithLease(t, 3, 3*time.Second)
+	deputy := func() *testNode {
 		for _, p := range f.nodes {
 			if p.logs.FilterMessage("deputy").Len() > 0 {
 				return p
@@ -326,16 +326,16 @@
 	}
 	acting := deputy()
 	require.Eventually(t, func() bool { return acting.logs.FilterMessage("deputy-acting").Len() > 0 }, 8*time.Second, time.Millisecond)
-	places := func() int { return acting.logs.FilterMessage("place").FilterField(zap.Bool("granted", true)).Len() }
+	granted := func() int { return acting.logs.FilterMessage("place").FilterField(zap.Bool("granted", true)).Len() }
 	for _, p := range f.nodes {
 		if p.settings.Node == l.Node {
 			continue
 		}
-		before, sent := places(), 0
+		before, sent := granted(), 0
 		require.Eventually(t, func() bool {
 			sent++
 			status, _ := p.get(t, "/plans/x", fmt.Sprint("d", sent, p.settings.Node), "m0")
-			return status == 200 && places() > before
-		}, 8*time.Second, 5*time.Millisecond, "the deputy answers %s", p.settings.Node)
+			return status == 200 && granted() > before
+		}, 8*time.Second, 5*time.Millisecond, "the deputy replies to %s", p.settings.Node)
 	}
 }
--- a/internal/front/join.go
+++ b/internal/front/join.go
@@ -18,39 +18,39 @@
 
 const (
 	joinPath = "/join"
-	// joinTimeout bounds the answer of one node that is asked for a copy.
+	// joinTimeout limits the request to one node for its copy of the store.
 	joinTimeout = 500 * time.Millisecond
-	// joinBytes bounds what a node sends of itself.
-	joinBytes = 64 << 10
+	// maxJoinBytes limits the size of a join request.
+	maxJoinBytes = 64 << 10
 )
 
 type (
-	// joinRequest is what a node that the store doesn't serve tells of itself.
+	// joinRequest is the request of a node that the store rejects.
 	joinRequest struct {
 		Node string  `json:"node"`
 		Row  nodeRow `json:"row"`
 	}
 
-	// joinAnswer is another node's copy of the store.
-	joinAnswer struct {
+	// joinReply is the replying node's copy of the store.
+	joinReply struct {
 		Copy  follow.Copy  `json:"copy"`
 		Lease platform.Row `json:"lease"`
 	}
 )
 
-// join asks the nodes that the settings name for their copy of the store,
-// until one has it. What they are is vouched for by the settings, which come
-// from the platform as the store's address does; keys can't be compared while
-// the store is out of reach. The node that answers also writes this node's row,
-// so that the holder of the lease accepts its key.
+// join requests a copy of the store from the nodes listed in the settings, one after the
+// other until one has a copy. These nodes are trusted because the settings come from the
+// platform, as the address of the store does; their keys can't be checked while the store is
+// out of reach. The node that replies also writes this node's row, so that the leader
+// accepts this node's key.
 func (n *Node) join(ctx context.Context) {
 	r := joinRequest{Node: n.settings.Node, Row: nodeRow{Address: n.settings.Peers, DataCentre: n.settings.DataCentre, Key: n.key.Fingerprint()}}
 	for _, seed := range n.settings.Seeds {
 		if seed == n.settings.Control {
 			continue
 		}
-		var a joinAnswer
-		asked := clock.Boot()
+		var a joinReply
+		sentAt := clock.Boot()
 		call, cancel := context.WithTimeout(ctx, joinTimeout)
 		got, err := n.seeds.get(seed).JSON(call, http.MethodPost, joinPath, r, &a)
 		cancel()
@@ -59,16 +59,16 @@
 			continue
 		}
 		n.log.Info("joined", zap.String("seed", seed), zap.Int64("version", a.Copy.Version), zap.Duration("age", a.Copy.Age))
-		n.follower.Load(time.Now(), a.Copy, asked)
+		n.follower.Load(time.Now(), a.Copy, sentAt)
 		n.placer.Learn(a.Lease)
 		return
 	}
 }
 
-// serveControl answers nodes that the store doesn't serve.
+// serveControl serves nodes that the store rejects.
 func (n *Node) serveControl(l net.Listener) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+joinPath, n.joined)
+	mux.HandleFunc("POST "+joinPath, n.serveJoin)
 	s := &http.Server{Handler: mux, ReadTimeout: joinTimeout, WriteTimeout: joinTimeout}
 	if err := s.Serve(l); !errors.Is(err, net.ErrClosed) {
 		return eris.Wrap(err, "serve control")
@@ -76,10 +76,10 @@
 	return nil
 }
 
-// joined answers one of them.
-func (n *Node) joined(w http.ResponseWriter, req *http.Request) {
+// serveJoin handles a join request.
+func (n *Node) serveJoin(w http.ResponseWriter, req *http.Request) {
 	var r joinRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, joinBytes)).Decode(&r); err != nil || r.Node == "" {
+	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxJoinBytes)).Decode(&r); err != nil || r.Node == "" {
 		http.Error(w, "no node", http.StatusBadRequest)
 		return
 	}
@@ -88,15 +88,15 @@
 		http.Error(w, "no copy", http.StatusServiceUnavailable)
 		return
 	}
-	go n.vouch(r)
+	go n.writeRowOf(r)
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(joinAnswer{Copy: c, Lease: n.placer.LeaseRow()}); err != nil {
+	if err := json.NewEncoder(w).Encode(joinReply{Copy: c, Lease: n.placer.LeaseRow()}); err != nil {
 		n.log.Info("join-unanswered", zap.String("node", r.Node), zap.Error(err))
 	}
 }
 
-// vouch writes another node's row.
-func (n *Node) vouch(r joinRequest) {
+// writeRowOf writes another node's row.
+func (n *Node) writeRowOf(r joinRequest) {
 	value, err := json.Marshal(r.Row)
 	if err != nil {
 		n.log.Error("node-row", zap.Error(err))
--- a/internal/front/keys_test.go
+++ b/internal/front/keys_test.go
@@ -18,25 +18,25 @@
 	deskKey    = "k-desk"
 )
 
-// withTeams returns the configuration with one team whose keys and quota are given.
-func withTeams(version int, quota string, keys ...string) string {
+// configWithTeam returns the configuration with one team that has the given keys and quota.
+func configWithTeam(version int, quota string, keys ...string) string {
 	text := strings.Replace(configuration, `"version":1`, fmt.Sprintf(`"version":%d`, version), 1)
 	list := `"` + strings.Join(keys, `","`) + `"`
 	return strings.Replace(text, `"limits":`, `"tenants":[{"name":"desk","api-keys":[`+list+`]`+quota+`}],"limits":`, 1)
 }
 
-func newKeyedFleet(t *testing.T, nodes int, quota string) (*fleetRig, *standin.Worker) {
+func newClusterWithKeys(t *testing.T, nodes int, quota string) (*testCluster, *standin.Worker) {
 	t.Helper()
-	f := &fleetRig{t: t, store: standin.NewStore(t), key: deskKey, tune: func(s *front.Settings) {
+	f := &testCluster{t: t, store: standin.NewStore(t), key: deskKey, adjust: func(s *front.Settings) {
 		s.RevokeMS = int(revocation.Milliseconds())
 		s.QuotaOver, s.QuotaSlack, s.QuotaSpanS = 0.1, 200, 2
 	}}
-	engine, _ := f.run(nodes, withTeams(1, quota, deskKey))
+	engine, _ := f.run(nodes, configWithTeam(1, quota, deskKey))
 	return f, engine
 }
 
-// reached waits until all nodes report to the holder.
-func (f *fleetRig) reached() {
+// waitForLeader waits until all nodes have reached the leader.
+func (f *testCluster) waitForLeader() {
 	f.t.Helper()
 	for _, p := range f.nodes {
 		require.Eventually(f.t, func() bool { return p.logs.FilterMessage("leader-reached").Len() > 0 }, 5*time.Second, time.Millisecond)
@@ -44,15 +44,15 @@
 }
 
 func TestKeysAreAddedAndRevokedOnAllNodes(t *testing.T) {
-	f, _ := newKeyedFleet(t, 3, "")
-	f.reached()
+	f, _ := newClusterWithKeys(t, 3, "")
+	f.waitForLeader()
 	for i, p := range f.nodes {
 		status, body := p.get(t, "/calls/x", fmt.Sprint("c", i), "")
 		require.Equal(t, 200, status, body)
 		status, body = p.get(t, "/plans/x", fmt.Sprint("p", i), "m0")
 		require.Equal(t, 200, status, body)
 	}
-	f.store.Put(platform.TableOperator, platform.KeyConfig, []byte(withTeams(2, "", "k-new")))
+	f.store.Put(platform.TableOperator, platform.KeyConfig, []byte(configWithTeam(2, "", "k-new")))
 	for i, p := range f.nodes {
 		p.key = "k-new"
 		require.Eventually(t, func() bool { status, _ := p.get(t, "/calls/x", fmt.Sprint("n", i), ""); return status == 200 },
@@ -63,16 +63,17 @@
 	}
 }
 
-// TestNodesStopServingKeysThatTheyCannotCheck has the store go away for all nodes.
-func TestNodesStopServingKeysThatTheyCannotCheck(t *testing.T) {
-	f, engine := newKeyedFleet(t, 3, "")
-	f.reached()
+// TestNodesRefuseKeysTheyCannotCheck guards against API keys that are accepted for longer
+// than the revocation time while the store is unavailable to all nodes.
+func TestNodesRefuseKeysTheyCannotCheck(t *testing.T) {
+	f, engine := newClusterWithKeys(t, 3, "")
+	f.waitForLeader()
 	f.store.Outage(true)
-	away := time.Now()
+	outageStart := time.Now()
 	for _, p := range f.nodes {
 		require.Eventually(t, func() bool { status, _ := p.get(t, "/plans/x", "p", "m0"); return status == 503 },
 			2*revocation, 5*time.Millisecond)
-		require.Less(t, time.Since(away), revocation+time.Second/10)
+		require.Less(t, time.Since(outageStart), revocation+time.Second/10)
 		require.False(t, p.ready(), "the balancer sends clients elsewhere")
 	}
 	ran := len(engine.Runs())
@@ -86,17 +87,18 @@
 	}
 }
 
-// TestANodeThatTheStoreTurnsAwayServesKeysThatTheHolderVouchesFor has one node reach
-// the other nodes and not the store.
-func TestANodeThatTheStoreTurnsAwayServesKeysThatTheHolderVouchesFor(t *testing.T) {
-	f, _ := newKeyedFleet(t, 2, "")
-	f.reached()
-	away := standin.NewStore(t)
-	away.Outage(true)
-	served := f.store
-	f.seeds, f.store = []string{f.nodes[0].settings.Control}, away
+// TestNodeRejectedByStoreServesKeysConfirmedByLeader guards against refused API keys at a
+// node that reaches the other nodes but not the store, while the leader confirms its
+// configuration.
+func TestNodeRejectedByStoreServesKeysConfirmedByLeader(t *testing.T) {
+	f, _ := newClusterWithKeys(t, 2, "")
+	f.waitForLeader()
+	unavailable := standin.NewStore(t)
+	unavailable.Outage(true)
+	available := f.store
+	f.seeds, f.store = []string{f.nodes[0].settings.Control}, unavailable
 	p := f.start("late")
-	f.store = served
+	f.store = available
 	require.Eventually(t, p.ready, 5*time.Second, 5*time.Millisecond)
 	require.Eventually(t, func() bool { return p.logs.FilterMessage("leader-reached").Len() > 0 }, 5*time.Second, time.Millisecond)
 	refused := 0
@@ -106,25 +108,25 @@
 		}
 	}
 	require.Zero(t, refused)
-	f.store.Put(platform.TableOperator, platform.KeyConfig, []byte(withTeams(2, "", "k-new")))
+	f.store.Put(platform.TableOperator, platform.KeyConfig, []byte(configWithTeam(2, "", "k-new")))
 	require.Eventually(t, func() bool { status, _ := p.get(t, "/calls/x", "late", ""); return status != 200 }, revocation, 5*time.Millisecond)
 }
 
-// TestAllNodesTogetherKeepToAQuota has a team ask three nodes for many times its quota.
-func TestAllNodesTogetherKeepToAQuota(t *testing.T) {
+// TestQuotaHoldsAcrossNodes has a team send many times its quota to three nodes.
+func TestQuotaHoldsAcrossNodes(t *testing.T) {
 	const rate, cost, slack, over = 1000, 110, 200, 0.1
-	f, engine := newKeyedFleet(t, 3, fmt.Sprintf(`,"unit":"tokens","plain-tokens":50,"rate-per-s":%d,"burst":%d`, rate, rate))
-	f.reached()
-	began := time.Now()
+	f, engine := newClusterWithKeys(t, 3, fmt.Sprintf(`,"unit":"tokens","plain-tokens":50,"rate-per-s":%d,"burst":%d`, rate, rate))
+	f.waitForLeader()
+	start := time.Now()
 	statuses := map[int]int{}
-	for i := 0; time.Since(began) < 2*time.Second; i++ {
+	for i := 0; time.Since(start) < 2*time.Second; i++ {
 		status, _ := f.nodes[i%3].get(t, "/plans/x", fmt.Sprint("p", i), "m0")
 		statuses[status]++
 	}
-	span := time.Since(began).Seconds()
+	span := time.Since(start).Seconds()
 	spent := float64(cost * len(engine.Runs()))
 	require.LessOrEqual(t, spent, (rate*span+rate)*(1+over)+slack)
-	require.Greater(t, spent, rate*span*0.8, "the team gets what it is owed")
+	require.Greater(t, spent, rate*span*0.8, "the team gets its quota")
 	require.Positive(t, statuses[429])
 	require.Equal(t, len(engine.Runs()), statuses[200])
 	require.Len(t, statuses, 2, statuses)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -11,20 +11,21 @@
 	"guavapaddle/platform/standin"
 )
 
-// drainWithin is how long after its answer a server that leaves may get requests.
-const drainWithin = 2 * time.Second
+// maxDrain is how long after its first response a leaving server may get requests.
+const maxDrain = 2 * time.Second
 
-// bothKinds names a path and, for an engine, a model of each kind of service.
-var bothKinds = map[string]struct{ path, model string }{
+// serviceKinds lists, for each kind of service, a path and, for engines, a model.
+var serviceKinds = map[string]struct{ path, model string }{
 	"engine": {"/plans/x", "m0"},
 	"plain":  {"/calls/x", ""},
 }
 
-// newPair starts nodes before a server of a service, an engine if there is a model, and returns it
-// with its service. Another server that it is preferred to stands beside it if asked for.
-func newPair(t *testing.T, nodes int, model string, beside bool) (f *fleetRig, preferred *standin.Worker, service string) {
+// newPair starts nodes and a server of a service, which is a model engine if a model is
+// given, and returns the server with the name of its service. If beside is set, the service
+// has a second server, to which the first is preferred.
+func newPair(t *testing.T, nodes int, model string, beside bool) (f *testCluster, preferred *standin.Worker, service string) {
 	t.Helper()
-	f = &fleetRig{t: t, store: standin.NewStore(t)}
+	f = &testCluster{t: t, store: standin.NewStore(t)}
 	service = "plain"
 	if model != "" {
 		service = "llm"
@@ -40,11 +41,12 @@
 	return f, plain, service
 }
 
-// TestAServerThatSaysItLeavesGetsNoRequests has the store be away, so that only the
-// server's answers say that it leaves, and its entry come again as ready.
-func TestAServerThatSaysItLeavesGetsNoRequests(t *testing.T) {
+// TestLeavingServerGetsNoRequests guards against requests to a server that has announced in
+// its responses that it is leaving. During an outage of the store only these responses are
+// known, and then the server's entry appears again as ready.
+func TestLeavingServerGetsNoRequests(t *testing.T) {
 	t.Parallel()
-	for name, x := range bothKinds {
+	for name, x := range serviceKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, leaving, service := newPair(t, 3, x.model, true)
@@ -54,10 +56,10 @@
 				f.store.Outage(false)
 				f.store.Put(platform.TableServers, leaving.ID, leaving.Entry(service, "z", false))
 			})
-			statuses := f.press(x.path, x.model, 50*time.Millisecond, 5*time.Second)
-			came := leaving.Visits()
-			require.NotEmpty(t, came)
-			require.Less(t, came[len(came)-1].At.Sub(came[0].At), drainWithin, "the last of %d requests after the first; statuses %v", len(came), statuses)
+			statuses := f.sendLoad(x.path, x.model, 50*time.Millisecond, 5*time.Second)
+			visits := leaving.Visits()
+			require.NotEmpty(t, visits)
+			require.Less(t, visits[len(visits)-1].At.Sub(visits[0].At), maxDrain, "the last of %d requests after the first; statuses %v", len(visits), statuses)
 			require.NotZero(t, statuses[200])
 			require.Len(t, statuses, 1, fmt.Sprint(statuses))
 		})
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	limitSpan  = 4 * time.Second // over which a server's requests are counted
-	limitPart  = 1.5             // of its rate that it may get
-	limitExtra = 5               // requests beyond
+	limitWindow = 4 * time.Second // window in which a server's requests are counted
+	limitFactor = 1.5             // factor by which its rate may be exceeded
+	limitExtra  = 5               // further requests allowed
 )
 
-// mostIn returns the most requests that a server ran in any span.
-func mostIn(ran []standin.Ran, span time.Duration) int {
-	most := 0
-	for i, first := range ran {
+// maxInWindow returns the maximum number of requests that a server ran in any window.
+func maxInWindow(runs []standin.Ran, window time.Duration) int {
+	maximum := 0
+	for i, first := range runs {
 		n := 0
-		for _, r := range ran[i:] {
-			if r.At.Sub(first.At) < span {
+		for _, r := range runs[i:] {
+			if r.At.Sub(first.At) < window {
 				n++
 			}
 		}
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return most
+	return maximum
 }
 
 // offsets lists requests with their times since the first one.
-func offsets(ran []standin.Ran) string {
+func offsets(runs []standin.Ran) string {
 	var out strings.Builder
-	for _, r := range ran {
-		fmt.Fprintf(&out, "%v %s\n", r.At.Sub(ran[0].At).Round(time.Millisecond), r.ID)
+	for _, r := range runs {
+		fmt.Fprintf(&out, "%v %s\n", r.At.Sub(runs[0].At).Round(time.Millisecond), r.ID)
 	}
 	return out.String()
 }
 
-// press has all nodes send requests, each some a second, for a time, and returns how many of
-// each status there were.
-func (f *fleetRig) press(path, model string, every, lasts time.Duration) map[int]int {
+// sendLoad has each node send one request per interval for a duration, and returns the
+// number of responses by status.
+func (f *testCluster) sendLoad(path, model string, interval, duration time.Duration) map[int]int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	statuses := map[int]int{}
 	for _, p := range f.nodes {
 		all.Go(func() {
-			tick := time.NewTicker(every)
+			tick := time.NewTicker(interval)
 			defer tick.Stop()
-			for n, began := 0, time.Now(); time.Since(began) < lasts; n++ {
+			for n, start := 0, time.Now(); time.Since(start) < duration; n++ {
 				<-tick.C
 				all.Go(func() {
 					status, _ := p.get(f.t, path, fmt.Sprintf("%s-%d", p.settings.Node, n), model)
@@ -71,10 +71,10 @@
 func TestARateThatAServerNamesBindsAllNodesTogether(t *testing.T) {
 	t.Parallel()
 	const rate = 2.0
-	for name, x := range bothKinds {
+	for name, x := range serviceKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, engine, plain := newFleet(t, 3)
+			f, engine, plain := newCluster(t, 3)
 			limited := plain
 			other := (&standin.Worker{ID: "i-other", Stream: 5}).Hold("m0").Start(t)
 			entry := other.Entry("plain", "z", false)
@@ -83,37 +83,39 @@
 			}
 			f.store.Put(platform.TableServers, "i-other", entry)
 			limited.NameRate(rate)
-			statuses := f.press(x.path, x.model, 50*time.Millisecond, 6*time.Second)
-			require.LessOrEqual(t, mostIn(limited.Ran(), limitSpan), int(limitPart*rate*limitSpan.Seconds())+limitExtra)
+			statuses := f.sendLoad(x.path, x.model, 50*time.Millisecond, 6*time.Second)
+			require.LessOrEqual(t, maxInWindow(limited.Ran(), limitWindow), int(limitFactor*rate*limitWindow.Seconds())+limitExtra)
 			require.NotEmpty(t, limited.Ran())
 			sent := 0
 			for _, n := range statuses {
 				sent += n
 			}
-			require.GreaterOrEqual(t, statuses[200], sent*95/100, "the other server takes what is left: %v", statuses)
+			require.GreaterOrEqual(t, statuses[200], sent*95/100, "the other server takes the remaining requests: %v", statuses)
 		})
 	}
 }
 
-// TestARateThatAServerNamesBindsWhileTheHolderChanges stops the node that grants places
-// while nodes press, so that they pick servers by themselves and the next one grants anew.
+// TestARateThatAServerNamesBindsWhileTheHolderChanges guards against exceeding a server's
+// rate limit during a change of leader. The leader is stopped under load, so that nodes
+// select servers by themselves for a while and the next leader starts granting from an empty
+// state.
 func TestARateThatAServerNamesBindsWhileTheHolderChanges(t *testing.T) {
 	t.Parallel()
 	const rate = 2.0
-	f, engine, _ := newFleet(t, 4)
+	f, engine, _ := newCluster(t, 4)
 	engine.NameRate(rate)
 	stopped := make(chan struct{})
 	time.AfterFunc(2*time.Second, func() {
 		defer close(stopped)
-		holder := string(f.store.Row("lease", "orders").Value)
+		leaderRow := string(f.store.Row("lease", "orders").Value)
 		for _, p := range f.nodes {
-			if strings.Contains(holder, `"node":"`+p.settings.Node+`"`) {
+			if strings.Contains(leaderRow, `"node":"`+p.settings.Node+`"`) {
 				p.stop()
 			}
 		}
 	})
-	statuses := f.press("/plans/x", "m0", 100*time.Millisecond, 7*time.Second)
+	statuses := f.sendLoad("/plans/x", "m0", 100*time.Millisecond, 7*time.Second)
 	<-stopped
-	require.LessOrEqual(t, mostIn(engine.Ran(), limitSpan), int(limitPart*rate*limitSpan.Seconds())+limitExtra, offsets(engine.Ran()))
-	require.GreaterOrEqual(t, len(engine.Ran()), 9, "half of what the server takes, and more: %v", statuses)
+	require.LessOrEqual(t, maxInWindow(engine.Ran(), limitWindow), int(limitFactor*rate*limitWindow.Seconds())+limitExtra, offsets(engine.Ran()))
+	require.GreaterOrEqual(t, len(engine.Ran()), 9, "more than half of what the server's limit allows: %v", statuses)
 }
--- a/internal/front/members.go
+++ b/internal/front/members.go
@@ -16,31 +16,31 @@
 
 const (
 	nodeTable = "node"
-	// registerRetry is the pause before the node's row is written again.
+	// registerRetry is the delay before a failed write of the node's row is repeated.
 	registerRetry = 300 * time.Millisecond
-	// trustRetry bounds how often the rows of nodes are read for a key that
-	// isn't known.
-	trustRetry = 300 * time.Millisecond
+	// minKeyReadInterval is the minimum time between two reads of the node rows that unknown
+	// keys trigger.
+	minKeyReadInterval = 300 * time.Millisecond
 )
 
 type (
-	// nodeRow is the value of a node's own row in the store.
+	// nodeRow is the value of a node's row in the store.
 	nodeRow struct {
 		Address    string `json:"address"`
 		DataCentre string `json:"data-centre"`
-		Key        string `json:"key"` // fingerprint of its certificate
+		Key        string `json:"key"` // fingerprint of the node's certificate
 	}
 
-	// trust holds the keys of the nodes as last read.
-	trust struct {
-		mu   sync.Mutex
-		keys map[string]bool
-		read time.Time
-		busy bool
+	// trustedKeys holds the keys of the nodes as last read from the store.
+	trustedKeys struct {
+		mu      sync.Mutex
+		keys    map[string]bool
+		readAt  time.Time
+		reading bool
 	}
 )
 
-// register writes the node's own row, and again each refresh.
+// register writes the node's row, and again after each refresh period.
 func (n *Node) register(ctx context.Context) {
 	value, err := json.Marshal(nodeRow{Address: n.settings.Peers, DataCentre: n.settings.DataCentre, Key: n.key.Fingerprint()})
 	if err != nil {
@@ -52,32 +52,32 @@
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
 		_, _, ok, err := n.store.Change(call, platform.Change{Set: []platform.Row{row}})
 		cancel()
-		pause := roster.Refresh
+		delay := roster.Refresh
 		if !ok {
 			n.log.Warn("node-row-failed", zap.Error(err))
-			pause = registerRetry
+			delay = registerRetry
 		}
-		if !clock.Sleep(ctx, pause) {
+		if !clock.Sleep(ctx, delay) {
 			return
 		}
 	}
 }
 
-// tidy removes the rows of nodes that are gone, while this node holds the lease.
-func (n *Node) tidy(ctx context.Context) {
+// cleanUpRows removes the rows of nodes that have left, while this node is the leader.
+func (n *Node) cleanUpRows(ctx context.Context) {
 	var w roster.Watcher
 	for clock.Sleep(ctx, roster.Refresh) {
 		if !n.placer.Holding() {
 			w = roster.Watcher{}
 			continue
 		}
-		n.removeGone(ctx, &w)
+		n.removeExpired(ctx, &w)
 	}
 }
 
-// removeGone removes the rows that a watch finds left behind, unless they have
-// been written since they were read.
-func (n *Node) removeGone(ctx context.Context, w *roster.Watcher) {
+// removeExpired removes the rows that the watcher considers expired, unless they have been
+// written since they were read.
+func (n *Node) removeExpired(ctx context.Context, w *roster.Watcher) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	rows, _, err := n.store.Read(ctx, nodeTable, "", "")
@@ -96,29 +96,29 @@
 	}
 }
 
-// trusted tells whether a key is the leader's, or its deputy's, or stands in a node's
-// row.
-func (n *Node) trusted(key string) bool {
+// isTrusted reports whether a key belongs to the leader, its deputy, or a node with a row in
+// the store. An unknown key triggers a read of the rows.
+func (n *Node) isTrusted(key string) bool {
 	if l, ok := n.placer.Leader(); ok && l.Key == key {
 		return true
 	}
-	if at := n.deputyAt.Load(); at != nil && at.Key == key {
+	if at := n.deputy.Load(); at != nil && at.Key == key {
 		return true
 	}
-	n.peers.mu.Lock()
-	defer n.peers.mu.Unlock()
-	if n.peers.keys[key] {
+	n.peerKeys.mu.Lock()
+	defer n.peerKeys.mu.Unlock()
+	if n.peerKeys.keys[key] {
 		return true
 	}
-	if !n.peers.busy && time.Since(n.peers.read) > trustRetry {
-		n.peers.busy = true
-		go n.readPeers()
+	if !n.peerKeys.reading && time.Since(n.peerKeys.readAt) > minKeyReadInterval {
+		n.peerKeys.reading = true
+		go n.readPeerKeys()
 	}
 	return false
 }
 
-// add notes keys that another node vouches for.
-func (t *trust) add(keys []string) {
+// add adds keys that another node has passed on.
+func (t *trustedKeys) add(keys []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := maps.Clone(t.keys)
@@ -131,8 +131,8 @@
 	t.keys = known
 }
 
-// readPeers reads the rows of all nodes.
-func (n *Node) readPeers() {
+// readPeerKeys reads the rows of all nodes.
+func (n *Node) readPeerKeys() {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	rows, _, err := n.store.Read(ctx, nodeTable, "", "")
@@ -145,13 +145,13 @@
 		}
 		keys[v.Key] = true
 	}
-	n.peers.mu.Lock()
-	defer n.peers.mu.Unlock()
-	n.peers.busy = false
-	n.peers.read = time.Now()
+	n.peerKeys.mu.Lock()
+	defer n.peerKeys.mu.Unlock()
+	n.peerKeys.reading = false
+	n.peerKeys.readAt = time.Now()
 	if err != nil {
 		n.log.Warn("node-rows-failed", zap.Error(err))
 		return
 	}
-	n.peers.keys = keys
+	n.peerKeys.keys = keys
 }
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -39,105 +39,107 @@
 )
 
 const (
-	// Notice is how long a node that stops goes on serving: the balancer asks
-	// each second and takes a node out after two misses.
+	// Notice is how long a stopping node goes on serving: the balancer probes each second
+	// and removes a node after two failed probes.
 	Notice = 3 * time.Second
-	// lastMargin is kept before the platform's kill.
-	lastMargin = 500 * time.Millisecond
-	// partsMargin is the part of lastMargin in which what doesn't serve clients
-	// may still end; the rest is for the last lines.
-	partsMargin = 300 * time.Millisecond
-	// reservedDescriptors are kept for files, and connections to servers.
+	// killMargin is the time kept in reserve before the platform kills the process.
+	killMargin = 500 * time.Millisecond
+	// taskMargin is the part of killMargin in which tasks that don't serve clients may still
+	// end; the rest is for the last log lines.
+	taskMargin = 300 * time.Millisecond
+	// reservedDescriptors is the number of descriptors reserved for files and connections to
+	// servers.
 	reservedDescriptors = 200
-	// clientPart is the part of the other descriptors that clients may use.
-	clientPart = 0.6
-	// memoryPart is the part of the memory bound at which the garbage collector
-	// works harder; the rest is for stacks, buffers of the kernel, and code.
-	memoryPart = 0.75
-	sweepEvery = time.Second
-	// peerIdle is how long another node may be silent, which reports each 0.8 s,
-	// before its connection ends and with it the places that it had.
-	peerIdle = 5 * time.Second
+	// clientShare is the share of the other descriptors that clients may use.
+	clientShare = 0.6
+	// memoryShare is the share of the memory bound that is set as the garbage collector's
+	// limit; the rest is for stacks, kernel buffers and code.
+	memoryShare   = 0.75
+	sweepInterval = time.Second
+	// peerIdleTimeout is how long another node may be silent before its connection is closed
+	// and its slots are released. Nodes report every 0.8 s or more often.
+	peerIdleTimeout = 5 * time.Second
 )
 
-// Node is one process. New makes one.
+// Node is one process of the service, created by New.
 type Node struct {
-	settings      Settings
-	log           *zap.Logger
-	store         *platform.Store
-	gateway       *gateway.Gateway
-	placer        *placer.Placer
-	hub           *hub.Hub
-	granter       *granter.Granter
-	follower      *follow.Follower
-	endpoint      *peer.Endpoint
-	key           *keys.Memory
-	clients       *http1.Server
-	probes        *http1.Server
-	registry      *prometheus.Registry
-	stopping      atomic.Bool
-	servers       servers
-	engines       atomic.Pointer[map[string]bool] // those of the servers that are model engines
-	reached       atomic.Int64                    // boot time of the holder's last answer to a report
-	heardAt       atomic.Int64                    // boot time of its last answer to anything
-	suspect       atomic.Bool                     // it left a request for a place without an answer
-	fedAt         atomic.Int64                    // boot time at which it last passed the store's changes on
-	nodes         atomic.Int64                    // that reported to the holder of late
-	holderHas     atomic.Int64                    // version of the holder's copy of the table of servers
-	isDeputy      atomic.Bool                     // this node follows the store for all
-	deputyAt      atomic.Pointer[hub.Contact]     // the deputy
-	deputyHeard   atomic.Int64                    // boot time of the deputy's last answer to a report
-	deputyRefused atomic.Int64                    // boot time at which the deputy last refused
-	acting        atomic.Bool                     // this node is the deputy and grants places
-	heard         hub.Heard                       // what the holder has told; of the exchange only
-	roster        uint64                          // up to where it told a deputy who reports; likewise
-	echo          hub.Echo                        // of the last answer to a report; likewise
-	echoAt        time.Duration                   // boot time of its arrival; likewise
-	refresher     refresher
-	peers         trust
-	contact       contact
-	seeds         clientCache
-	listeners     []net.Listener
+	settings             Settings
+	log                  *zap.Logger
+	store                *platform.Store
+	gateway              *gateway.Gateway
+	placer               *placer.Placer
+	hub                  *hub.Hub
+	granter              *granter.Granter
+	follower             *follow.Follower
+	endpoint             *peer.Endpoint
+	key                  *keys.Memory
+	clients              *http1.Server
+	probes               *http1.Server
+	registry             *prometheus.Registry
+	stopping             atomic.Bool
+	servers              servers
+	engineIDs            atomic.Pointer[map[string]bool] // IDs of the servers that are model engines
+	leaderReplyAt        atomic.Int64                    // boot time of the leader's last reply to a report
+	leaderMessageAt      atomic.Int64                    // boot time of the leader's last message of any kind
+	leaderSuspect        atomic.Bool                     // the leader left a slot request without a reply
+	feedAt               atomic.Int64                    // boot time of the last update from the leader that was not outdated
+	nodeCount            atomic.Int64                    // number of nodes that recently reported to the leader
+	leaderServersVersion atomic.Int64                    // version of the leader's copy of the server table
+	isDeputy             atomic.Bool                     // this node follows the store on behalf of all nodes
+	deputy               atomic.Pointer[hub.Contact]     // address and key of the deputy
+	deputyReplyAt        atomic.Int64                    // boot time of the deputy's last reply to a report
+	deputyRefusedAt      atomic.Int64                    // boot time of the deputy's last refusal
+	acting               atomic.Bool                     // this node is the deputy and grants slots
+	ack                  hub.Heard                       // what the leader has acknowledged; used by runExchange only
+	roster               uint64                          // version of the leader's roster that a deputy has; likewise
+	echo                 hub.Echo                        // clock echo of the last reply to a report; likewise
+	echoAt               time.Duration                   // boot time of the arrival of that reply; likewise
+	refresher            refresher
+	peerKeys             trustedKeys
+	leaderCalls          callGroup
+	seeds                clientCache
+	listeners            []net.Listener
 }
 
-// New returns a node that hasn't opened anything yet.
+// New returns a node that hasn't opened any listener or connection yet.
 func New(s Settings, log *zap.Logger) (*Node, error) {
-	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryPart * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * (1 << 20)))
 	key, err := keys.NewMemory(s.Node)
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{settings: s, log: log, key: key, hub: &hub.Hub{Self: s.Node}, registry: prometheus.NewRegistry()}
-	key.Trusted = n.trusted
+	key.Trusted = n.isTrusted
 	n.store = n.newStore()
 	m := gateway.NewMetrics()
 	n.registry.MustRegister(m.Collectors()...)
-	n.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: s.DataCentre, Metrics: m, Want: n.want, Place: n.place,
+	n.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: s.DataCentre, Metrics: m, Want: n.requestLoad, Place: n.acquireSlot,
 		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Repeats: n.repeats(), Refresh: n.refresh,
-		OnDeparture: func(i departure.Incarnation) bool { return n.departs(i) }, KeyAge: s.keyAge(), Tolerance: s.tolerance()}
+		Repeats: n.retryBudget(), Refresh: n.refresh,
+		OnDeparture: func(i departure.Incarnation) bool { return n.addLeaving(i) }, KeyAge: s.keyAge(), Tolerance: s.tolerance()}
 	n.gateway.Run(balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
-	n.endpoint = &peer.Endpoint{Address: s.Peers, TLS: key, DialTimeout: exchangeTimeout, IdleTimeout: peerIdle,
+	n.endpoint = &peer.Endpoint{Address: s.Peers, TLS: key, DialTimeout: exchangeTimeout, IdleTimeout: peerIdleTimeout,
 		OnMessage: func(string, peer.Frame) {},
 		OnCall: func(ctx context.Context, _ string, f peer.Frame, st *peer.Stream) {
 			hub.Serve(ctx, n, f, st)
 		}}
-	n.hub.Granted = n.granted
+	n.hub.Granted = n.isGranted
 	n.granter = &granter.Granter{Log: log, Counts: n.hub.Counts, Limits: n.gateway.Limits, Tolerance: s.tolerance()}
 	n.registry.MustRegister(n.granter)
 	n.placer = n.newPlacer()
 	n.granter.Adapter = n.placer.Want
-	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, Fed: n.beingFed, Led: n.isLed,
+	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, Fed: n.hasFeed, Led: n.hasLeader,
 		Role: n.role, Ask: n.join, Heartbeat: time.Duration(s.HeartbeatMS) * time.Millisecond, ProofWithin: n.gateway.KeyAge}
 	n.gateway.ConfigAge = n.follower.ConfigAge
 	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, Refused: n.refused, AcceptFailed: n.acceptFailed,
-		Most: int(float64(s.Descriptors-reservedDescriptors) * clientPart)}
+		Most: int(float64(s.Descriptors-reservedDescriptors) * clientShare)}
 	n.probes = &http1.Server{Handler: readiness{n}, AcceptFailed: n.acceptFailed}
 	return n, nil
 }
 
-// repeats returns what services bear by the settings, where zero means none.
-func (n *Node) repeats() retry.ServiceBudget {
+// retryBudget returns the retry budget of a service from the settings, where zero means no
+// retries.
+func (n *Node) retryBudget() retry.ServiceBudget {
 	s := n.settings
 	f := retry.ServiceBudget{Ratio: s.RepeatRatio, Extra: s.RepeatExtra, Window: time.Duration(s.RepeatSpanS * float64(time.Second))}
 	if f.Ratio == 0 {
@@ -173,7 +175,7 @@
 		},
 		Fencing:   n.settings.CheckEpochs,
 		Window:    time.Duration(n.settings.LoadWindowS * float64(time.Second)),
-		Reachable: n.isCovered,
+		Reachable: n.hasCoordinator,
 		Ordered:   func(v string) { orders.WithLabelValues(v).Inc() },
 		Began:     n.granter.Reset,
 		Lacking:   n.granter.Waiting,
@@ -189,26 +191,26 @@
 	}
 	n.log.Info("start", zap.String("node", n.settings.Node), zap.String("data-centre", n.settings.DataCentre),
 		zap.String("clients", n.settings.Clients), zap.String("key", n.key.Fingerprint()[:16]))
-	work, end := context.WithCancel(context.Background())
-	running := parts.Group{Log: n.log}
+	taskCtx, endTasks := context.WithCancel(context.Background())
+	tasks := parts.Group{Log: n.log}
 	for name, task := range map[string]func(context.Context){
-		"follower": n.follower.Run, "placer": n.placer.Run, "granter": n.granter.Run, "register": n.register, "tidy": n.tidy,
-		"exchange": n.exchange, "sweep": n.sweep, "reload": n.reload, "peers": n.servePeers,
+		"follower": n.follower.Run, "placer": n.placer.Run, "granter": n.granter.Run, "register": n.register, "tidy": n.cleanUpRows,
+		"exchange": n.runExchange, "sweep": n.sweep, "reload": n.reload, "peers": n.servePeers,
 	} {
-		running.Go(name, func() { task(work) })
+		tasks.Go(name, func() { task(taskCtx) })
 	}
 	<-ctx.Done()
-	last := time.Now().Add(n.grace() + partsMargin)
+	deadline := time.Now().Add(n.grace() + taskMargin)
 	n.stop()
-	end()
-	err := running.Wait(time.Until(last))
+	endTasks()
+	err := tasks.Wait(time.Until(deadline))
 	n.log.Info("stopped", zap.Int("connections", n.clients.Open()))
 	return err
 }
 
-// grace returns how long a stop may take for the sake of clients.
+// grace returns how long a stop may take to complete requests of clients.
 func (n *Node) grace() time.Duration {
-	return time.Duration(n.settings.GraceS*float64(time.Second)) - lastMargin
+	return time.Duration(n.settings.GraceS*float64(time.Second)) - killMargin
 }
 
 func (n *Node) servePeers(ctx context.Context) {
@@ -245,7 +247,8 @@
 	return nil
 }
 
-// serveUntilClosed returns what serves on a listener until that is closed.
+// serveUntilClosed returns a function that serves on a listener until the listener is
+// closed.
 func serveUntilClosed(s *http1.Server) func(net.Listener) error {
 	return func(l net.Listener) error {
 		s.Serve(l)
@@ -261,19 +264,20 @@
 	return nil
 }
 
-// stop ends the node's work for clients without cutting any.
+// stop ends the service for clients without cutting any request off before the grace period
+// has passed.
 func (n *Node) stop() {
-	began := time.Now()
+	started := time.Now()
 	n.stopping.Store(true)
 	n.clients.Drain()
 	n.log.Info("stopping", zap.Int("connections", n.clients.Open()))
 	grace := n.grace()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace))
+	ctx, cancel := context.WithDeadline(context.Background(), started.Add(grace))
 	defer cancel()
 	n.placer.Release(ctx)
-	notice, done := context.WithDeadline(ctx, began.Add(min(Notice, grace/2)))
-	defer done()
-	<-notice.Done()
+	drainCtx, cancelDrain := context.WithDeadline(ctx, started.Add(min(Notice, grace/2)))
+	defer cancelDrain()
+	<-drainCtx.Done()
 	n.gateway.Stop()
 	_ = n.listeners[0].Close()
 	n.clients.Shutdown(ctx)
@@ -282,7 +286,7 @@
 	}
 }
 
-// ready tells whether the node can serve.
+// ready reports whether the node can serve.
 func (n *Node) ready() bool {
 	return !n.stopping.Load() && n.gateway.Serves() && n.hasServers()
 }
@@ -293,10 +297,10 @@
 	n.granter.Teams(n.gateway.Config().Teams())
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
-	n.noteEngines(n.servers.list)
+	n.updateEngines(n.servers.list)
 }
 
-// limits returns the bounds on clients of the configuration in force.
+// limits returns the limits for clients in the current configuration.
 func (n *Node) limits() http1.Limits {
 	c := n.gateway.Config()
 	if c == nil {
@@ -306,19 +310,19 @@
 	return http1.Limits{HeaderBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, HeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
 }
 
-// acceptFailed logs a connection that could not be accepted.
+// acceptFailed logs a connection that couldn't be accepted.
 func (n *Node) acceptFailed(err error) {
 	n.log.Error("accept-failed", zap.Error(err))
 }
 
-// refused logs a request that could not be read.
+// refused logs a request that couldn't be read.
 func (n *Node) refused(err error) {
 	n.log.Info("request-unreadable", zap.Error(err))
 }
 
-// sweep closes connections to servers that were idle for too long.
+// sweep closes connections to servers that have been idle for too long.
 func (n *Node) sweep(ctx context.Context) {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -330,8 +334,8 @@
 	}
 }
 
-// reload takes a signal that the settings file has changed. Addresses hold for
-// the life of the process, so there is nothing to take over while it runs.
+// reload logs the signal that the settings file has changed. Addresses are fixed for the
+// life of the process, so no setting is applied while it runs.
 func (n *Node) reload(ctx context.Context) {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
@@ -346,10 +350,10 @@
 	}
 }
 
-// readiness answers probes.
+// readiness responds to probes.
 type readiness struct{ n *Node }
 
-// Handle answers 200 if the node is ready and 503 if it isn't.
+// Handle responds with 200 if the node is ready and with 503 otherwise.
 func (r readiness) Handle(x *http1.Exchange) {
 	status := http.StatusServiceUnavailable
 	if r.n.ready() {
--- a/internal/front/refresh.go
+++ b/internal/front/refresh.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// refreshPause is the least time between two reports that requests ask for. Many
-	// unknown keys cost no more than one.
-	refreshPause = time.Second
-	// refreshCheck is how often a refresh looks whether the newer version is here.
-	refreshCheck = 10 * time.Millisecond
+	// minRefreshInterval is the minimum time between two reports triggered by requests, so
+	// that many unknown API keys cost no more than one.
+	minRefreshInterval = time.Second
+	// refreshPoll is how often a refresh checks whether the newer version has arrived.
+	refreshPoll = 10 * time.Millisecond
 )
 
-// refresher lets requests have the node report at once, and wait for the answer. The
-// zero value is ready.
+// refresher lets requests trigger a report to the leader and wait for its completion. The
+// zero value is ready for use.
 type refresher struct {
-	mu    sync.Mutex
-	wake  chan struct{} // closed when a report is due at once
-	ended chan struct{} // closed when the next report has ended
-	last  time.Duration // boot time of the last one asked for, zero for none
+	mu          sync.Mutex
+	wake        chan struct{} // closed when an immediate report is requested
+	completed   chan struct{} // closed when the next report has completed
+	requestedAt time.Duration // boot time of the last requested report, zero for none
 }
 
-// init makes the channels; r.mu is held.
+// init creates the channels; r.mu is held.
 func (r *refresher) init() {
 	if r.wake == nil {
-		r.wake, r.ended = make(chan struct{}), make(chan struct{})
+		r.wake, r.completed = make(chan struct{}), make(chan struct{})
 	}
 }
 
-// sleep waits for d, or until a report is asked for, and tells whether ctx is still open.
+// sleep waits for d, or until a report is requested, and reports whether ctx is still
+// active.
 func (r *refresher) sleep(ctx context.Context, d time.Duration) bool {
 	r.mu.Lock()
 	r.init()
@@ -48,12 +49,12 @@
 	return ctx.Err() == nil
 }
 
-// done ends the waits for a report.
-func (r *refresher) done() {
+// finish wakes the requests that wait for a report.
+func (r *refresher) finish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	close(r.ended)
-	r.ended = make(chan struct{})
+	close(r.completed)
+	r.completed = make(chan struct{})
 	select {
 	case <-r.wake:
 		r.wake = make(chan struct{})
@@ -61,38 +62,37 @@
 	}
 }
 
-// ask has a report made, unless one was asked for of late, and waits for its end. It
-// returns false if there is nothing to wait for.
-func (r *refresher) ask(ctx context.Context) bool {
+// request triggers a report, unless one was requested recently, and waits for its
+// completion. It returns false if there is nothing to wait for.
+func (r *refresher) request(ctx context.Context) bool {
 	r.mu.Lock()
 	r.init()
 	now := clock.Boot()
 	select {
-	case <-r.wake: // one that was asked for is under way
+	case <-r.wake: // a requested report is already pending
 	default:
-		if r.last != 0 && now-r.last < refreshPause {
+		if r.requestedAt != 0 && now-r.requestedAt < minRefreshInterval {
 			r.mu.Unlock()
 			return false
 		}
-		r.last = now
+		r.requestedAt = now
 		close(r.wake)
 	}
-	ended := r.ended
+	completed := r.completed
 	r.mu.Unlock()
 	select {
-	case <-ended:
+	case <-completed:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// refresh asks the holder of the lease for a newer configuration and waits until it is in
-// force.
+// refresh requests a newer configuration from the leader and waits until it is in force.
 func (n *Node) refresh(ctx context.Context) {
-	if !n.refresher.ask(ctx) {
+	if !n.refresher.request(ctx) {
 		return
 	}
-	for n.follower.Behind() && clock.Sleep(ctx, refreshCheck) {
+	for n.follower.Behind() && clock.Sleep(ctx, refreshPoll) {
 	}
 }
--- a/internal/front/servers.go
+++ b/internal/front/servers.go
@@ -7,16 +7,16 @@
 	"guavapaddle/core/fleet"
 )
 
-// servers is the list of backend servers as read from the store, and who of them has said
-// that it leaves.
+// servers is the list of backend servers as read from the store, and the servers that have
+// announced that they are leaving.
 type servers struct {
-	mu       sync.Mutex
-	list     []fleet.Server
-	read     bool
-	departed departure.Set
+	mu      sync.Mutex
+	list    []fleet.Server
+	read    bool
+	leaving departure.Set
 }
 
-// onServers takes in the list as it is in the store now.
+// onServers sets the list as it is in the store now.
 func (n *Node) onServers(list []fleet.Server) {
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
@@ -24,46 +24,47 @@
 	n.setServers()
 }
 
-// departs takes in servers that have said that they leave, to this node or to another. It
-// returns whether any of them is new.
-func (n *Node) departs(list ...departure.Incarnation) bool {
+// addLeaving adds servers that have announced to this node or to another that they are
+// leaving. It returns whether any of them is new.
+func (n *Node) addLeaving(list ...departure.Incarnation) bool {
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
-	if !n.servers.departed.Add(list...) {
+	if !n.servers.leaving.Add(list...) {
 		return false
 	}
 	n.setServers()
 	return true
 }
 
-// departing returns the servers that have said that they leave while their entries don't.
-func (n *Node) departing() []departure.Incarnation {
+// undeclaredLeaving returns the servers that have announced that they are leaving while
+// their entries don't say so.
+func (n *Node) undeclaredLeaving() []departure.Incarnation {
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
-	return n.servers.departed.Undeclared(n.servers.list)
+	return n.servers.leaving.Undeclared(n.servers.list)
 }
 
-// setServers gives the list to all that use it; n.servers.mu is held.
+// setServers passes the list on to all its users; n.servers.mu is held.
 func (n *Node) setServers() {
 	if !n.servers.read {
 		return
 	}
-	list := n.servers.departed.MarkLeaving(n.servers.list)
+	list := n.servers.leaving.MarkLeaving(n.servers.list)
 	n.gateway.SetServers(list)
 	n.placer.Servers(list)
 	n.granter.Servers(list)
-	n.noteEngines(list)
+	n.updateEngines(list)
 }
 
-// hasServers tells whether the list was read.
+// hasServers reports whether the list has been read.
 func (n *Node) hasServers() bool {
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
 	return n.servers.read
 }
 
-// noteEngines notes which of the servers are model engines.
-func (n *Node) noteEngines(list []fleet.Server) {
+// updateEngines determines which of the servers are model engines.
+func (n *Node) updateEngines(list []fleet.Server) {
 	c := n.gateway.Config()
 	if c == nil {
 		return
@@ -74,11 +75,12 @@
 			engines[s.ID] = true
 		}
 	}
-	n.engines.Store(&engines)
+	n.engineIDs.Store(&engines)
 }
 
-// granted tells whether the holder of the lease says which requests begin at a server.
-func (n *Node) granted(server string) bool {
-	engines := n.engines.Load()
+// isGranted reports whether requests to a server need a slot granted by the leader, which
+// applies to model engines.
+func (n *Node) isGranted(server string) bool {
+	engines := n.engineIDs.Load()
 	return engines != nil && (*engines)[server]
 }
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -12,45 +12,45 @@
 	"guavapaddle/core/quota"
 )
 
-// revokeMargin is kept of the time in which a revoked key must be refused, in ms: a
-// request is read and checked in it.
-const revokeMargin = 250
+// revocationMarginMS is the part of the revocation time, in ms, that is reserved for reading
+// and checking a request.
+const revocationMarginMS = 250
 
-// defaultQuotaSpanS is the window in which the use of quotas is looked at, in seconds.
-const defaultQuotaSpanS = 10
+// defaultQuotaWindowS is the default window for measuring the use of quotas, in seconds.
+const defaultQuotaWindowS = 10
 
 type (
-	// Settings of a node, read from a JSON file.
+	// Settings are the settings of a node, read from a JSON file.
 	Settings struct {
 		Node        string   `json:"node"`
 		DataCentre  string   `json:"data-centre"`
 		Clients     string   `json:"clients"`       // IP:port for clients
 		Ready       string   `json:"ready"`         // IP:port for readiness probes
 		Peers       string   `json:"peers"`         // IP:port for other nodes, UDP
-		Metrics     string   `json:"metrics"`       // IP:port for counters
-		Control     string   `json:"control"`       // IP:port for nodes that the store doesn't serve
-		Seeds       []string `json:"seeds"`         // control addresses of other nodes; some may be stale
+		Metrics     string   `json:"metrics"`       // IP:port for metrics
+		Control     string   `json:"control"`       // IP:port for nodes that the store rejects
+		Seeds       []string `json:"seeds"`         // control addresses of other nodes; some may be outdated
 		Store       string   `json:"store"`         // IP:port of the platform's store
-		Cores       float64  `json:"cores"`         // processor that the process may use
-		MemoryMB    int      `json:"memory-mb"`     // bound of the process
-		Descriptors int      `json:"descriptors"`   // bound of open files and sockets
+		Cores       float64  `json:"cores"`         // processor cores that the process may use
+		MemoryMB    int      `json:"memory-mb"`     // memory limit of the process
+		Descriptors int      `json:"descriptors"`   // limit of open files and sockets
 		GraceS      float64  `json:"grace-s"`       // from SIGTERM to SIGKILL
 		LeaseMS     int      `json:"lease-ms"`      // time to live of the lease on orders
-		LoadWindowS float64  `json:"load-window-s"` // over which loads from the weight store are counted
-		RepeatRatio float64  `json:"repeat-ratio"`  // sends beyond the first that a service bears, of its requests
-		RepeatExtra float64  `json:"repeat-extra"`  // and beyond that, in a window, over all nodes
-		RepeatSpanS float64  `json:"repeat-span-s"` // the window
+		LoadWindowS float64  `json:"load-window-s"` // window in which loads from the weight store are counted
+		RepeatRatio float64  `json:"repeat-ratio"`  // retries that a service allows, as a fraction of its requests
+		RepeatExtra float64  `json:"repeat-extra"`  // further retries allowed per window, summed over all nodes
+		RepeatSpanS float64  `json:"repeat-span-s"` // length of that window
 		CheckEpochs bool     `json:"engines-check-epochs"`
-		HeartbeatMS int      `json:"server-heartbeat-ms"` // how often backend servers write their entries; 0 if nothing says so
-		NoticeMS    int      `json:"server-notice-ms"`    // from the store's word that a backend server leaves until none may send to it; 0 for 2000
-		RevokeMS    int      `json:"key-revocation-ms"`   // from the store's word that a key is gone until no request sent later may run; 0 for no bound
-		QuotaOver   float64  `json:"quota-over"`          // by which part the use of a quota may go over in a window
-		QuotaSlack  float64  `json:"quota-slack"`         // and by how many units beside that, over all nodes
-		QuotaSpanS  float64  `json:"quota-span-s"`        // the window; 0 for 10
+		HeartbeatMS int      `json:"server-heartbeat-ms"` // interval at which backend servers write their entries; 0 if unknown
+		NoticeMS    int      `json:"server-notice-ms"`    // maximum time from the store's notice that a backend server is leaving to the last request to it; 0 for 2000
+		RevokeMS    int      `json:"key-revocation-ms"`   // maximum time from the store's notice that an API key was removed until no request sent later may run; 0 for no limit
+		QuotaOver   float64  `json:"quota-over"`          // fraction by which the use of a quota may exceed it in a window
+		QuotaSlack  float64  `json:"quota-slack"`         // units by which it may exceed the quota in addition, summed over all nodes
+		QuotaSpanS  float64  `json:"quota-span-s"`        // length of the quota window; 0 for 10
 		LogLevel    string   `json:"log-level"`
 	}
 
-	// SettingsError means that a settings file can't be used.
+	// SettingsError reports that a settings file is unusable.
 	SettingsError struct {
 		File   string
 		Path   string // JSON path, empty for the whole file
@@ -58,7 +58,7 @@
 	}
 )
 
-// Error tells file, path and reason in one line.
+// Error implements error and returns file, path and reason in one line.
 func (e *SettingsError) Error() string {
 	return fmt.Sprintf("settings %s: $.%s: %s", e.File, e.Path, e.Reason)
 }
@@ -85,22 +85,22 @@
 	return s, nil
 }
 
-// keyAge returns the age of the configuration from which on keys aren't relied on, zero
-// for none.
+// keyAge returns the maximum age of the configuration at which API keys are still accepted,
+// zero for no limit.
 func (s Settings) keyAge() time.Duration {
 	if s.RevokeMS == 0 {
 		return 0
 	}
-	return time.Duration(s.RevokeMS-revokeMargin) * time.Millisecond
+	return time.Duration(s.RevokeMS-revocationMarginMS) * time.Millisecond
 }
 
-// tolerance returns how far the use of a quota may go over.
+// tolerance returns by how much the use of a quota may exceed it.
 func (s Settings) tolerance() quota.Tolerance {
-	return quota.Tolerance{Window: time.Duration(cmp.Or(s.QuotaSpanS, defaultQuotaSpanS) * float64(time.Second)),
+	return quota.Tolerance{Window: time.Duration(cmp.Or(s.QuotaSpanS, defaultQuotaWindowS) * float64(time.Second)),
 		Ratio: s.QuotaOver, Slack: s.QuotaSlack}
 }
 
-// check returns the first setting that can't be used.
+// check returns an error for the first invalid setting.
 func (s Settings) check() *SettingsError {
 	addresses := []struct{ path, value string }{
 		{"clients", s.Clients}, {"ready", s.Ready}, {"peers", s.Peers}, {"metrics", s.Metrics}, {"control", s.Control}, {"store", s.Store},
@@ -134,8 +134,8 @@
 		return &SettingsError{Path: "server-heartbeat-ms", Reason: "must not be below zero"}
 	case s.NoticeMS < 0:
 		return &SettingsError{Path: "server-notice-ms", Reason: "must not be below zero"}
-	case s.RevokeMS < 0 || s.RevokeMS > 0 && s.RevokeMS <= revokeMargin:
-		return &SettingsError{Path: "key-revocation-ms", Reason: fmt.Sprintf("must be 0 or above %d", revokeMargin)}
+	case s.RevokeMS < 0 || s.RevokeMS > 0 && s.RevokeMS <= revocationMarginMS:
+		return &SettingsError{Path: "key-revocation-ms", Reason: fmt.Sprintf("must be 0 or above %d", revocationMarginMS)}
 	case s.QuotaOver < 0:
 		return &SettingsError{Path: "quota-over", Reason: "must not be below zero"}
 	case s.QuotaSlack < 0:
--- a/internal/front/spread_test.go
+++ b/internal/front/spread_test.go
@@ -9,49 +9,49 @@
 	"github.com/stretchr/testify/require"
 )
 
-// holder returns the node that holds the lease and the others.
-func (f *fleetRig) holder() (holder *process, others []*process) {
+// leader returns the node that holds the lease and the others.
+func (f *testCluster) leader() (leader *testNode, others []*testNode) {
 	f.t.Helper()
 	row := string(f.store.Row("lease", "orders").Value)
 	for _, p := range f.nodes {
 		if strings.Contains(row, `"node":"`+p.settings.Node+`"`) {
-			holder = p
+			leader = p
 			continue
 		}
 		others = append(others, p)
 	}
-	require.NotNil(f.t, holder, row)
-	return holder, others
+	require.NotNil(f.t, leader, row)
+	return leader, others
 }
 
-// TestADepartureReachesNodesThatGotNoAnswer guards against nodes that go on sending to a
-// server that leaves because only another node has had an answer that says so, and the
-// store, which is away, can't tell them.
-func TestADepartureReachesNodesThatGotNoAnswer(t *testing.T) {
+// TestLeavingServerIsKnownToAllNodes guards against nodes that keep sending to a leaving
+// server because only another node got a response that announces it, while an outage of the
+// store keeps them from learning of it there.
+func TestLeavingServerIsKnownToAllNodes(t *testing.T) {
 	t.Parallel()
-	for name, x := range bothKinds {
+	for name, x := range serviceKinds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, leaving, _ := newPair(t, 3, x.model, true)
 			for _, p := range f.nodes {
 				require.Eventually(t, func() bool { return p.logs.FilterMessage("leader-reached").Len() > 0 }, 5*time.Second, time.Millisecond)
 			}
-			holder, others := f.holder()
+			leader, others := f.leader()
 			f.store.Outage(true)
 			leaving.Depart()
 			for i := 0; len(leaving.Visits()) == 0; i++ {
-				require.Less(t, i, 100, "no request reaches the server")
+				require.Less(t, i, 100, "no request has reached the server")
 				others[0].get(t, x.path, fmt.Sprint("first-", i), x.model)
 			}
-			<-time.After(drainWithin)
+			<-time.After(maxDrain)
 			before := len(leaving.Visits())
-			for _, p := range []*process{holder, others[1]} {
+			for _, p := range []*testNode{leader, others[1]} {
 				for i := range 10 {
 					status, body := p.get(t, x.path, fmt.Sprint(p.settings.Node, "-", i), x.model)
 					require.Equal(t, 200, status, body)
 				}
 			}
-			require.Len(t, leaving.Visits(), before, "only %s had an answer", others[0].settings.Node)
+			require.Len(t, leaving.Visits(), before, "only %s got a response", others[0].settings.Node)
 		})
 	}
 }
