--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// refreshWait bounds the wait for a newer configuration that may hold a key.
+	// refreshWait bounds the wait for a newer configuration that may contain the key.
 	refreshWait = 700 * time.Millisecond
-	// staleRetry is when a client may come back to a node whose configuration is too
-	// old for keys: another node may serve it at once.
-	staleRetry = 200 * time.Millisecond
+	// staleConfigRetryAfter is the Retry-After of a node whose configuration is too old
+	// for checking keys. It is short, as another node may serve the request at once.
+	staleConfigRetryAfter = 200 * time.Millisecond
 )
 
-// authenticate finds out which team calls. It answers the request and returns false if
-// the caller may not call.
+// authenticate determines the calling team. If the caller isn't authorized, it
+// responds to the request and returns false.
 func (r *request) authenticate(c *fleet.Config) bool {
 	if !c.KeysRequired() {
 		return true
@@ -30,12 +30,12 @@
 		if r.route.Public {
 			return true
 		}
-		r.problem = err.Error()
+		r.credentialProblem = err.Error()
 		r.unauthorized()
 		return false
 	}
 	digest := apikey.Sum(key)
-	r.key, r.keyed = digest, true
+	r.key, r.hasKey = digest, true
 	team, ok := c.Team(digest)
 	if !ok && !r.route.Public && !c.Revoked(digest) {
 		c = r.refresh(c)
@@ -45,22 +45,22 @@
 	case ok:
 		r.team = team
 	case r.route.Public:
-		r.keyed = false
+		r.hasKey = false
 		return true
 	default:
-		r.problem = "unknown-key"
+		r.credentialProblem = "unknown-key"
 		r.unauthorized()
 		return false
 	}
-	if r.route.Public || r.g.fresh() {
+	if r.route.Public || r.g.configFresh() {
 		return true
 	}
-	r.answer(http.StatusServiceUnavailable, StaleConfig, staleRetry)
+	r.respond(http.StatusServiceUnavailable, StaleConfig, staleConfigRetryAfter)
 	return false
 }
 
-// refresh asks for a configuration newer than c, which doesn't hold the request's key,
-// and returns the one then in force.
+// refresh queries for a configuration newer than c, which doesn't contain the request's
+// key, and returns the configuration that is in force afterwards.
 func (r *request) refresh(c *fleet.Config) *fleet.Config {
 	if r.g.Refresh == nil {
 		return c
@@ -70,23 +70,24 @@
 	r.g.Refresh(ctx)
 	newest := r.g.config.Load()
 	if newest.Version() != c.Version() {
-		r.version = newest.Version()
+		r.configVersion = newest.Version()
 	}
 	return newest
 }
 
-// unauthorized refuses a caller without a valid key.
-func (r *request) unauthorized() { r.answer(http.StatusUnauthorized, Unauthorized, 0) }
+// unauthorized refuses a request without a valid key.
+func (r *request) unauthorized() { r.respond(http.StatusUnauthorized, Unauthorized, 0) }
 
-// allowed returns why the request may not be sent to a server, or nothing: its key must be
-// in the configuration in force, which must not be too old. The request may have waited
-// since it was admitted, or the process may have stood still. The age is looked at first:
-// a newer configuration may be put in force between the two.
-func (r *request) allowed() Reason {
-	if !r.keyed || r.route.Public {
+// recheckKey returns the reason why the request may not be sent to a server, or "": its
+// key must be in the configuration in force, which must not be too old. The key is checked
+// again since the request may have waited after it was admitted, or the process may have
+// been paused. The age is checked first, as a newer configuration may come into force
+// between the two checks.
+func (r *request) recheckKey() Reason {
+	if !r.hasKey || r.route.Public {
 		return ""
 	}
-	if !r.g.fresh() {
+	if !r.g.configFresh() {
 		return StaleConfig
 	}
 	if _, ok := r.g.config.Load().Team(r.key); !ok {
@@ -95,19 +96,19 @@
 	return ""
 }
 
-// fresh tells whether the configuration in force was the newest so short a time ago that
-// keys may be relied on.
-func (g *Gateway) fresh() bool {
+// configFresh reports whether the configuration in force was confirmed as the newest
+// recently enough for checking keys.
+func (g *Gateway) configFresh() bool {
 	return g.KeyAge <= 0 || g.ConfigAge() < g.KeyAge
 }
 
-// Serves tells whether requests with keys can be served now.
+// Serves reports whether requests with keys can be served now.
 func (g *Gateway) Serves() bool {
 	c := g.config.Load()
-	return c != nil && (!c.KeysRequired() || g.fresh())
+	return c != nil && (!c.KeysRequired() || g.configFresh())
 }
 
-// callerFields tells of the caller in a log line. A key is named by a part of its digest.
+// callerFields logs the caller of a request. A key is shown as a prefix of its digest.
 type callerFields struct{ r *request }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
@@ -115,19 +116,19 @@
 	if f.r.team.Name != "" {
 		e.AddString("team", f.r.team.Name)
 	}
-	if f.r.keyed {
+	if f.r.hasKey {
 		e.AddString("key", f.r.key.String())
 	}
-	if f.r.limited() {
+	if f.r.hasQuota() {
 		e.AddFloat64("charge", f.r.cost())
 		e.AddBool("charged", f.r.charged)
-		e.AddBool("alone", f.r.alone)
+		e.AddBool("alone", f.r.chargedAlone)
 	}
-	if g := f.r.g; f.r.keyed && g.KeyAge > 0 {
+	if g := f.r.g; f.r.hasKey && g.KeyAge > 0 {
 		e.AddDuration("config-age", g.ConfigAge())
 	}
-	if f.r.problem != "" {
-		e.AddString("credentials", f.r.problem)
+	if f.r.credentialProblem != "" {
+		e.AddString("credentials", f.r.credentialProblem)
 	}
 	return nil
 }
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -26,11 +26,12 @@
 	deskAuth   = "Authorization: Bearer " + deskKey
 )
 
-// keyed returns a configuration with keys: one team, one route more that is public.
-func keyed(version int64, q fleet.Quota, keys ...string) *fleet.Config {
+// configWithKeys returns a configuration with one team that has the keys, and a public
+// route in addition to routes.
+func configWithKeys(version int64, quota fleet.Quota, keys ...string) *fleet.Config {
 	all := append([]fleet.Route{{Name: "public", Host: "h.example", Prefix: "/public/", Kind: fleet.Safe, MaxAttempts: 1, Public: true,
 		Timeout: 2 * time.Second, Splits: []fleet.Split{{Service: "plain", Weight: 1}}}}, routes...)
-	m := fleet.TeamKeys{Team: fleet.Team{Name: "desk", Priority: 1, Quota: q}}
+	m := fleet.TeamKeys{Team: fleet.Team{Name: "desk", Priority: 1, Quota: quota}}
 	for _, k := range keys {
 		m.Keys = append(m.Keys, apikey.Sum(k))
 	}
@@ -38,10 +39,10 @@
 	return fleet.NewConfig(version, all, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}).WithTeams([]fleet.TeamKeys{m})
 }
 
-func TestOnlyHoldersOfAKeyMayCall(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+func TestOnlyValidKeysMayCall(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
-	r.gateway.SetConfig(keyed(2, fleet.Quota{}, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
 	for name, x := range map[string]struct {
 		path   string
 		header []string
@@ -65,14 +66,14 @@
 		}
 	}
 	require.Len(t, w.Runs(), 3)
-	require.NotContains(t, r.log.String(), deskKey, "a key is in no log line")
+	require.NotContains(t, r.log.String(), deskKey, "keys are not logged")
 	require.Contains(t, r.log.String(), "key="+apikey.Sum(deskKey).String())
 }
 
-func TestTheServerIsToldTheTeamAndNeverTheKey(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+func TestServerReceivesTeamAndNotKey(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
-	r.gateway.SetConfig(keyed(2, fleet.Quota{}, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
 	for _, header := range [][]string{
 		{deskAuth},
 		{deskAuth, teamHeader + ": other"},
@@ -94,28 +95,28 @@
 	}
 }
 
-// TestAKeyThatIsRevokedWhileItsRequestWaitsIsNotUsed takes the key away while the request
-// waits for its place.
-func TestAKeyThatIsRevokedWhileItsRequestWaitsIsNotUsed(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+// TestKeyRevokedDuringWaitIsRefused guards against serving a request whose key is revoked
+// while the request waits for a slot.
+func TestKeyRevokedDuringWaitIsRefused(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
 	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}}})
-	r.gateway.SetConfig(keyed(2, fleet.Quota{}, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
 	r.gateway.Place = func(context.Context, hub.Place) (hub.Placed, hub.Grant, error) {
-		r.gateway.SetConfig(keyed(3, fleet.Quota{}, "k-new"))
+		r.gateway.SetConfig(configWithKeys(3, fleet.Quota{}, "k-new"))
 		return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
 	}
 	require.Equal(t, 401, r.do("GET", "/stream/x", "id", "", deskAuth, "X-Guavapaddle-Model: m").status)
 	require.Empty(t, w.Runs())
 }
 
-func TestKeysAreNotReliedOnWhenTheConfigurationIsTooOld(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+func TestKeysAreRefusedWhenConfigIsTooOld(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
 	var age atomic.Int64
 	r.gateway.KeyAge = time.Second
 	r.gateway.ConfigAge = func() time.Duration { return time.Duration(age.Load()) }
-	r.gateway.SetConfig(keyed(2, fleet.Quota{}, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
 	require.Equal(t, 200, r.do("GET", "/safe/x", "a", "", deskAuth).status)
 	require.True(t, r.gateway.Serves())
 	age.Store(int64(time.Second))
@@ -127,28 +128,28 @@
 	require.Equal(t, []string{"a", "c"}, w.Runs())
 }
 
-func TestAnUnknownKeyHasTheNewestConfigurationAskedFor(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+func TestUnknownKeyRefreshesConfig(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
 	asked := 0
 	r.gateway.Refresh = func(context.Context) {
 		asked++
-		r.gateway.SetConfig(keyed(3, fleet.Quota{}, "k-new"))
+		r.gateway.SetConfig(configWithKeys(3, fleet.Quota{}, "k-new"))
 	}
-	r.gateway.SetConfig(keyed(2, fleet.Quota{}, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
 	require.Equal(t, 200, r.do("GET", "/safe/x", "a", "", "Authorization: Bearer k-new").status)
 	require.Equal(t, 1, asked)
 	require.Equal(t, 401, r.do("GET", "/safe/x", "b", "", deskAuth).status)
-	require.Equal(t, 1, asked, "a key that was taken away is refused at once")
+	require.Equal(t, 1, asked, "a revoked key is refused without a query")
 }
 
-var narrow = fleet.Quota{Rate: 100, Burst: 100, CountTokens: true, DefaultTokens: 200}
+var smallQuota = fleet.Quota{Rate: 100, Burst: 100, CountTokens: true, DefaultTokens: 200}
 
-func TestATeamOverItsQuotaIsToldWhenToComeBack(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+func TestTeamOverQuotaGetsRetryAfter(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
 	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}}})
-	r.gateway.SetConfig(keyed(2, narrow, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, smallQuota, deskKey))
 	var charges []hub.Charge
 	r.gateway.Place = func(_ context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
 		charges = append(charges, p.Charge)
@@ -162,12 +163,12 @@
 	require.Empty(t, r.gateway.Spent().Uses)
 }
 
-// TestWhatHasNotRunIsGivenBack charges a request once, however often it is sent, and gives
-// the tokens of one back that no server ran.
-func TestWhatHasNotRunIsGivenBack(t *testing.T) {
-	w := worker(t, "i-1", standin.OK, standin.Shed)
+// TestChargeOfUnrunRequestIsRefunded guards against charging a request more than once when
+// it is sent several times, and against keeping the charge of a request that no server ran.
+func TestChargeOfUnrunRequestIsRefunded(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK, standin.Shed)
 	r := newRig(t, w)
-	r.gateway.SetConfig(keyed(2, fleet.Quota{Rate: 1e6, Burst: 1e6, CountTokens: true, DefaultTokens: 200}, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{Rate: 1e6, Burst: 1e6, CountTokens: true, DefaultTokens: 200}, deskKey))
 	r.gateway.Told(0, nil, 1)
 	require.Equal(t, 200, r.do("GET", "/safe/x", "a", "", deskAuth).status)
 	require.Equal(t, 503, r.do("GET", "/safe/x", "b", "", deskAuth).status)
@@ -175,10 +176,10 @@
 	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: 200, Owed: 200}}}, r.gateway.Spent().Uses)
 }
 
-func TestANodeWithoutAGranterSpendsItsShare(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+func TestNodeWithoutGranterUsesItsShare(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
-	r.gateway.SetConfig(keyed(2, narrow, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, smallQuota, deskKey))
 	r.gateway.Told(0, map[string]quota.State{"desk": {Share: 1}}, 1)
 	r.gateway.Unled()
 	served := 0
@@ -187,15 +188,16 @@
 			served++
 		}
 	}
-	require.LessOrEqual(t, served, 1, "a request takes two seconds of the rate")
+	require.LessOrEqual(t, served, 1, "a request costs two seconds of the rate")
 }
 
-// TestWhileLittleIsLeftANodeKeepsToItsShare has a granter tell that the team's bucket runs
-// low, and then that it doesn't.
-func TestWhileLittleIsLeftANodeKeepsToItsShare(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+// TestNodeKeepsToItsShareWhileQuotaIsLow guards against a node that exceeds its share while
+// the granter reports that the team's bucket is low, or that stays limited to its share
+// when the bucket is no longer low.
+func TestNodeKeepsToItsShareWhileQuotaIsLow(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
-	r.gateway.SetConfig(keyed(2, narrow, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, smallQuota, deskKey))
 	statuses := func(name string) map[int]int {
 		got := map[int]int{}
 		for i := range 10 {
@@ -204,37 +206,38 @@
 		return got
 	}
 	r.gateway.Told(0, map[string]quota.State{"desk": {Share: 1, Scarce: true}}, 1)
-	scarce := statuses("scarce")
-	require.LessOrEqual(t, scarce[200], 1, "a request takes two seconds of the rate")
-	require.Equal(t, 10, scarce[200]+scarce[429])
+	low := statuses("scarce")
+	require.LessOrEqual(t, low[200], 1, "a request costs two seconds of the rate")
+	require.Equal(t, 10, low[200]+low[429])
 	require.Contains(t, r.log.String(), "reason="+string(gateway.Quota))
 	r.gateway.Told(0, map[string]quota.State{"desk": {Share: 1}}, 1)
 	require.Equal(t, map[int]int{200: 10}, statuses("enough"))
-	spent := float64(200 * (scarce[200] + 10))
+	spent := float64(200 * (low[200] + 10))
 	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: spent, Owed: spent}, Share: 1}}, r.gateway.Spent().Uses)
 }
 
-// TestAServerThatDepartsBetweenPickAndSendGetsNoRequest has the list change while the
-// request's key is checked, which comes after its pick.
-func TestAServerThatDepartsBetweenPickAndSendGetsNoRequest(t *testing.T) {
-	departs, stays := worker(t, "i-1", standin.OK), worker(t, "i-2", standin.OK)
-	r := newRig(t, departs, stays)
+// TestServerLeavingBetweenPickAndSendGetsNoRequest guards against sending a request to a
+// server that began to leave after it was picked. The list of servers changes while the
+// request's key is checked again, which follows the pick.
+func TestServerLeavingBetweenPickAndSendGetsNoRequest(t *testing.T) {
+	leavingWorker, stayingWorker := startWorker(t, "i-1", standin.OK), startWorker(t, "i-2", standin.OK)
+	r := newRig(t, leavingWorker, stayingWorker)
 	list := func(leaving bool) []fleet.Server {
-		return []fleet.Server{{ID: "i-1", Service: "plain", Address: departs.Address(), Zone: "z", Slots: 4, Leaving: leaving},
-			{ID: "i-2", Service: "plain", Address: stays.Address(), Zone: "away", Slots: 4}}
+		return []fleet.Server{{ID: "i-1", Service: "plain", Address: leavingWorker.Address(), Zone: "z", Slots: 4, Leaving: leaving},
+			{ID: "i-2", Service: "plain", Address: stayingWorker.Address(), Zone: "away", Slots: 4}}
 	}
 	r.gateway.SetServers(list(false))
-	r.gateway.SetConfig(keyed(2, fleet.Quota{}, deskKey))
+	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
 	asked := 0
 	r.gateway.KeyAge = time.Second
 	r.gateway.ConfigAge = func() time.Duration {
-		if asked++; asked > 1 { // first at its admission
+		if asked++; asked > 1 { // the first check is at admission
 			r.gateway.SetServers(list(true))
 		}
 		return 0
 	}
 	require.Equal(t, 200, r.do("GET", "/safe/x", "id", "", deskAuth).status)
-	require.Empty(t, departs.Visits())
-	require.Len(t, stays.Visits(), 1)
+	require.Empty(t, leavingWorker.Visits())
+	require.Len(t, stayingWorker.Visits(), 1)
 	require.Contains(t, r.log.String(), "reason=leaving")
 }
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -14,11 +14,11 @@
 	"guavapaddle/internal/gateway"
 )
 
-// TestVersionIsLoggedBeforeItIsReported guards against requests that are logged
-// with a version before the log has that version.
+// TestVersionIsLoggedBeforeItIsReported guards against requests that are logged with a
+// version before the log contains the line that it came into force.
 func TestVersionIsLoggedBeforeItIsReported(t *testing.T) {
 	g := &gateway.Gateway{}
-	var atLine []int64 // the version in force when one is logged
+	var atLine []int64 // the version in force at each log line
 	core, _ := observer.New(zap.InfoLevel)
 	g.Log = zap.New(core, zap.Hooks(func(zapcore.Entry) error {
 		var version int64
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,25 +1,26 @@
 // Package gateway serves requests: it finds the route, picks a backend server,
-// sends the request there directly, and passes the answer on.
+// sends the request there directly, and forwards the response.
 //
-// # The way of a request
+// # Life of a request
 //
 //  1. Match the route in the configuration in force.
-//  2. Pick a server by the picture of all servers (core/balance). If none holds
-//     the model, tell the holder of the lease and wait until one does, or until
-//     it is known that none will in time.
-//  3. Send it with the incarnation that is expected, what is left of the
-//     deadline and the route's urgency.
-//  4. Judge the answer: whole, refused as not run, or of unknown fate.
-//  5. Send it again elsewhere where that is allowed: after a refusal or before
-//     a byte was written always, after an unknown fate only where the route may
-//     be repeated; each time within the budget for repeats.
+//  2. Pick a server with the picker (core/balance), which tracks the load of all
+//     servers. If no server holds the model, report the demand to the leader and
+//     wait until a server holds it, or until it is known that none will in time.
+//  3. Send the request with the expected incarnation, the remaining time until
+//     the deadline and the route's urgency.
+//  4. Classify the response: complete, refused as not run, or unknown whether
+//     the request ran.
+//  5. Retry at another server where that is allowed: always after a refusal or
+//     if no byte was written; if it is unknown whether the request ran, only on
+//     routes that are repeatable. Every retry counts against the retry budget.
 //
-// A stream is passed on event by event. Where the route may be resumed, only
-// whole events are passed on, and one that breaks goes on at another server
-// after the last event.
+// A stream is forwarded as it arrives. On resumable routes only complete events
+// are forwarded, and a stream that breaks continues at another server after the
+// last event.
 //
-// Statuses that promise that a request hasn't run (429 and 503) are only given
-// when no server may have run it; otherwise 502 or 504 is.
+// Statuses that promise that a request hasn't run (429 and 503) are only sent if
+// no server may have run it; otherwise the status is 502 or 504.
 //
 // # Usage
 //
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// unconfigured is when a client may come back to a node that has no
-	// configuration yet: one is read within a fraction of a second.
-	unconfigured = 500 * time.Millisecond
-	// answerMargin is kept of the time that is left, so that a server's own
-	// answer at the deadline still reaches the client.
-	answerMargin = 20 * time.Millisecond
-	// noDeadline bounds requests whose client and route name no deadline.
-	noDeadline = 60 * time.Second
-	// crashesMost is how many servers a request may end before it is refused.
-	crashesMost = 3
+	// noConfigRetryAfter is the Retry-After of a node that has no configuration yet:
+	// one is read within a fraction of a second.
+	noConfigRetryAfter = 500 * time.Millisecond
+	// responseMargin is added to the deadline of reads from a server, so that a
+	// response that the server sends at the deadline still reaches the client.
+	responseMargin = 20 * time.Millisecond
+	// defaultTimeout applies to requests for which neither client nor route sets a deadline.
+	defaultTimeout = 60 * time.Second
+	// maxCrashes is the number of servers a request may crash before it is refused.
+	maxCrashes = 3
 )
 
 type (
@@ -42,96 +42,96 @@
 		Log     *zap.Logger
 		Zone    string
 		Metrics *Metrics
-		// Want asks for a model or adapter that no server holds. It returns when
+		// Want requests a model or adapter that no server holds. It returns when
 		// that may have changed.
 		Want func(ctx context.Context, w hub.Want) hub.Offer
-		// Place asks the holder of the lease when and where a request to a model
-		// engine may begin. An error means that the holder can't be reached.
+		// Place requests a slot from the leader: when and at which server a request
+		// to a model engine may begin. An error means that the leader is unreachable.
 		Place func(ctx context.Context, p hub.Place) (hub.Placed, hub.Grant, error)
-		// Tolerance is how far the use of a quota may go over.
+		// Tolerance is how far the usage of a quota may exceed it.
 		Tolerance quota.Tolerance
-		// Refresh asks another node for a newer configuration, and returns when it is in
-		// force or none is known of; nil for nobody to ask.
+		// Refresh queries another node for a newer configuration, and returns when that is
+		// in force or none is known. It may be nil.
 		Refresh func(ctx context.Context)
-		// ConfigAge returns how long ago the configuration in force was the newest for
-		// certain, and KeyAge the age from which on keys aren't relied on; zero for never.
+		// ConfigAge returns the time since the configuration in force was last confirmed as
+		// the newest. From the age KeyAge on keys aren't accepted; zero means no limit.
 		ConfigAge func() time.Duration
 		KeyAge    time.Duration
 		Rand      *rand.Rand
-		// OnDeparture takes in that a server has said that it leaves, and returns whether that is
-		// new; nil for nobody.
+		// OnDeparture is called when a server announces that it is leaving, and reports
+		// whether that is new. It may be nil.
 		OnDeparture func(departure.Incarnation) bool
-		// Repeats is what a service bears of sends beyond the first of each request.
+		// Repeats is the budget of a service for retries: sends beyond the first of each request.
 		Repeats retry.ServiceBudget
 
-		configuring sync.Mutex // held while a configuration comes into force
-		config      atomic.Pointer[fleet.Config]
-
-		mu      sync.Mutex // guards what follows, and Rand
-		picture *balance.Picker
-		budgets map[string]*retry.Budget // by service
-		purse   quota.Account
-		led     bool // a granter has answered the last report
-		nodes   int  // that share what a service bears, 0 if unknown
-		demand  map[hub.Item]*hub.Demand
-		marks   map[uint64]map[string]bool
-		news    []hub.Mark
-		changed chan struct{} // closed when the picture changes
-		stopped chan struct{}
+		configMu sync.Mutex // serializes SetConfig
+		config   atomic.Pointer[fleet.Config]
+
+		mu               sync.Mutex // guards the fields below, and Rand
+		picker           *balance.Picker
+		retryBudgets     map[string]*retry.Budget // by service
+		account          quota.Account
+		granterReachable bool // a granter replied to the last report
+		nodes            int  // number of nodes that share the retry budgets, 0 if unknown
+		demand           map[hub.Item]*hub.Demand
+		crashMarks       map[uint64]map[string]bool
+		newMarks         []hub.Mark
+		changed          chan struct{} // closed when the picker's data changes
+		stopped          chan struct{}
 	}
 
-	// request is one request on its way.
+	// request is the state of one request.
 	request struct {
-		g        *Gateway
-		x        *http1.Exchange
-		meta     platform.Request
-		route    fleet.Route
-		service  string
-		version  int64 // of the configuration that chose the route
-		team     fleet.Team
-		key      apikey.Digest
-		keyed    bool   // the request has a key that is valid
-		problem  string // with the credentials
-		charged  bool   // of its team's quota
-		alone    bool   // no granter was reached when it was charged
-		ran      bool   // a server may have run it
-		deadline time.Time
-		header   http.Header
-		exclude  map[string]bool
-		lacks    []string      // servers that don't hold the model or adapter
-		runs     int           // servers that may have run it
-		after    time.Duration // when a refused client may come back
-		place    hub.Grant     // that the request has
-		granter  int64         // who granted it
-		sends    int
-		queued   time.Duration // until the first send
-		print    uint64
-		last     string // last whole event that was passed on
-		begun    bool
-		rule     string            // who chose the server: "granted" by the holder, "picked" by this node
-		choice   balance.Selection // the last one
-		gap      time.Duration     // longest pause between events
-		outcome  outcome
+		g                 *Gateway
+		x                 *http1.Exchange
+		meta              platform.Request
+		route             fleet.Route
+		service           string
+		configVersion     int64 // of the configuration that matched the route
+		team              fleet.Team
+		key               apikey.Digest
+		hasKey            bool   // the request has a key that is valid
+		credentialProblem string // what is wrong with the credentials
+		charged           bool   // to its team's quota
+		chargedAlone      bool   // it was charged while no granter was reachable
+		mayHaveRun        bool   // a server may have run it, completely or in part
+		deadline          time.Time
+		header            http.Header
+		excluded          map[string]bool
+		lacking           []string      // servers found not to hold the model or adapter
+		runs              int           // sends after which the request may have run
+		retryAfter        time.Duration // Retry-After of a refusal
+		slot              hub.Grant     // the slot granted to the request, nil if none
+		granter           int64         // the granter that counts the send until its end
+		sends             int
+		queued            time.Duration // time until the first send
+		fingerprint       uint64
+		lastEvent         string // id of the last complete event that was forwarded
+		responseBegun     bool
+		rule              string            // how the server was chosen: "granted" by the leader, "picked" by this node
+		selection         balance.Selection // of the last send
+		maxGap            time.Duration     // longest time between two reads of a stream
+		outcome           outcome
 	}
 )
 
-// Run prepares the gateway. It must be called before the first request.
+// Run initializes the gateway. It must be called before the first request.
 func (g *Gateway) Run(p *balance.Picker) {
-	g.picture = p
-	g.picture.SetNodes(retry.UnknownNodes)
-	g.budgets = map[string]*retry.Budget{}
-	g.purse = quota.Account{Tolerance: g.Tolerance, Rand: g.Rand}
+	g.picker = p
+	g.picker.SetNodes(retry.UnknownNodes)
+	g.retryBudgets = map[string]*retry.Budget{}
+	g.account = quota.Account{Tolerance: g.Tolerance, Rand: g.Rand}
 	g.demand = map[hub.Item]*hub.Demand{}
-	g.marks = map[uint64]map[string]bool{}
+	g.crashMarks = map[uint64]map[string]bool{}
 	g.changed = make(chan struct{})
 	g.stopped = make(chan struct{})
 }
 
-// SetConfig puts a configuration in force. An older one is ignored. The line comes first, so
-// that no line of a request has a version that the log doesn't have yet.
+// SetConfig puts a configuration in force. An older one is ignored. The log line is written
+// first, so that no request is logged with a version that the log doesn't contain yet.
 func (g *Gateway) SetConfig(c *fleet.Config) {
-	g.configuring.Lock()
-	defer g.configuring.Unlock()
+	g.configMu.Lock()
+	defer g.configMu.Unlock()
 	old := g.config.Load()
 	if old != nil && old.Version() >= c.Version() {
 		return
@@ -141,11 +141,11 @@
 	}
 	g.Log.Info("config-in-force", zap.Int64("version", c.Version()))
 	g.config.Store(c)
-	g.wake()
+	g.notifyChange()
 }
 
-// Stop refuses the requests that wait for a server, now and from now on: the
-// node ends before their turn would come, and another one can take them.
+// Stop refuses all requests that wait for a server, now and from now on: the node
+// exits before a server would be free for them, and another node can serve them.
 func (g *Gateway) Stop() { close(g.stopped) }
 
 // Config returns the configuration in force, nil if there is none yet.
@@ -154,13 +154,13 @@
 // SetServers replaces the list of backend servers.
 func (g *Gateway) SetServers(list []fleet.Server) {
 	g.mu.Lock()
-	g.picture.Update(list)
+	g.picker.Update(list)
 	g.mu.Unlock()
-	g.wake()
+	g.notifyChange()
 }
 
-// wake lets requests that wait look at the picture again.
-func (g *Gateway) wake() {
+// notifyChange makes waiting requests query the picker again.
+func (g *Gateway) notifyChange() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	close(g.changed)
@@ -173,43 +173,43 @@
 	defer r.finish()
 	defer r.refund()
 	if r.meta.ID == "" {
-		r.answer(http.StatusBadRequest, NoID, 0)
+		r.respond(http.StatusBadRequest, NoID, 0)
 		return
 	}
 	c := g.config.Load()
 	if c == nil {
-		r.answer(http.StatusServiceUnavailable, NoConfig, unconfigured)
+		r.respond(http.StatusServiceUnavailable, NoConfig, noConfigRetryAfter)
 		return
 	}
-	r.version = c.Version()
+	r.configVersion = c.Version()
 	route, ok := c.Match(x.Request.Host, x.Request.URL.EscapedPath())
 	if !ok {
-		r.answer(http.StatusNotFound, NoRoute, 0)
+		r.respond(http.StatusNotFound, NoRoute, 0)
 		return
 	}
 	r.route = route
 	g.mu.Lock()
 	r.service = route.Service(g.Rand.Float64())
 	g.mu.Unlock()
-	r.deadline = x.Received.Add(r.patience())
+	r.deadline = x.Received.Add(r.timeout())
 	if !r.authenticate(c) {
 		return
 	}
-	r.print = fingerprint(x)
-	if g.crashed(r.print) >= crashesMost {
-		r.answer(http.StatusServiceUnavailable, Crashes, 0)
+	r.fingerprint = fingerprint(x)
+	if g.crashCount(r.fingerprint) >= maxCrashes {
+		r.respond(http.StatusServiceUnavailable, Crashes, 0)
 		return
 	}
-	g.earn(r.service)
+	g.creditRetryBudget(r.service)
 	r.serve()
 }
 
 // urgency returns the rank of the request, 0 for the most urgent.
 func (r *request) urgency() int { return r.g.config.Load().Urgency(r.route, r.team) }
 
-// patience returns how long the request may take.
-func (r *request) patience() time.Duration {
-	d := noDeadline
+// timeout returns how long the request may take.
+func (r *request) timeout() time.Duration {
+	d := defaultTimeout
 	if r.route.Timeout > 0 {
 		d = r.route.Timeout
 	}
@@ -219,10 +219,10 @@
 	return d
 }
 
-// answer sends an answer of the node's own. A positive retryAfter tells when
-// to come back.
-func (r *request) answer(status int, why Reason, retryAfter time.Duration) {
-	r.outcome = outcome{status: status, reason: why}
+// respond sends a response of the node itself. A positive retryAfter is sent as
+// Retry-After.
+func (r *request) respond(status int, cause Reason, retryAfter time.Duration) {
+	r.outcome = outcome{status: status, reason: cause}
 	h := http.Header{}
 	platform.Echo(h, r.meta.ID)
 	if status == http.StatusUnauthorized {
@@ -236,69 +236,69 @@
 	}
 }
 
-// earn lets the budget for repeats of a service grow by one request.
-func (g *Gateway) earn(service string) {
+// creditRetryBudget adds the share of one request to the retry budget of a service.
+func (g *Gateway) creditRetryBudget(service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget(service).Success()
+	g.retryBudget(service).Success()
 }
 
-// spend takes one repeat out of the budget of the service.
-func (g *Gateway) spend(service string) bool {
+// takeRetry takes one retry out of the budget of the service and reports whether it could.
+func (g *Gateway) takeRetry(service string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget(service).Take(time.Now())
+	return g.retryBudget(service).Take(time.Now())
 }
 
-// budget returns the budget for repeats of a service; g.mu is held.
-func (g *Gateway) budget(service string) *retry.Budget {
-	b := g.budgets[service]
+// retryBudget returns the retry budget of a service; g.mu is held.
+func (g *Gateway) retryBudget(service string) *retry.Budget {
+	b := g.retryBudgets[service]
 	if b == nil {
 		b = &retry.Budget{}
 		g.Repeats.Apply(b, g.nodes)
-		g.budgets[service] = b
+		g.retryBudgets[service] = b
 	}
 	return b
 }
 
-// crashed returns how many servers ended while they ran the request.
-func (g *Gateway) crashed(print uint64) int {
+// crashCount returns how many servers crashed while they ran the request.
+func (g *Gateway) crashCount(fp uint64) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.marks[print])
+	return len(g.crashMarks[fp])
 }
 
-// mark notes that a server ended while it ran the request.
-func (g *Gateway) mark(print uint64, server string) {
+// recordCrash records that a server crashed while it ran the request.
+func (g *Gateway) recordCrash(fp uint64, server string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.news = append(g.news, hub.Mark{Fingerprint: print, Server: server})
-	g.setMark(print, server)
+	g.newMarks = append(g.newMarks, hub.Mark{Fingerprint: fp, Server: server})
+	g.addCrashMark(fp, server)
 }
 
-// setMark enters a mark; g.mu is held.
-func (g *Gateway) setMark(print uint64, server string) {
-	m := g.marks[print]
+// addCrashMark stores a crash mark; g.mu is held.
+func (g *Gateway) addCrashMark(fp uint64, server string) {
+	m := g.crashMarks[fp]
 	if m == nil {
-		if len(g.marks) >= marksMost {
-			clear(g.marks)
+		if len(g.crashMarks) >= maxMarkedRequests {
+			clear(g.crashMarks)
 		}
 		m = map[string]bool{}
-		g.marks[print] = m
+		g.crashMarks[fp] = m
 	}
 	m[server] = true
 }
 
-// marksMost bounds the marks of requests kept at a node.
-const marksMost = 4096
+// maxMarkedRequests bounds the requests with crash marks that a node keeps.
+const maxMarkedRequests = 4096
 
-// Report returns what this node has at the servers and was asked for since the
-// last report, for the granter in office.
+// Report returns this node's requests at the servers and the demand since the last
+// report, for the current granter.
 func (g *Gateway) Report(node string, granter int64) hub.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := hub.Report{Node: node, Counts: g.picture.LocalCounts(granter), Marks: g.news, Limits: g.limits()}
-	g.news = nil
+	r := hub.Report{Node: node, Counts: g.picker.LocalCounts(granter), Marks: g.newMarks, Limits: g.limits()}
+	g.newMarks = nil
 	for k, d := range g.demand {
 		if d.Tokens > 0 || d.Waiting > 0 || d.Ran != (hub.Ran{}) {
 			r.Demand = append(r.Demand, *d)
@@ -310,83 +310,83 @@
 	return r
 }
 
-// Limits returns what servers said of the rates that they take.
+// Limits returns the rate limits that servers announced.
 func (g *Gateway) Limits() []hub.Limit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limits()
 }
 
-// limits returns what servers said of the rates that they take; g.mu is held.
+// limits returns the rate limits that servers announced; g.mu is held.
 func (g *Gateway) limits() []hub.Limit {
 	now := time.Now()
-	return hub.Limits(now, g.picture.KnownLimits(now.Add(-hub.LimitLife)))
+	return hub.Limits(now, g.picker.KnownLimits(now.Add(-hub.LimitLife)))
 }
 
-// Counts returns what this node has at each server, and what of it a granter counts.
+// Counts returns this node's requests at each server, and how many of them a granter counts.
 func (g *Gateway) Counts(granter int64) map[string]balance.Count {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.picture.LocalCounts(granter)
+	return g.picker.LocalCounts(granter)
 }
 
-// Keep puts marks back that could not be reported.
+// Keep restores crash marks that could not be reported.
 func (g *Gateway) Keep(marks []hub.Mark) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.news = append(g.news, marks...)
+	g.newMarks = append(g.newMarks, marks...)
 }
 
-// Take takes in what the other nodes have.
+// Take applies the leader's reply to a report, with the data of the other nodes.
 func (g *Gateway) Take(p hub.Picture) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.share(p.Nodes)
-	g.picture.SetRemoteCounts(now, p.Counts)
+	g.setNodes(p.Nodes)
+	g.picker.SetRemoteCounts(now, p.Counts)
 	for _, l := range p.Limits {
-		g.picture.LearnLimit(l.Server, l.Said(now))
+		g.picker.LearnLimit(l.Server, l.Said(now))
 	}
 	for _, n := range p.Notes {
-		g.picture.SetResidency(now, n.Server, n.Model, n.Adapter, n.Held)
+		g.picker.SetResidency(now, n.Server, n.Model, n.Adapter, n.Held)
 	}
 	for _, m := range p.Marks {
-		g.setMark(m.Fingerprint, m.Server)
+		g.addCrashMark(m.Fingerprint, m.Server)
 	}
 }
 
-// share takes in how many nodes there are; g.mu is held.
-func (g *Gateway) share(nodes int) {
+// setNodes sets the number of nodes; g.mu is held.
+func (g *Gateway) setNodes(nodes int) {
 	if nodes == g.nodes {
 		return
 	}
 	g.nodes = nodes
-	g.picture.SetNodes(nodes)
-	for _, b := range g.budgets {
+	g.picker.SetNodes(nodes)
+	for _, b := range g.retryBudgets {
 		g.Repeats.Apply(b, nodes)
 	}
 }
 
-// ask counts demand for a model and adapter.
-func (g *Gateway) ask(w hub.Item, tokens, waiting int) {
+// addDemand adds demand for a model and adapter.
+func (g *Gateway) addDemand(w hub.Item, tokens, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	d := g.asked(w)
+	d := g.demandFor(w)
 	d.Tokens += tokens
 	d.Waiting += waiting
 }
 
-// ran counts a stream that ended well.
-func (g *Gateway) ran(w hub.Item, tokens int, took time.Duration) {
+// recordStream counts a stream that succeeded.
+func (g *Gateway) recordStream(w hub.Item, tokens int, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	d := g.asked(w)
+	d := g.demandFor(w)
 	d.Ran.Tokens += tokens
 	d.Ran.Time += took
 }
 
-// asked returns the demand for an item since the last report; g.mu is held.
-func (g *Gateway) asked(w hub.Item) *hub.Demand {
+// demandFor returns the demand for an item since the last report; g.mu is held.
+func (g *Gateway) demandFor(w hub.Item) *hub.Demand {
 	d := g.demand[w]
 	if d == nil {
 		d = &hub.Demand{Item: w}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -29,7 +29,7 @@
 )
 
 type (
-	// rig is a gateway on a listener, before stand-in servers.
+	// rig is a gateway on a listener, in front of stand-in servers.
 	rig struct {
 		t       *testing.T
 		gateway *gateway.Gateway
@@ -38,18 +38,18 @@
 		log     *buffer
 	}
 
-	// buffer is a log that can be read while it is written.
+	// buffer is a log that can be read and written concurrently.
 	buffer struct {
 		mu sync.Mutex
 		b  bytes.Buffer
 	}
 
-	// reply is what a client got.
-	reply struct {
+	// response is the response that a client received.
+	response struct {
 		status int
 		header http.Header
 		body   string
-		err    error // of the body
+		err    error // of reading the header or the body
 	}
 )
 
@@ -72,8 +72,8 @@
 	{Name: "resumable", Host: "h.example", Prefix: "/resumable/", Kind: fleet.Stream, Resumable: true, MaxAttempts: 2, Timeout: 5 * time.Second, Splits: []fleet.Split{{Service: "plain", Weight: 1}}},
 }
 
-// newRig starts a gateway in front of workers. The first worker is the one that
-// is tried first, since the others are avoided until it has failed.
+// newRig starts a gateway in front of workers. The first worker is tried first, as it is
+// the only one in the gateway's data centre.
 func newRig(t *testing.T, workers ...*standin.Worker) *rig {
 	t.Helper()
 	r := &rig{t: t, log: &buffer{}}
@@ -110,13 +110,13 @@
 	return r
 }
 
-func worker(t *testing.T, id string, script ...standin.Behaviour) *standin.Worker {
+func startWorker(t *testing.T, id string, script ...standin.Behaviour) *standin.Worker {
 	t.Helper()
 	return (&standin.Worker{ID: id, Script: script}).Start(t)
 }
 
-// do sends one request on a connection of its own.
-func (r *rig) do(method, path, id, body string, header ...string) reply {
+// do sends one request on a new connection.
+func (r *rig) do(method, path, id, body string, header ...string) response {
 	r.t.Helper()
 	c, err := net.Dial("tcp4", r.address)
 	require.NoError(r.t, err)
@@ -124,7 +124,7 @@
 	return exchange(r.t, c, bufio.NewReader(c), method, path, id, body, header...)
 }
 
-func exchange(t *testing.T, c net.Conn, br *bufio.Reader, method, path, id, body string, header ...string) reply {
+func exchange(t *testing.T, c net.Conn, br *bufio.Reader, method, path, id, body string, header ...string) response {
 	t.Helper()
 	require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
 	head := method + " " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Guavapaddle-Request-Id: " + id + "\r\n"
@@ -135,15 +135,15 @@
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(br, &http.Request{Method: method})
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
 }
 
-func TestAnAnswerIsPassedOnWhole(t *testing.T) {
-	w := worker(t, "i-1")
+func TestResponseIsForwardedWhole(t *testing.T) {
+	w := startWorker(t, "i-1")
 	r := newRig(t, w)
 	a := r.do("POST", "/unsafe/x?q=1", "r1", "body", "X-Custom: kept", "Connection: X-Hop", "X-Hop: dropped")
 	require.Equal(t, 200, a.status)
@@ -160,8 +160,8 @@
 		time.Second, time.Millisecond)
 }
 
-func TestHeadersOfTheSystemAreNotPassedOnFromClients(t *testing.T) {
-	w := worker(t, "i-1")
+func TestInternalHeadersOfClientsAreDropped(t *testing.T) {
+	w := startWorker(t, "i-1")
 	r := newRig(t, w)
 	names := []string{"X-Guavapaddle-Hold", "X-Guavapaddle-Pin-Ms", "X-Guavapaddle-Kv-Backup", "Kv-From", "Kv-Fetch",
 		"X-Guavapaddle-Expect-Version", "X-Guavapaddle-Request-Priority"}
@@ -176,8 +176,8 @@
 	}
 }
 
-func TestTheDeadlineHandedOnIsWhatIsLeft(t *testing.T) {
-	first, second := worker(t, "i-1", standin.Shed), worker(t, "i-2")
+func TestRemainingDeadlineIsForwarded(t *testing.T) {
+	first, second := startWorker(t, "i-1", standin.Shed), startWorker(t, "i-2")
 	r := newRig(t, first, second)
 	require.Equal(t, 200, r.do("GET", "/safe/x", "r1", "", "X-Guavapaddle-Request-Deadline-Ms: 900").status)
 	for _, w := range []*standin.Worker{first, second} {
@@ -191,15 +191,15 @@
 	}
 }
 
-// TestFailuresByKind has one server misbehave and checks what the client gets
-// and how often the request ran, for each kind of route.
+// TestFailuresByKind guards against wrong statuses and forbidden retries for each kind of
+// route: one server misbehaves, and the client's status and the runs are checked.
 func TestFailuresByKind(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		does     standin.Behaviour
 		path     string
 		status   int
-		runs     int // over both servers
+		runs     int // of both servers together
 		notReady bool
 	}{
 		{"shed unsafe goes elsewhere", standin.Shed, "/unsafe/", 200, 1, false},
@@ -219,9 +219,9 @@
 		{"failed safe runs again", standin.Fail, "/safe/", 200, 2, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			a, b := worker(t, "i-1", x.does), worker(t, "i-2")
+			a, b := startWorker(t, "i-1", x.does), startWorker(t, "i-2")
 			r := newRig(t, a)
-			// The second server is known once the first was picked.
+			// The second server is added after the rig has started with the first only.
 			r.gateway.SetServers([]fleet.Server{
 				{ID: "i-1", Service: "plain", Address: a.Address(), Zone: "z", Slots: 64},
 				{ID: "i-2", Service: "plain", Address: b.Address(), Zone: "away", Slots: 1},
@@ -230,15 +230,15 @@
 			require.Equal(t, x.status, got.status)
 			require.Len(t, append(a.Runs(), b.Runs()...), x.runs)
 			if got.status == 502 {
-				require.Empty(t, got.header.Get("X-Guavapaddle-Server-Stamp"), "a failure of ours bears no stamp")
-				require.Empty(t, got.header.Get("Retry-After"), "nothing is promised")
+				require.Empty(t, got.header.Get("X-Guavapaddle-Server-Stamp"), "a failure of the gateway itself has no stamp")
+				require.Empty(t, got.header.Get("Retry-After"), "it is not promised that the request did not run")
 			}
 		})
 	}
 }
 
-func TestARefusalIsTrueAndTellsWhenToComeBack(t *testing.T) {
-	w := worker(t, "i-1", standin.Shed)
+func TestRefusedRequestHasNotRunAndGetsRetryAfter(t *testing.T) {
+	w := startWorker(t, "i-1", standin.Shed)
 	r := newRig(t, w)
 	a := r.do("POST", "/unsafe/", "r1", "body")
 	require.Equal(t, 503, a.status)
@@ -248,8 +248,8 @@
 	require.Empty(t, w.Runs())
 }
 
-func TestAnExtraAnswerReachesNobody(t *testing.T) {
-	w := worker(t, "i-1", standin.Extra, standin.OK)
+func TestExtraResponseIsNotForwarded(t *testing.T) {
+	w := startWorker(t, "i-1", standin.Extra, standin.OK)
 	r := newRig(t, w)
 	c, err := net.Dial("tcp4", r.address)
 	require.NoError(t, err)
@@ -261,23 +261,23 @@
 		require.Equal(t, "answer", a.body)
 		require.Equal(t, fmt.Sprint("r", i), a.header.Get("X-Guavapaddle-Request-Id"))
 	}
-	require.GreaterOrEqual(t, w.Conns(), 2, "the connection was not used again")
+	require.GreaterOrEqual(t, w.Conns(), 2, "the connection is not reused")
 }
 
-func TestALateExtraAnswerIsDropped(t *testing.T) {
-	w := worker(t, "i-1", standin.LateExtra, standin.OK)
+func TestLateExtraResponseIsDiscarded(t *testing.T) {
+	w := startWorker(t, "i-1", standin.LateExtra, standin.OK)
 	r := newRig(t, w)
 	a := r.do("POST", "/unsafe/", "r1", "body")
 	require.Equal(t, 200, a.status)
 	require.Equal(t, "answer", a.body)
 	require.Equal(t, "r1", a.header.Get("X-Guavapaddle-Request-Id"))
 	require.Equal(t, 200, r.do("POST", "/unsafe/", "r2", "body").status)
-	require.Equal(t, 2, w.Conns(), "the connection was not used again")
+	require.Equal(t, 2, w.Conns(), "the connection is not reused")
 	require.Len(t, w.Runs(), 2)
 }
 
-func TestAnEarlyAnswerToALongBodyDoesNotPoisonTheConnection(t *testing.T) {
-	w := worker(t, "i-1", standin.Early, standin.OK)
+func TestEarlyResponseToLongBodyDoesNotCorruptConnection(t *testing.T) {
+	w := startWorker(t, "i-1", standin.Early, standin.OK)
 	r := newRig(t, w)
 	long := strings.Repeat("x", 1<<20)
 	require.Equal(t, 400, r.do("POST", "/unsafe/", "r1", long).status)
@@ -287,16 +287,16 @@
 }
 
 func TestRoutesAndConfiguration(t *testing.T) {
-	r := newRig(t, worker(t, "i-1"))
+	r := newRig(t, startWorker(t, "i-1"))
 	require.Equal(t, 404, r.do("GET", "/none/", "r1", "").status)
 	require.Equal(t, 400, r.do("GET", "/safe/", "", "").status, "no id")
 	r.gateway.SetConfig(fleet.NewConfig(2, routes[1:], []fleet.Service{{Name: "plain"}}, fleet.Limits{}))
 	require.Equal(t, 404, r.do("GET", "/safe/", "r2", "").status)
 	r.gateway.SetConfig(fleet.NewConfig(1, routes, []fleet.Service{{Name: "plain"}}, fleet.Limits{}))
-	require.Equal(t, 404, r.do("GET", "/safe/", "r3", "").status, "an older configuration never comes back")
+	require.Equal(t, 404, r.do("GET", "/safe/", "r3", "").status, "an older configuration is ignored")
 }
 
-func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
+func TestWithoutConfigRequestsGetUnavailable(t *testing.T) {
 	g := &gateway.Gateway{Pool: &http1.Pool{}, Log: zap.NewNop(), Metrics: gateway.NewMetrics(), Rand: rand.New(rand.NewPCG(1, 1))}
 	g.Run(balance.New(rand.New(rand.NewPCG(1, 1))))
 	s := &http1.Server{Handler: g}
@@ -310,17 +310,17 @@
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-func TestTheRoutesTimeoutEndsARequest(t *testing.T) {
-	w := worker(t, "i-1", standin.Silent)
+func TestDeadlineEndsRequest(t *testing.T) {
+	w := startWorker(t, "i-1", standin.Silent)
 	r := newRig(t, w)
 	began := time.Now()
 	a := r.do("POST", "/unsafe/", "r1", "body", "X-Guavapaddle-Request-Deadline-Ms: 400")
 	require.Equal(t, 504, a.status)
 	require.Less(t, time.Since(began), 800*time.Millisecond)
-	require.Eventually(t, func() bool { return w.Gone() == 1 }, time.Second, time.Millisecond, "the server's work is cancelled")
+	require.Eventually(t, func() bool { return w.Gone() == 1 }, time.Second, time.Millisecond, "the run at the server is cancelled")
 }
 
-func TestAClientThatLeavesCancelsTheWork(t *testing.T) {
+func TestClientDisconnectCancelsRun(t *testing.T) {
 	w := (&standin.Worker{ID: "i-1", Stream: 1000, Pause: 5 * time.Millisecond}).Start(t)
 	r := newRig(t, w)
 	c, err := net.Dial("tcp4", r.address)
@@ -333,7 +333,7 @@
 	require.Eventually(t, func() bool { return w.Gone() == 1 }, 500*time.Millisecond, time.Millisecond)
 }
 
-func TestACutStreamNeverLooksComplete(t *testing.T) {
+func TestBrokenStreamIsNotTerminated(t *testing.T) {
 	a := (&standin.Worker{ID: "i-1", Stream: 10, Script: standin.Script{standin.Cut}}).Start(t)
 	r := newRig(t, a)
 	got := r.do("GET", "/stream/", "r1", "")
@@ -342,7 +342,7 @@
 	require.Len(t, a.Runs(), 1)
 }
 
-func TestAResumableStreamGoesOnAfterItsLastWholeEvent(t *testing.T) {
+func TestResumableStreamContinuesAfterLastCompleteEvent(t *testing.T) {
 	a := (&standin.Worker{ID: "i-1", Stream: 10, Script: standin.Script{standin.Cut}}).Start(t)
 	b := (&standin.Worker{ID: "i-2", Stream: 10}).Start(t)
 	r := newRig(t, a)
@@ -361,10 +361,10 @@
 	require.Len(t, b.Runs(), 1)
 }
 
-func TestARequestThatEndsItsServersIsStopped(t *testing.T) {
+func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	var workers []*standin.Worker
 	for i := range 6 {
-		workers = append(workers, worker(t, fmt.Sprint("i-", i), standin.Crash))
+		workers = append(workers, startWorker(t, fmt.Sprint("i-", i), standin.Crash))
 	}
 	r := newRig(t, workers...)
 	for i := range 8 {
@@ -378,10 +378,10 @@
 	require.Eventually(t, func() bool { return strings.Contains(r.log.String(), "reason=crashes") }, time.Second, time.Millisecond)
 }
 
-func TestRepeatsStayWithinTheirBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	var workers []*standin.Worker
 	for i := range 4 {
-		workers = append(workers, worker(t, fmt.Sprint("i-", i), standin.Shed))
+		workers = append(workers, startWorker(t, fmt.Sprint("i-", i), standin.Shed))
 	}
 	r := newRig(t, workers...)
 	const requests = 100
@@ -393,27 +393,27 @@
 		got, _ := w.Requests()
 		arrivals += len(got)
 	}
-	require.LessOrEqual(t, arrivals-requests, requests/5+7, "a fifth and one of eight nodes' part of 56")
+	require.LessOrEqual(t, arrivals-requests, requests/5+7, "a fifth of the requests, and one of eight nodes' share of 56")
 	require.Greater(t, arrivals, requests)
 }
 
-func TestAnotherIncarnationAtAnAddressIsNotUsed(t *testing.T) {
-	w := worker(t, "i-new")
+func TestOtherIncarnationAtAddressIsNotUsed(t *testing.T) {
+	w := startWorker(t, "i-new")
 	r := newRig(t, w)
 	r.gateway.SetServers([]fleet.Server{{ID: "i-old", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4}})
 	require.Equal(t, 503, r.do("POST", "/unsafe/", "r1", "body").status)
 	require.Empty(t, w.Runs())
 }
 
-func TestRequestsThatWaitAreRefusedWhenTheNodeStops(t *testing.T) {
-	r := newRig(t, worker(t, "i-1"))
+func TestWaitingRequestsAreRefusedOnStop(t *testing.T) {
+	r := newRig(t, startWorker(t, "i-1"))
 	r.gateway.Place = func(ctx context.Context, _ hub.Place) (hub.Placed, hub.Grant, error) {
 		<-ctx.Done()
 		return hub.Placed{}, nil, ctx.Err()
 	}
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m", LoadTime: time.Minute}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
-	got := make(chan reply, 1)
+	got := make(chan response, 1)
 	go func() { got <- r.do("GET", "/stream/", "r1", "", "X-Guavapaddle-Model: m") }()
 	require.Never(t, func() bool { return len(got) > 0 }, 50*time.Millisecond, 10*time.Millisecond)
 	r.gateway.Stop()
@@ -422,8 +422,8 @@
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-func TestAPlaceAtAServerThatLeavesIsNotUsed(t *testing.T) {
-	leaving, staying := worker(t, "i-1"), worker(t, "i-2")
+func TestSlotAtLeavingServerIsNotUsed(t *testing.T) {
+	leaving, staying := startWorker(t, "i-1"), startWorker(t, "i-2")
 	r := newRig(t, leaving, staying)
 	r.gateway.SetServers([]fleet.Server{
 		{ID: "i-1", Service: "plain", Address: leaving.Address(), Zone: "z", Slots: 4, Leaving: true, Resident: []fleet.ResidentModel{{Model: "m"}}},
@@ -439,23 +439,23 @@
 	require.Len(t, staying.Runs(), 1)
 }
 
-// counted is a place that counts how often it ended.
-type counted struct{ done *atomic.Int64 }
+// countedGrant is a granted slot that counts how often it was released.
+type countedGrant struct{ done *atomic.Int64 }
 
 // NamedRate implements hub.Grant.
-func (counted) NamedRate(*float64) {}
+func (countedGrant) NamedRate(*float64) {}
 
 // Begun implements hub.Grant.
-func (counted) Begun() {}
+func (countedGrant) Begun() {}
 
 // Done implements hub.Grant.
-func (c counted) Done(balance.Result) { c.done.Add(1) }
+func (c countedGrant) Done(balance.Result) { c.done.Add(1) }
 
-func TestEachPlaceEndsAlsoIfItsRequestIsGivenUp(t *testing.T) {
+func TestSlotsOfFailedRequestsAreReleased(t *testing.T) {
 	var workers []*standin.Worker
 	var servers []fleet.Server
 	for i := range 4 {
-		w := worker(t, fmt.Sprint("i-", i), standin.Shed)
+		w := startWorker(t, fmt.Sprint("i-", i), standin.Shed)
 		workers = append(workers, w)
 		servers = append(servers, fleet.Server{ID: w.ID, Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}})
 	}
@@ -466,16 +466,16 @@
 	var placed, done atomic.Int64
 	r.gateway.Place = func(_ context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
 		n := placed.Add(1)
-		return hub.Placed{Granted: true, Server: fmt.Sprint("i-", n%4)}, counted{&done}, nil
+		return hub.Placed{Granted: true, Server: fmt.Sprint("i-", n%4)}, countedGrant{&done}, nil
 	}
 	for i := range 20 {
 		require.Equal(t, 503, r.do("GET", "/stream/", fmt.Sprint("r", i), "", "X-Guavapaddle-Model: m").status)
 	}
-	require.Contains(t, r.log.String(), "reason=budget", "some were given up with a place in hand")
-	require.Eventually(t, func() bool { return placed.Load() == done.Load() }, 2*time.Second, time.Millisecond, "a place ends after its answer")
+	require.Contains(t, r.log.String(), "reason=budget", "some requests failed while they held a slot")
+	require.Eventually(t, func() bool { return placed.Load() == done.Load() }, 2*time.Second, time.Millisecond, "a slot is released after its response")
 }
 
-// noGrant is a place that nobody counts.
+// noGrant is a granted slot whose calls are ignored.
 type noGrant struct{}
 
 // NamedRate implements hub.Grant.
@@ -487,11 +487,11 @@
 // Done implements hub.Grant.
 func (noGrant) Done(balance.Result) {}
 
-// TestAKeptConnectionOutlivesItsClients sends requests of clients that each close their
-// connection once they have their answer. A connection to the server that was given back is
-// no longer theirs to end.
-func TestAKeptConnectionOutlivesItsClients(t *testing.T) {
-	w := worker(t, "i-1", standin.OK)
+// TestPooledConnectionOutlivesItsClients guards against a client's disconnect closing a
+// connection to a server that is already back in the pool: each client closes its
+// connection as soon as it has its response.
+func TestPooledConnectionOutlivesItsClients(t *testing.T) {
+	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
 	for i := range 300 {
 		got := r.do("POST", "/unsafe/x", fmt.Sprint("r", i), "")
--- a/internal/gateway/reasons_test.go
+++ b/internal/gateway/reasons_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEachReasonIsExplained compares the reasons in the code with the rows of
-// the operators' page, both ways.
-func TestEachReasonIsExplained(t *testing.T) {
+// TestEachReasonIsDocumented guards against reasons that the operators' page doesn't
+// explain, and against rows of the page without a reason in the code.
+func TestEachReasonIsDocumented(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "outcome.go", nil, 0)
 	require.NoError(t, err)
-	code := map[string]bool{"busy": true} // of core/balance, passed through
+	code := map[string]bool{"busy": true} // a reason of core/balance that the gateway passes on
 	ast.Inspect(file, func(n ast.Node) bool {
 		v, ok := n.(*ast.ValueSpec)
 		if !ok || v.Type == nil {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -11,60 +11,60 @@
 	"guavapaddle/io/http1"
 )
 
-const relayBuffer = 8 << 10 // bytes read at once; an event has under a hundred
+const relayBufferBytes = 8 << 10 // bytes per read; an event has less than 100
 
-// relay passes a stream on as it arrives.
-func (t *try) relay() (balance.Result, fate, Reason) {
-	if !t.begun {
+// relay forwards a stream to the client as it arrives.
+func (t *try) relay() (balance.Result, sendState, Reason) {
+	if !t.responseBegun {
 		if err := t.x.Begin(http.StatusOK, http1.EndToEnd(t.resp.Header)); err != nil {
 			t.conn.Close()
-			return balance.Abandoned, gone, ClientLeft
+			return balance.Abandoned, clientGone, ClientLeft
 		}
-		t.begun = true
+		t.responseBegun = true
 	}
-	err := t.copyEvents()
+	err := t.copyBody()
 	var w *clientError
 	switch {
 	case errors.As(err, &w):
 		t.conn.Close()
-		return balance.Abandoned, gone, ClientLeft
+		return balance.Abandoned, clientGone, ClientLeft
 	case err != nil:
 		t.conn.Close()
-		return t.broken(err)
+		return t.classifyConnError(err)
 	}
-	t.keep()
-	t.outcome = outcome{status: http.StatusOK, reason: Served, first: t.first}
+	t.keepConn()
+	t.outcome = outcome{status: http.StatusOK, reason: Served, firstByte: t.firstByte}
 	if err := t.x.End(); err != nil {
 		t.outcome = outcome{reason: ClientLeft, err: err}
 	}
 	return balance.Succeeded, answered, Served
 }
 
-// clientError means that the client's side of a stream failed.
+// clientError is a failed write to the client.
 type clientError struct{ err error }
 
-// Error tells the cause.
+// Error implements error.
 func (e *clientError) Error() string { return "client: " + e.err.Error() }
 
 // Unwrap returns the cause.
 func (e *clientError) Unwrap() error { return e.err }
 
-// copyEvents copies the body until its end. Where the stream may be resumed
-// only whole events are passed on, so that it can go on after the last one.
-func (t *try) copyEvents() error {
-	buf := make([]byte, relayBuffer)
+// copyBody copies the body to the client until its end. On resumable routes only
+// complete events are forwarded, so that the stream can continue after the last one.
+func (t *try) copyBody() error {
+	buf := make([]byte, relayBufferBytes)
 	var partial []byte
 	last := time.Now()
 	for {
 		n, err := t.resp.Body.Read(buf)
 		if now := time.Now(); n > 0 {
-			t.gap = max(t.gap, now.Sub(last))
+			t.maxGap = max(t.maxGap, now.Sub(last))
 			last = now
 		}
 		out := buf[:n]
 		if t.route.Resumable && n > 0 {
 			partial = append(partial, out...)
-			out = t.events(&partial)
+			out = t.takeEvents(&partial)
 		}
 		if len(out) > 0 {
 			if werr := t.x.Write(out); werr != nil {
@@ -83,9 +83,9 @@
 	}
 }
 
-// events takes the whole events off the front of partial and notes the id of
-// the last one.
-func (t *try) events(partial *[]byte) []byte {
+// takeEvents removes the complete events from the front of partial, returns them and
+// records the id of the last one.
+func (t *try) takeEvents(partial *[]byte) []byte {
 	end := bytes.LastIndex(*partial, []byte("\n\n"))
 	if end < 0 {
 		return nil
@@ -94,7 +94,7 @@
 	rest := bytes.Clone((*partial)[end+2:])
 	for line := range bytes.SplitSeq(whole, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			t.last = string(bytes.TrimSpace(id))
+			t.lastEvent = string(bytes.TrimSpace(id))
 		}
 	}
 	*partial = rest
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -18,51 +18,51 @@
 )
 
 const (
-	// unsafeIdle is how long a connection may have been idle for a request that
-	// must not run twice: the older it is, the likelier the server closes it as
-	// the request arrives, and its fate is unknown.
-	unsafeIdle = 1500 * time.Millisecond
-	// extraWait bounds the wait for the own answer behind another request's: a
-	// plain service takes some 60 ms.
-	extraWait = 500 * time.Millisecond
-	// extraMost bounds the answers to other requests that are dropped.
-	extraMost = 2
-	// wholeMost bounds an answer that is read whole before it is passed on.
-	wholeMost = 8 << 20
+	// maxUnsafeIdle bounds the idle time of connections that are reused for requests
+	// that must not run twice: the longer a connection was idle, the likelier the
+	// server closes it as the request arrives, which leaves unknown whether it ran.
+	maxUnsafeIdle = 1500 * time.Millisecond
+	// extraResponseWait bounds the wait for the request's own response after a response
+	// to another request: a plain service takes about 60 ms.
+	extraResponseWait = 500 * time.Millisecond
+	// maxExtraResponses bounds the discarded responses to other requests.
+	maxExtraResponses = 2
+	// maxBodyBytes bounds a response that is buffered before it is forwarded.
+	maxBodyBytes = 8 << 20
 )
 
-// try is one send of a request.
+// try is one attempt to send a request to a server.
 type try struct {
 	*request
-	choice balance.Selection
-	conn   *http1.Conn
-	ticket *balance.Ticket
-	resp   *http.Response
-	answer platform.Answer
-	first  time.Duration // until the head of the answer
-	extra  bool          // an answer to another request came before
-	unbind func() bool   // lets the connection outlive the client, false if that is too late
+	selection     balance.Selection
+	conn          *http1.Conn
+	ticket        *balance.Ticket
+	resp          *http.Response
+	respMeta      platform.Answer
+	firstByte     time.Duration // time until the response header
+	extraResponse bool          // a response to another request came first
+	stopClose     func() bool   // stops closing the connection when the client leaves; false if it is already closed
 }
 
-// send sends the request to a server and passes its answer on if it is one.
-func (r *request) send(c balance.Selection) (fate, Reason) {
-	t := &try{request: r, choice: c}
-	r.choice = c
-	began := time.Now()
-	result, f, reason := t.run()
-	t.freePlace(result)
+// send sends the request to a server and forwards the response if it is final.
+func (r *request) send(c balance.Selection) (sendState, Reason) {
+	t := &try{request: r, selection: c}
+	r.selection = c
+	start := time.Now()
+	result, state, reason := t.run()
+	t.releaseSlot(result)
 	r.g.mu.Lock()
-	r.g.picture.RecordDone(time.Now(), t.ticket, result)
-	if t.answer.Load != nil {
-		r.g.picture.ServerReport(time.Now(), c.Server.ID, t.answer.Load.Running, t.answer.Load.Waiting)
+	r.g.picker.RecordDone(time.Now(), t.ticket, result)
+	if t.respMeta.Load != nil {
+		r.g.picker.ServerReport(time.Now(), c.Server.ID, t.respMeta.Load.Running, t.respMeta.Load.Waiting)
 	}
 	r.g.mu.Unlock()
-	if f != answered || r.outcome.reason != Served {
+	if state != answered || r.outcome.reason != Served {
 		r.g.Log.Info("try", zap.String("request-id", r.meta.ID), zap.String("server", c.Server.ID), zap.Int("send", r.sends), zap.String("rule", r.rule),
 			zap.String("reason", string(reason)), zap.Int("status", t.status()), zap.Duration("estimate", c.Wait),
-			zap.Duration("age", c.Age), zap.Duration("took", time.Since(began)))
+			zap.Duration("age", c.Age), zap.Duration("took", time.Since(start)))
 	}
-	return f, reason
+	return state, reason
 }
 
 func (t *try) status() int {
@@ -72,120 +72,122 @@
 	return t.resp.StatusCode
 }
 
-// run makes the try and returns what it tells of the server, of the request,
-// and why.
-func (t *try) run() (balance.Result, fate, Reason) {
-	if f, reason, ok := t.connect(); !ok {
-		return balance.ConnFailed, f, reason
-	}
-	t.unbind = context.AfterFunc(t.x.Context(), t.conn.Close)
-	defer t.unbind()
-	if why, ok := t.withheld(); ok {
+// run performs the try. It returns the result for the server's load tracking, the state
+// of the request, and the reason.
+func (t *try) run() (balance.Result, sendState, Reason) {
+	if state, reason, ok := t.connect(); !ok {
+		return balance.ConnFailed, state, reason
+	}
+	t.stopClose = context.AfterFunc(t.x.Context(), t.conn.Close)
+	defer t.stopClose()
+	if cause, ok := t.withheld(); ok {
 		t.conn.Close()
-		return balance.Abandoned, notSent, why
+		return balance.Abandoned, notSent, cause
 	}
 	t.g.mu.Lock()
-	t.ticket = t.g.picture.RecordSent(time.Now(), t.choice.Server.ID, t.balanceRequest())
+	t.ticket = t.g.picker.RecordSent(time.Now(), t.selection.Server.ID, t.balanceRequest())
 	t.ticket.SetGranter(t.granter)
 	t.g.mu.Unlock()
 	sent := time.Now()
-	wrote, err := t.conn.Send(t.outgoing(t.choice.Server), t.deadline.Add(answerMargin))
+	wrote, err := t.conn.Send(t.outgoing(t.selection.Server), t.deadline.Add(responseMargin))
 	if err != nil {
 		t.conn.Close()
 		if !wrote {
 			return balance.ConnFailed, notSent, Reset
 		}
 		t.sends++
-		t.ran = true
-		return t.broken(err)
+		t.mayHaveRun = true
+		return t.classifyConnError(err)
 	}
 	t.sends++
 	if err := t.receive(); err != nil {
-		t.ran = true
+		t.mayHaveRun = true
 		t.conn.Close()
-		return t.broken(err)
+		return t.classifyConnError(err)
 	}
-	t.ran = t.ran || !t.answer.NotRun
-	t.first = time.Since(sent)
-	t.learnLimit(sent)
-	t.learnNeeds()
+	t.mayHaveRun = t.mayHaveRun || !t.respMeta.NotRun
+	t.firstByte = time.Since(sent)
+	t.recordRateLimit(sent)
+	t.recordServerState()
 	t.g.mu.Lock()
-	t.g.picture.FirstByte(time.Now(), t.ticket)
+	t.g.picker.FirstByte(time.Now(), t.ticket)
 	t.g.mu.Unlock()
-	if !t.answer.NotRun && t.place != nil {
-		t.place.Begun()
+	if !t.respMeta.NotRun && t.slot != nil {
+		t.slot.Begun()
 	}
-	result, f, reason := t.judge()
-	if f == answered && reason == Served && t.engine() {
-		t.g.ran(t.item(), t.meta.PromptTokens, time.Since(sent))
+	result, state, reason := t.classifyResponse()
+	if state == answered && reason == Served && t.usesEngine() {
+		t.g.recordStream(t.item(), t.meta.PromptTokens, time.Since(sent))
 	}
-	return result, f, reason
+	return result, state, reason
 }
 
-// learnLimit takes in what the answer to a request says of the rate that its server takes.
-func (t *try) learnLimit(sent time.Time) {
+// recordRateLimit records the rate limit that the server announced with its response.
+func (t *try) recordRateLimit(sent time.Time) {
 	l := throttle.NoLimit(sent)
-	if t.answer.Rate != nil {
-		l = throttle.NewLimit(time.Now(), *t.answer.Rate)
+	if t.respMeta.Rate != nil {
+		l = throttle.NewLimit(time.Now(), *t.respMeta.Rate)
 	}
 	t.g.mu.Lock()
-	changed := t.g.picture.LearnLimit(t.choice.Server.ID, l)
+	changed := t.g.picker.LearnLimit(t.selection.Server.ID, l)
 	t.g.mu.Unlock()
-	if t.place != nil && (l.Active || changed) {
-		t.place.NamedRate(t.answer.Rate)
+	if t.slot != nil && (l.Active || changed) {
+		t.slot.NamedRate(t.respMeta.Rate)
 	}
 	if changed {
-		t.g.Log.Info("server-limit", zap.String("request-id", t.meta.ID), zap.String("server", t.choice.Server.ID),
+		t.g.Log.Info("server-limit", zap.String("request-id", t.meta.ID), zap.String("server", t.selection.Server.ID),
 			zap.Bool("named", l.Active), zap.Float64("rate", l.Rate), zap.String("rule", t.rule))
 	}
 }
 
-// learnNeeds takes in whether the answer says that its server leaves or wants rest.
-func (t *try) learnNeeds() {
-	s := t.choice.Server
-	if t.answer.Leaving && t.g.OnDeparture != nil && t.g.OnDeparture(departure.IncarnationOf(s)) {
+// recordServerState records whether the server announced with its response that it is
+// leaving or asked for a backoff.
+func (t *try) recordServerState() {
+	s := t.selection.Server
+	if t.respMeta.Leaving && t.g.OnDeparture != nil && t.g.OnDeparture(departure.IncarnationOf(s)) {
 		t.g.Log.Info("server-departs", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.String("rule", t.rule))
 	}
-	if t.answer.Rest > 0 {
+	if t.respMeta.Rest > 0 {
 		t.g.mu.Lock()
-		t.g.picture.BackOff(s.ID, time.Now().Add(t.answer.Rest))
+		t.g.picker.BackOff(s.ID, time.Now().Add(t.respMeta.Rest))
 		t.g.mu.Unlock()
-		t.g.Log.Info("server-rests", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.Duration("rest", t.answer.Rest),
+		t.g.Log.Info("server-rests", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.Duration("rest", t.respMeta.Rest),
 			zap.String("rule", t.rule))
 	}
 }
 
-// withheld tells whether the server must get no request any more, and why: the connection
-// may have taken long to open.
+// withheld reports whether the server must not get requests any more, and the reason. It
+// is checked again before the send since opening the connection may have taken long.
 func (t *try) withheld() (Reason, bool) {
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	why, ok := t.g.picture.Withheld(time.Now(), t.choice.Server.ID)
-	return Reason(why), ok
+	reason, ok := t.g.picker.Withheld(time.Now(), t.selection.Server.ID)
+	return Reason(reason), ok
 }
 
-// receive reads the head of the answer. Where the request must not run again,
-// an answer to another request that comes first, late, is read to its end and
-// dropped: its own comes behind it. Else it is sent again at once.
+// receive reads the response header. If the request must not run again, a late response
+// to another request that arrives first is read to its end and discarded, as the
+// request's own response follows it. On repeatable routes the request is retried at
+// once instead.
 func (t *try) receive() error {
-	for range 1 + extraMost {
-		resp, err := t.conn.Receive() //nolint:bodyclose // the connection is kept or closed, and the body with it
+	for range 1 + maxExtraResponses {
+		resp, err := t.conn.Receive() //nolint:bodyclose // the body is read or its connection closed
 		if err != nil {
 			return err
 		}
 		t.resp = resp
-		t.answer = platform.ParseAnswer(resp.StatusCode, resp.Header)
-		if !t.foreign() || t.route.Repeatable() {
-			if t.extra {
-				t.conn.ReadBy(t.deadline.Add(answerMargin))
+		t.respMeta = platform.ParseAnswer(resp.StatusCode, resp.Header)
+		if !t.isForeign() || t.route.Repeatable() {
+			if t.extraResponse {
+				t.conn.ReadBy(t.deadline.Add(responseMargin))
 			}
 			return nil
 		}
-		t.extra = true
+		t.extraResponse = true
 		if t.route.Kind == fleet.Unsafe { // a stream's first event may take longer
-			t.conn.ReadBy(earlier(t.deadline, time.Now().Add(extraWait)))
+			t.conn.ReadBy(earlier(t.deadline, time.Now().Add(extraResponseWait)))
 		}
-		if _, err := http1.ReadBody(resp, wholeMost); err != nil {
+		if _, err := http1.ReadBody(resp, maxBodyBytes); err != nil {
 			return err
 		}
 	}
@@ -200,137 +202,138 @@
 	return b
 }
 
-// foreign tells whether the answer names another request.
-func (t *try) foreign() bool { return t.answer.RequestID != "" && t.answer.RequestID != t.meta.ID }
+// isForeign reports whether the response carries the id of another request.
+func (t *try) isForeign() bool {
+	return t.respMeta.RequestID != "" && t.respMeta.RequestID != t.meta.ID
+}
 
-// freePlace tells the holder of the lease how the send ended.
-func (r *request) freePlace(result balance.Result) {
-	if r.place != nil {
-		r.place.Done(result)
-		r.place, r.granter = nil, 0
+// releaseSlot reports the result of the send to the leader.
+func (r *request) releaseSlot(result balance.Result) {
+	if r.slot != nil {
+		r.slot.Done(result)
+		r.slot, r.granter = nil, 0
 	}
 }
 
-// connect opens a connection or takes one that is open.
-func (t *try) connect() (fate, Reason, bool) {
+// connect takes an idle connection from the pool or opens a new one.
+func (t *try) connect() (sendState, Reason, bool) {
 	maxIdle := time.Hour
 	if !t.route.Repeatable() {
-		maxIdle = unsafeIdle
+		maxIdle = maxUnsafeIdle
 	}
 	ctx, cancel := context.WithDeadline(t.x.Context(), t.deadline)
 	defer cancel()
-	c, err := t.g.Pool.Get(ctx, t.choice.Server.Address, maxIdle, t.runs > 0)
+	c, err := t.g.Pool.Get(ctx, t.selection.Server.Address, maxIdle, t.runs > 0)
 	if err == nil {
 		t.conn = c
 		return answered, "", true
 	}
 	switch {
 	case t.x.Context().Err() != nil:
-		return gone, ClientLeft, false
+		return clientGone, ClientLeft, false
 	case !time.Now().Before(t.deadline):
-		return late, Deadline, false
+		return deadlinePassed, Deadline, false
 	}
-	t.g.Pool.Drop(t.choice.Server.Address)
+	t.g.Pool.Drop(t.selection.Server.Address)
 	return notSent, Unreachable, false
 }
 
-// broken judges a connection that broke, or fell silent until the deadline,
-// after bytes of the request were written.
-func (t *try) broken(err error) (balance.Result, fate, Reason) {
+// classifyConnError classifies a connection that broke, or delivered nothing until the
+// deadline, after bytes of the request were written.
+func (t *try) classifyConnError(err error) (balance.Result, sendState, Reason) {
 	var n net.Error
 	switch {
 	case t.x.Context().Err() != nil:
-		return balance.Abandoned, gone, ClientLeft
+		return balance.Abandoned, clientGone, ClientLeft
 	case errors.As(err, &n) && n.Timeout() && !time.Now().Before(t.deadline):
 		t.runs++
-		return balance.ConnFailed, late, Deadline
+		return balance.ConnFailed, deadlinePassed, Deadline
 	}
-	t.g.Pool.Drop(t.choice.Server.Address)
-	t.g.mark(t.print, t.choice.Server.ID)
+	t.g.Pool.Drop(t.selection.Server.Address)
+	t.g.recordCrash(t.fingerprint, t.selection.Server.ID)
 	return balance.ConnFailed, unknown, Cut
 }
 
-// judge decides what the head of an answer means.
-func (t *try) judge() (balance.Result, fate, Reason) {
+// classifyResponse classifies a response by its header, and forwards it if it is final.
+func (t *try) classifyResponse() (balance.Result, sendState, Reason) {
 	status := t.resp.StatusCode
-	if t.foreign() {
+	if t.isForeign() {
 		t.conn.Close()
 		return balance.ConnFailed, unknown, WrongAnswer
 	}
-	if t.answer.NotRun {
-		t.recycle()
+	if t.respMeta.NotRun {
+		t.discardBody()
 		if status == http.StatusMisdirectedRequest {
-			return balance.Succeeded, notRun, t.misdirected()
+			return balance.Succeeded, notRun, t.handleMisdirected()
 		}
 		return balance.Full, notRun, Full
 	}
-	if !t.answer.Stamped || t.resp.Header.Get("Content-Encoding") != "" {
+	if !t.respMeta.Stamped || t.resp.Header.Get("Content-Encoding") != "" {
 		t.conn.Close()
 		return balance.Failed, unknown, Unsigned
 	}
-	if status >= http.StatusInternalServerError && t.route.Repeatable() && t.mayRepeat() {
-		t.recycle()
+	if status >= http.StatusInternalServerError && t.route.Repeatable() && t.mayRetry() {
+		t.discardBody()
 		return balance.Failed, unknown, ServerError
 	}
 	if t.route.Kind == fleet.Stream && status == http.StatusOK {
 		return t.relay()
 	}
-	return t.whole()
+	return t.forwardWhole()
 }
 
-// mayRepeat tells whether a failure of the server's own leaves another try.
-func (t *try) mayRepeat() bool {
-	return t.runs+1 < t.route.MaxAttempts && t.sends < sendsMost
+// mayRetry reports whether another try is left after an error response of the server.
+func (t *try) mayRetry() bool {
+	return t.runs+1 < t.route.MaxAttempts && t.sends < maxSends
 }
 
-// misdirected notes what a server that refused doesn't hold.
-func (t *try) misdirected() Reason {
-	id := t.choice.Server.ID
-	if t.answer.Instance != "" && t.answer.Instance != id || !t.engine() {
-		t.g.Pool.Drop(t.choice.Server.Address)
+// handleMisdirected records what a server that refused the request doesn't hold.
+func (t *try) handleMisdirected() Reason {
+	id := t.selection.Server.ID
+	if t.respMeta.Instance != "" && t.respMeta.Instance != id || !t.usesEngine() {
+		t.g.Pool.Drop(t.selection.Server.Address)
 		return Misdirected
 	}
-	t.lacks = append(t.lacks, id)
+	t.lacking = append(t.lacking, id)
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	t.g.picture.SetResidency(time.Now(), id, t.meta.Model, t.meta.Adapter, false)
+	t.g.picker.SetResidency(time.Now(), id, t.meta.Model, t.meta.Adapter, false)
 	return Lacking
 }
 
-// recycle reads an answer that isn't passed on to its end and keeps the
-// connection.
-func (t *try) recycle() {
-	if _, err := http1.ReadBody(t.resp, wholeMost); err != nil {
+// discardBody reads a response that isn't forwarded to its end and keeps the connection.
+func (t *try) discardBody() {
+	if _, err := http1.ReadBody(t.resp, maxBodyBytes); err != nil {
 		t.conn.Close()
 		return
 	}
-	t.keep()
+	t.keepConn()
 }
 
-// keep gives the connection back to the pool. From then on the client's leaving must not
-// close it: another request may be on it.
-func (t *try) keep() {
-	left := !t.unbind()
+// keepConn returns the connection to the pool. From then on a disconnect of the client
+// must not close it, as another request may be using it.
+func (t *try) keepConn() {
+	left := !t.stopClose()
 	t.conn.Settle()
-	if t.extra || left {
+	if t.extraResponse || left {
 		t.conn.Close()
 		return
 	}
 	if err := t.g.Pool.Put(t.conn, t.resp); err != nil {
-		t.g.Log.Warn("connection-closed", zap.String("server", t.choice.Server.ID), zap.Error(err))
+		t.g.Log.Warn("connection-closed", zap.String("server", t.selection.Server.ID), zap.Error(err))
 	}
 }
 
-// whole reads an answer to its end and passes it on.
-func (t *try) whole() (balance.Result, fate, Reason) {
-	body, err := http1.ReadBody(t.resp, wholeMost)
+// forwardWhole reads a response to its end and forwards it.
+func (t *try) forwardWhole() (balance.Result, sendState, Reason) {
+	body, err := http1.ReadBody(t.resp, maxBodyBytes)
 	if err != nil {
 		t.conn.Close()
-		return t.broken(err)
+		return t.classifyConnError(err)
 	}
-	t.keep()
-	t.outcome = outcome{status: t.resp.StatusCode, reason: Served, first: t.first}
-	t.begun = true
+	t.keepConn()
+	t.outcome = outcome{status: t.resp.StatusCode, reason: Served, firstByte: t.firstByte}
+	t.responseBegun = true
 	if err := t.x.Respond(t.resp.StatusCode, http1.EndToEnd(t.resp.Header), body); err != nil {
 		t.outcome = outcome{reason: ClientLeft, err: err}
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -17,144 +17,146 @@
 )
 
 const (
-	// sendsMost bounds the sends of one request, refused ones included.
-	sendsMost = 4
-	// asksMost bounds the places that are asked for at once: the holder of the lease may grant
-	// them at servers of which this node knows more.
-	asksMost = 4
-	// dialsMost bounds the servers tried that could not be reached at all.
-	dialsMost = 4
-	// modelWait bounds the wait for a model that no server holds, beside the
-	// time that its load takes.
+	// maxSends bounds the sends of one request, including refused ones.
+	maxSends = 4
+	// maxSlotRequests bounds the slot requests in a row: the leader may grant a slot at a
+	// server that this node already knows to be unusable.
+	maxSlotRequests = 4
+	// maxDials bounds the tries that failed before a byte reached a server.
+	maxDials = 4
+	// modelWait bounds the wait for a model that no server holds, in addition to
+	// its load time.
 	modelWait = 2500 * time.Millisecond
-	// plainWait bounds the wait for a plain service without servers.
+	// plainWait bounds the wait for a server of a service without models.
 	plainWait = 300 * time.Millisecond
-	// recheck is how often a waiting request asks for its model again.
-	recheck = 300 * time.Millisecond
-	// limitedBack is when a client may come back, at most, that was refused since all servers
-	// have got as many requests as they named, or want rest from this node: it may reach a
-	// node that may send one.
-	limitedBack = time.Second
-	// comeBack is when a refused client may come back where nothing tells more.
-	comeBack = 400 * time.Millisecond
+	// recheckInterval is how often a waiting request queries the picker and requests its
+	// adapter again.
+	recheckInterval = 300 * time.Millisecond
+	// maxLimitedRetryAfter bounds the Retry-After of requests that were refused since all
+	// servers have reached their announced limits or asked for a backoff by this node:
+	// the retry may reach another node that may send one.
+	maxLimitedRetryAfter = time.Second
+	// defaultRetryAfter is the Retry-After of refusals without a better estimate.
+	defaultRetryAfter = 400 * time.Millisecond
 )
 
-// asked says what came of asking the holder of the lease for a place.
-type asked int
+// slotResult is the result of a slot request to the leader.
+type slotResult int
 
 const (
-	unreached asked = iota // the node has to pick by itself
-	decided                // the request has a place, or was refused
-	declined               // the place is at a server that this node knows better not to use
+	leaderUnreachable slotResult = iota // the leader is unreachable, the node picks a server itself
+	decided                             // a slot was granted, or the request refused
+	declined                            // the slot is at a server that this node knows to be unusable
 )
 
-// fate says what is known of a request after a send.
-type fate int
+// sendState is what is known about a request after a send.
+type sendState int
 
 const (
-	answered fate = iota // the client has its answer, or can't get one
-	notSent              // no byte reached the server
-	notRun               // the server says that it hasn't run
-	unknown              // it may have run
-	gone                 // the client has left
-	late                 // the deadline has passed
+	answered       sendState = iota // the client has its response, or can't get one
+	notSent                         // no byte was sent to the server
+	notRun                          // the server reports that it hasn't run
+	unknown                         // it may have run
+	clientGone                      // the client has left
+	deadlinePassed                  // the deadline has passed
 )
 
-// serve sends the request until it has an answer.
+// serve sends the request until it has a final response.
 func (r *request) serve() {
 	g := r.g
-	r.exclude = map[string]bool{}
+	r.excluded = map[string]bool{}
 	r.header = http1.EndToEnd(r.x.Request.Header)
-	r.last = r.meta.LastEvent
-	// A request that is given up with a place in hand must not keep it.
-	defer r.freePlace(balance.Abandoned)
+	r.lastEvent = r.meta.LastEvent
+	// A request that fails while it holds a slot must not keep it.
+	defer r.releaseSlot(balance.Abandoned)
 	dials := 0
-	var refusal Reason
+	var lastTry Reason
 	for {
-		c, why := r.pick()
-		if why != "" {
-			r.giveUp(why, refusal)
+		c, failure := r.pick()
+		if failure != "" {
+			r.fail(failure, lastTry)
 			return
 		}
-		if why := r.spend(); why != "" {
-			r.giveUp(why, refusal)
+		if failure := r.chargeLocally(); failure != "" {
+			r.fail(failure, lastTry)
 			return
 		}
-		if why := r.allowed(); why != "" {
-			r.giveUp(why, refusal)
+		if failure := r.recheckKey(); failure != "" {
+			r.fail(failure, lastTry)
 			return
 		}
-		if r.sends > 0 && !g.spend(r.service) {
-			r.giveUp(Budget, refusal)
+		if r.sends > 0 && !g.takeRetry(r.service) {
+			r.fail(Budget, lastTry)
 			return
 		}
-		f, reason := r.send(c)
-		g.Metrics.try(reason)
-		switch f {
+		state, reason := r.send(c)
+		g.Metrics.countTry(reason)
+		switch state {
 		case answered:
 			return
-		case gone:
+		case clientGone:
 			r.outcome = outcome{reason: ClientLeft}
 			r.x.Abort()
 			return
-		case late:
-			r.giveUp(Deadline, reason)
+		case deadlinePassed:
+			r.fail(Deadline, reason)
 			return
 		case notSent:
-			if dials++; dials >= dialsMost {
-				r.giveUp(Unreachable, reason)
+			if dials++; dials >= maxDials {
+				r.fail(Unreachable, reason)
 				return
 			}
 		case notRun:
-			if r.sends >= sendsMost {
-				r.giveUp(reason, reason)
+			if r.sends >= maxSends {
+				r.fail(reason, reason)
 				return
 			}
 		case unknown:
 			r.runs++
-			if !r.route.Repeatable() || r.runs >= r.route.MaxAttempts || r.sends >= sendsMost {
-				r.giveUp(reason, reason)
+			if !r.route.Repeatable() || r.runs >= r.route.MaxAttempts || r.sends >= maxSends {
+				r.fail(reason, reason)
 				return
 			}
 		}
-		refusal = reason
+		lastTry = reason
 		if reason != Lacking {
-			r.exclude[c.Server.ID] = true
+			r.excluded[c.Server.ID] = true
 		}
 	}
 }
 
-// giveUp gives the final answer where there is no server's own.
-func (r *request) giveUp(why, refusal Reason) {
-	if r.begun || why == ClientLeft {
-		r.outcome = outcome{reason: why, refusal: refusal}
+// fail ends the request for the given cause when no server gave a final response; lastTry is
+// the reason of the last try, if any.
+func (r *request) fail(cause, lastTry Reason) {
+	if r.responseBegun || cause == ClientLeft {
+		r.outcome = outcome{reason: cause, lastTry: lastTry}
 		r.x.Abort()
 		return
 	}
-	status, after := http.StatusServiceUnavailable, comeBack
-	if r.after > 0 {
-		after = r.after
+	status, retryAfter := http.StatusServiceUnavailable, defaultRetryAfter
+	if r.retryAfter > 0 {
+		retryAfter = r.retryAfter
 	}
 	switch {
-	case r.runs > 0 && why == Deadline:
-		status, after = http.StatusGatewayTimeout, 0
+	case r.runs > 0 && cause == Deadline:
+		status, retryAfter = http.StatusGatewayTimeout, 0
 	case r.runs > 0:
-		status, after = http.StatusBadGateway, 0
-	case why == Unauthorized:
-		status, after = http.StatusUnauthorized, 0
-	case why == StaleConfig:
-		after = staleRetry
-	case why == Quota:
-		status, after = http.StatusTooManyRequests, r.spread(r.after)
+		status, retryAfter = http.StatusBadGateway, 0
+	case cause == Unauthorized:
+		status, retryAfter = http.StatusUnauthorized, 0
+	case cause == StaleConfig:
+		retryAfter = staleConfigRetryAfter
+	case cause == Quota:
+		status, retryAfter = http.StatusTooManyRequests, r.jitterRetryAfter(r.retryAfter)
 	}
-	r.answer(status, why, after)
-	r.outcome.refusal = refusal
+	r.respond(status, cause, retryAfter)
+	r.outcome.lastTry = lastTry
 }
 
-// balanceRequest returns what the pick depends on.
+// balanceRequest returns the properties of the request that the picker uses.
 func (r *request) balanceRequest() balance.Request {
-	b := balance.Request{Service: r.service, Zone: r.g.Zone, Exclude: r.exclude}
-	if !r.engine() {
+	b := balance.Request{Service: r.service, Zone: r.g.Zone, Exclude: r.excluded}
+	if !r.usesEngine() {
 		return b
 	}
 	b.Model, b.Adapter, b.Tokens = r.meta.Model, r.meta.Adapter, r.meta.PromptTokens
@@ -164,32 +166,32 @@
 	return b
 }
 
-// item returns the model and adapter that the request asks for.
+// item returns the model and adapter that the request needs.
 func (r *request) item() hub.Item {
 	return hub.Item{Service: r.service, Model: r.meta.Model, Adapter: r.meta.Adapter}
 }
 
-// engine tells whether the request goes to a model engine.
-func (r *request) engine() bool {
+// usesEngine reports whether the request goes to a model engine.
+func (r *request) usesEngine() bool {
 	s, ok := r.g.config.Load().Service(r.service)
 	return ok && s.Engine != nil && r.meta.Model != ""
 }
 
-// pick picks a server; where none holds the model it waits for one.
+// pick selects a server; if none holds the model it waits for one.
 func (r *request) pick() (balance.Selection, Reason) {
 	g := r.g
 	b := r.balanceRequest()
 	w := r.item()
 	if b.Model != "" && r.sends == 0 {
-		g.ask(w, b.Tokens, 0)
+		g.addDemand(w, b.Tokens, 0)
 	}
 	if b.Model != "" {
-		for range asksMost {
-			c, why, a := r.ask(b, w)
-			if a == decided {
-				return c, why
+		for range maxSlotRequests {
+			c, reason, result := r.requestSlot(b, w)
+			if result == decided {
+				return c, reason
 			}
-			if a == unreached {
+			if result == leaderUnreachable {
 				break
 			}
 		}
@@ -197,62 +199,62 @@
 	waiting := false
 	defer func() {
 		if waiting {
-			g.ask(w, 0, -1)
+			g.addDemand(w, 0, -1)
 		}
 	}()
-	until := time.Now().Add(r.waitMost(b.Model))
+	waitUntil := time.Now().Add(r.maxWait(b.Model))
 	for {
 		g.mu.Lock()
-		c, why := g.picture.Pick(time.Now(), b)
-		if why == balance.Picked {
-			g.picture.Reserve(time.Now(), c.Server.ID)
+		c, reason := g.picker.Pick(time.Now(), b)
+		if reason == balance.Picked {
+			g.picker.Reserve(time.Now(), c.Server.ID)
 		}
 		changed := g.changed
 		g.mu.Unlock()
-		if why == balance.Picked {
+		if reason == balance.Picked {
 			r.rule = "picked"
 			if r.sends == 0 {
 				r.queued = time.Since(r.x.Received)
 			}
 			return c, ""
 		}
-		if time.Now().After(until) {
-			return c, Reason(why)
+		if time.Now().After(waitUntil) {
+			return c, Reason(reason)
 		}
-		if c.Wait > time.Until(until) || why == balance.Backoff {
-			r.after = min(max(c.Wait, comeBack), limitedBack)
-			return c, Reason(why)
+		if c.Wait > time.Until(waitUntil) || reason == balance.Backoff {
+			r.retryAfter = min(max(c.Wait, defaultRetryAfter), maxLimitedRetryAfter)
+			return c, Reason(reason)
 		}
 		if !waiting && b.Model != "" {
 			waiting = true
-			g.ask(w, 0, 1)
+			g.addDemand(w, 0, 1)
 		}
-		if why == balance.NoAdapter {
-			r.want(w)
+		if reason == balance.NoAdapter {
+			r.requestAdapter(w)
 		}
-		if !r.lacking(b) {
+		if !r.noneAvailable(b) {
 			continue
 		}
-		next := until
-		if why == balance.Limited {
+		next := waitUntil
+		if reason == balance.Limited {
 			next = time.Now().Add(c.Wait)
 		}
-		if reason := r.await(changed, next); reason != "" {
-			return c, reason
+		if ended := r.awaitChange(changed, next); ended != "" {
+			return c, ended
 		}
 	}
 }
 
-// ask asks the holder of the lease for a place.
-func (r *request) ask(b balance.Request, w hub.Item) (c balance.Selection, why Reason, a asked) {
-	p := hub.Place{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacks, Priority: r.urgency(),
+// requestSlot requests a slot from the leader.
+func (r *request) requestSlot(b balance.Request, w hub.Item) (c balance.Selection, reason Reason, result slotResult) {
+	p := hub.Place{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacking, Priority: r.urgency(),
 		Waited: time.Since(r.x.Received),
-		Target: time.Until(r.x.Received.Add(r.route.TargetLatency * targetPart / 100)), Expire: r.waitMost(b.Model)}
-	p.Charge = r.due()
+		Target: time.Until(r.x.Received.Add(r.route.TargetLatency * targetPercent / 100)), Expire: r.maxWait(b.Model)}
+	p.Charge = r.pendingCharge()
 	p.Exclude = r.unusable()
-	ctx, cancel := r.waiting()
+	ctx, cancel := r.waitContext()
 	defer cancel()
-	placed, grant, err := r.g.Place(ctx, p)
+	reply, grant, err := r.g.Place(ctx, p)
 	if ctx.Err() != nil {
 		if err == nil {
 			grant.Done(balance.Abandoned)
@@ -263,54 +265,54 @@
 		return c, Stopping, decided
 	}
 	if err != nil {
-		return c, "", unreached
+		return c, "", leaderUnreachable
 	}
-	if placed.Granted {
-		r.paid(p.Charge)
+	if reply.Granted {
+		r.recordCharge(p.Charge)
 	}
-	if !placed.Granted {
+	if !reply.Granted {
 		grant.Done(balance.Abandoned)
-		r.after = placed.After
-		if placed.Why == string(balance.NoServer) && len(p.Exclude) > len(r.exclude) {
+		r.retryAfter = reply.After
+		if reply.Why == string(balance.NoServer) && len(p.Exclude) > len(r.excluded) {
 			return c, Resting, decided
 		}
-		return c, Reason(placed.Why), decided
+		return c, Reason(reply.Why), decided
 	}
-	r.lacks = slices.DeleteFunc(r.lacks, func(id string) bool { return id == placed.Server })
+	r.lacking = slices.DeleteFunc(r.lacking, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
-	s, known := r.g.picture.Server(placed.Server)
-	r.g.picture.SetResidency(time.Now(), placed.Server, w.Model, w.Adapter, true)
-	_, withheld := r.g.picture.Withheld(time.Now(), placed.Server)
+	s, known := r.g.picker.Server(reply.Server)
+	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
+	_, withheld := r.g.picker.Withheld(time.Now(), reply.Server)
 	r.g.mu.Unlock()
 	if !known || withheld {
-		grant.Done(balance.Abandoned) // this node knows more than the holder
-		r.exclude[placed.Server] = true
+		grant.Done(balance.Abandoned) // this node's data is newer than the leader's
+		r.excluded[reply.Server] = true
 		return c, "", declined
 	}
 	if r.sends == 0 {
 		r.queued = time.Since(r.x.Received)
 	}
-	r.place, r.granter = grant, placed.Granter
+	r.slot, r.granter = grant, reply.Granter
 	r.rule = "granted"
-	return balance.Selection{Server: s, Wait: placed.Wait}, "", decided
+	return balance.Selection{Server: s, Wait: reply.Wait}, "", decided
 }
 
-// unusable returns the servers that the request can't go to: it was tried there, or they
-// want rest from this node.
+// unusable returns the servers that the request can't go to: those already tried, and
+// those that asked for a backoff by this node.
 func (r *request) unusable() []string {
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
-	out := slices.Collect(maps.Keys(r.exclude))
-	for _, id := range r.g.picture.InBackoff(time.Now(), r.service) {
-		if !r.exclude[id] {
+	out := slices.Collect(maps.Keys(r.excluded))
+	for _, id := range r.g.picker.InBackoff(time.Now(), r.service) {
+		if !r.excluded[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// waiting returns a context that ends when the client leaves or the node stops.
-func (r *request) waiting() (context.Context, context.CancelFunc) {
+// waitContext returns a context that ends when the client leaves or the node stops.
+func (r *request) waitContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(r.x.Context())
 	go func() {
 		select {
@@ -322,35 +324,36 @@
 	return ctx, cancel
 }
 
-// targetPart is the part of a route's target, in percent, in which a request
-// should be sent; the rest is for its prompt to be read.
-const targetPart = 60
+// targetPercent is the percentage of a route's target latency within which a request
+// should be sent; the rest is for the prefill of its prompt.
+const targetPercent = 60
 
-// want asks the holder of the lease for an adapter.
-func (r *request) want(w hub.Item) {
-	ctx, cancel := context.WithTimeout(r.x.Context(), recheck)
+// requestAdapter sends a load request for an adapter to the leader.
+func (r *request) requestAdapter(w hub.Item) {
+	ctx, cancel := context.WithTimeout(r.x.Context(), recheckInterval)
 	defer cancel()
-	o := r.g.Want(ctx, hub.Want{Item: w, Lacks: r.lacks, Exclude: r.unusable()})
-	if !o.Found {
+	reply := r.g.Want(ctx, hub.Want{Item: w, Lacks: r.lacking, Exclude: r.unusable()})
+	if !reply.Found {
 		return
 	}
-	r.lacks = slices.DeleteFunc(r.lacks, func(id string) bool { return id == o.Server })
+	r.lacking = slices.DeleteFunc(r.lacking, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
-	r.g.picture.SetResidency(time.Now(), o.Server, w.Model, w.Adapter, true)
+	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
 }
 
-// lacking tells whether there is still no server to pick.
-func (r *request) lacking(b balance.Request) bool {
+// noneAvailable reports whether there is still no server to pick.
+func (r *request) noneAvailable(b balance.Request) bool {
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
-	_, why := r.g.picture.Pick(time.Now(), b)
-	return why != balance.Picked
+	_, reason := r.g.picker.Pick(time.Now(), b)
+	return reason != balance.Picked
 }
 
-// await waits until the picture changes or the request ends.
-func (r *request) await(changed <-chan struct{}, until time.Time) Reason {
-	t := time.NewTimer(min(recheck, time.Until(until)+time.Millisecond))
+// awaitChange waits until the picker's data changes, the recheck interval or until is
+// over, or the request ends, in which case it returns the reason.
+func (r *request) awaitChange(changed <-chan struct{}, until time.Time) Reason {
+	t := time.NewTimer(min(recheckInterval, time.Until(until)+time.Millisecond))
 	defer t.Stop()
 	select {
 	case <-changed:
@@ -363,8 +366,8 @@
 	return ""
 }
 
-// waitMost returns how long the request may wait for a server that can run it.
-func (r *request) waitMost(model string) time.Duration {
+// maxWait returns how long the request may wait for a server that can run it.
+func (r *request) maxWait(model string) time.Duration {
 	left := time.Until(r.deadline) - time.Second
 	if model == "" {
 		return min(plainWait, left)
@@ -377,30 +380,30 @@
 	if !ok {
 		return 0
 	}
-	return min(m.LoadTime+modelWait, left, r.patienceFirst())
+	return min(m.LoadTime+modelWait, left, r.firstEventWait())
 }
 
-// patienceFirst returns how long the client waits for the first event: two
-// seconds, four times the target or eight times the pause, whichever is
-// longest, less time for the prompt to be read.
-func (r *request) patienceFirst() time.Duration {
-	most := max(2*time.Second, 4*r.route.TargetLatency, 8*r.route.MaxEventGap)
-	return time.Until(r.x.Received.Add(most)) - 300*time.Millisecond
+// firstEventWait returns how long the client still waits for the first event: until 2 s,
+// four times the target latency or eight times the maximum event gap after the request
+// was received, whichever is longest, less 300 ms for the prefill of the prompt.
+func (r *request) firstEventWait() time.Duration {
+	limit := max(2*time.Second, 4*r.route.TargetLatency, 8*r.route.MaxEventGap)
+	return time.Until(r.x.Received.Add(limit)) - 300*time.Millisecond
 }
 
-// fingerprint tells requests apart whose copies come again: by host, path and
-// body, and the prompt where the body is empty.
+// fingerprint identifies copies of a request by a hash of its method, host, path with
+// query, and body.
 func fingerprint(x *http1.Exchange) uint64 {
 	d := xxhash.New()
 	for _, s := range []string{x.Request.Method, x.Request.Host, x.Request.RequestURI} {
-		_, _ = d.WriteString(s) // never fails
+		_, _ = d.WriteString(s) // never returns an error
 		_, _ = d.Write([]byte{0})
 	}
 	_, _ = d.Write(x.Body)
 	return d.Sum64()
 }
 
-// outgoing returns the request as it goes to a server.
+// outgoing returns the request as it is sent to a server.
 func (r *request) outgoing(s fleet.Server) http1.Outgoing {
 	h := r.header.Clone()
 	priority := -1
@@ -411,8 +414,8 @@
 	if r.g.config.Load().KeysRequired() {
 		platform.Identify(h, r.team.Name)
 	}
-	if r.last != "" && r.route.Resumable {
-		platform.Resume(h, r.last)
+	if r.lastEvent != "" && r.route.Resumable {
+		platform.Resume(h, r.lastEvent)
 	}
 	return http1.Outgoing{Method: r.x.Request.Method, Target: r.x.Request.RequestURI, Host: r.x.Request.Host,
 		Header: h, Body: r.x.Body}
--- a/internal/gateway/spend.go
+++ b/internal/gateway/spend.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// granterBack is when a client may come back that was refused while no granter was
-	// reached: another node may reach one.
-	granterBack = 500 * time.Millisecond
-	// returnSpread is by how much, at most, clients over their quota are told to come
-	// back later than their tokens are there, so that they don't come back together.
-	returnSpread = 0.5
-	// returnLeast is the least time after which they may.
-	returnLeast = 50 * time.Millisecond
+	// noGranterRetryAfter is the longest Retry-After of requests that were refused while no
+	// granter was reachable: another node may reach one.
+	noGranterRetryAfter = 500 * time.Millisecond
+	// retryJitter is the maximum share by which the Retry-After of clients over their quota
+	// exceeds the time until their tokens are available, so that they don't retry together.
+	retryJitter = 0.5
+	// minQuotaRetryAfter is the shortest Retry-After of clients over their quota.
+	minQuotaRetryAfter = 50 * time.Millisecond
 )
 
-// limited tells whether the request counts for a quota.
-func (r *request) limited() bool { return r.team.Quota.Rate > 0 }
+// hasQuota reports whether the request counts against a quota.
+func (r *request) hasQuota() bool { return r.team.Quota.Rate > 0 }
 
-// cost returns what the request takes of its team's quota.
+// cost returns the tokens that the request takes from its team's quota.
 func (r *request) cost() float64 {
 	return r.team.Quota.Cost(r.meta.PromptTokens, r.meta.OutputTokens, r.meta.Counted)
 }
 
-// due returns what is still to be charged together with a place.
-func (r *request) due() hub.Charge {
-	if r.charged || !r.limited() {
+// pendingCharge returns the charge that is still to be made with a slot request.
+func (r *request) pendingCharge() hub.Charge {
+	if r.charged || !r.hasQuota() {
 		return hub.Charge{}
 	}
 	return hub.Charge{Team: r.team.Name, Cost: r.cost()}
 }
 
-// paid notes that the granter has charged the request.
-func (r *request) paid(c hub.Charge) {
+// recordCharge records that the granter has charged the request.
+func (r *request) recordCharge(c hub.Charge) {
 	if c == (hub.Charge{}) {
 		return
 	}
@@ -43,69 +43,70 @@
 	g := r.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.purse.RecordCharge(c.Team, c.Cost)
+	g.account.RecordCharge(c.Team, c.Cost)
 }
 
-// spend charges a request that got no place from a granter, or returns why it can't.
-func (r *request) spend() Reason {
-	if r.charged || !r.limited() {
+// chargeLocally charges a request that has no slot from a granter, or returns the reason
+// why it can't.
+func (r *request) chargeLocally() Reason {
+	if r.charged || !r.hasQuota() {
 		return ""
 	}
 	g := r.g
 	g.mu.Lock()
-	led := g.led
-	ok, after := g.purse.Spend(time.Now(), r.team, r.cost(), led)
+	granterReachable := g.granterReachable
+	ok, retryAfter := g.account.Spend(time.Now(), r.team, r.cost(), granterReachable)
 	g.mu.Unlock()
-	r.alone = !led
+	r.chargedAlone = !granterReachable
 	if ok {
 		r.charged = true
 		return ""
 	}
-	if !led {
-		after = min(after, granterBack)
+	if !granterReachable {
+		retryAfter = min(retryAfter, noGranterRetryAfter)
 	}
-	r.after = after
+	r.retryAfter = retryAfter
 	return Quota
 }
 
-// spread returns when a client over its quota may come back.
-func (r *request) spread(after time.Duration) time.Duration {
+// jitterRetryAfter returns the Retry-After of a client over its quota, with jitter.
+func (r *request) jitterRetryAfter(after time.Duration) time.Duration {
 	g := r.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(returnLeast, time.Duration(float64(after)*(1+returnSpread*g.Rand.Float64())))
+	return max(minQuotaRetryAfter, time.Duration(float64(after)*(1+retryJitter*g.Rand.Float64())))
 }
 
-// refund gives back what the request was charged if no server may have run it.
+// refund returns the charge of the request to the quota if no server may have run it.
 func (r *request) refund() {
-	if !r.charged || r.ran {
+	if !r.charged || r.mayHaveRun {
 		return
 	}
 	g := r.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.purse.Refund(r.team.Name, r.cost())
+	g.account.Refund(r.team.Name, r.cost())
 }
 
-// Spent returns what this node has spent of the quotas, for a report.
+// Spent returns this node's usage of the quotas, for a report.
 func (g *Gateway) Spent() quota.UsageReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.purse.Report()
+	return g.account.Report()
 }
 
-// Told takes in a granter's answer to what was reported.
+// Told applies a granter's reply to a report of the usage.
 func (g *Gateway) Told(number uint64, states map[string]quota.State, nodes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.purse.Acknowledge(number)
-	g.purse.Update(time.Now(), states, nodes)
-	g.led = true
+	g.account.Acknowledge(number)
+	g.account.Update(time.Now(), states, nodes)
+	g.granterReachable = true
 }
 
-// Unled notes that no granter answers.
+// Unled records that no granter replies.
 func (g *Gateway) Unled() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.led = false
+	g.granterReachable = false
 }
