--- a/internal/configsync/apply.go
+++ b/internal/configsync/apply.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	applyRetryFirst = 100 * time.Millisecond
-	applyRetryMost  = 2 * time.Second
-	// settleTime bounds the reading after a decision, when the context given to
-	// Apply may have ended.
-	settleTime = 2 * time.Second
+	applyRetryInitial = 100 * time.Millisecond
+	applyRetryMax     = 2 * time.Second
+	// readBackTimeout bounds reads after the transaction, when the context given
+	// to Apply may have ended.
+	readBackTimeout = 2 * time.Second
 )
 
 type (
@@ -28,19 +28,19 @@
 	Applier struct {
 		Table    Table
 		Store    Store
-		Operator string        // who applies, for others to read
-		NewID    func() string // unique apply ids; random if nil
-		Base     uint64        // the version that the head must have, any if zero
+		Operator string        // recorded in the head row as the author
+		NewID    func() string // generates unique apply ids; random if nil
+		Base     uint64        // version that the head must have, any if zero
 	}
 
 	// Applied is a document that was accepted.
 	Applied struct {
 		Head      head.Head
-		Unchanged bool      // the document was in force before, nothing was written
-		Newest    head.Head // accepted after Head, zero if Head is the newest
+		Unchanged bool      // the document was already in force, nothing was written
+		Newest    head.Head // the head accepted after Head, zero if Head is the newest
 	}
 
-	// attempt is one run of Apply.
+	// attempt is the state of one call of Apply.
 	attempt struct {
 		*Applier
 		doc *config.Document
@@ -48,8 +48,8 @@
 	}
 )
 
-// Apply stores doc and makes it the newest, trying until ctx ends. doc must be
-// valid; if it can't replace the document in force the error is a
+// Apply stores doc and makes it the newest document, retrying until ctx ends. doc
+// must be valid; if it can't replace the document in force the error is a
 // *config.InvalidError. For other errors see the package comment.
 func (a *Applier) Apply(ctx context.Context, doc *config.Document) (Applied, error) {
 	id := rand.Text()
@@ -91,9 +91,9 @@
 	return a.commit(ctx, p)
 }
 
-// checkChange checks doc against the document that it replaces. The error is a
-// *config.InvalidError or an *UnavailableError. A body that is lost for good
-// can't be compared with and must not keep the next one out.
+// checkChange validates doc against the document that it replaces. The error is a
+// *config.InvalidError or an *UnavailableError. If the old body is lost for good
+// the check is skipped, so that the loss doesn't block all later documents.
 func (a *attempt) checkChange(ctx context.Context, current head.Head) error {
 	if current.Version == 0 {
 		return nil
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// isLost tells whether err means that the store answered and has no such body
-// or a wrong one.
+// isLost reports whether err means that the store replied and has no such body
+// or a corrupt one.
 func isLost(err error) bool {
 	if err == nil {
 		return false
@@ -133,38 +133,38 @@
 	return wrongHash || unreadable || invalid
 }
 
-// commit sends the proposal until its fate is known. Sending it again is safe:
+// commit sends the proposal until its outcome is known. Resending it is safe, as
 // its conditions hold at most once.
 func (a *attempt) commit(ctx context.Context, p head.Proposal) (Applied, error) {
-	sent := false // an earlier try may have taken effect
-	pause := newBackoff()
+	sent := false // an earlier transaction may have taken effect
+	retryDelay := newBackoff()
 	for {
 		result, err := a.Table.Transact(ctx, p.Tx)
 		if err == nil && result.Committed {
 			return Applied{Head: p.Head}, nil
 		}
-		if rival, ok := decided(result, p.Head.Version); err == nil && !sent && ok {
-			return Applied{}, a.conflict(ctx, rival, p.Head)
+		if winner, ok := acceptedInstead(result, p.Head.Version); err == nil && !sent && ok {
+			return Applied{}, a.conflict(ctx, winner, p.Head)
 		}
 		if table.KindOf(err) == table.Invalid {
 			return Applied{}, &UnavailableError{Step: "advance the head row", Err: err}
 		}
 		sent = sent || table.KindOf(err) == table.Uncertain
 		if err == nil || sent {
-			applied, j, settled := a.settle(ctx, p.Head)
-			if settled {
+			applied, j, known := a.readBack(ctx, p.Head)
+			if known {
 				return applied, a.verdictError(ctx, j, p.Head)
 			}
 		}
-		if cause := wait(ctx, pause.NextBackOff()); cause != nil {
-			return Applied{}, unsettled(sent || err == nil, p.Head, firstError(err, cause))
+		if cause := wait(ctx, retryDelay.NextBackOff()); cause != nil {
+			return Applied{}, transactError(sent || err == nil, p.Head, firstError(err, cause))
 		}
 	}
 }
 
-// decided returns what was accepted in place of the given version, from the
-// rows in conflict.
-func decided(r row.Result, version uint64) (head.Head, bool) {
+// acceptedInstead returns the head that was accepted in place of the given
+// version, from the conflicting rows.
+func acceptedInstead(r row.Result, version uint64) (head.Head, bool) {
 	for _, key := range []string{head.HistoryKey(version), head.Key} {
 		for _, c := range r.Conflicts {
 			if h, err := head.Parse(c); c.Key == key && err == nil && h.Version >= version {
@@ -175,23 +175,23 @@
 	return head.Head{}, false
 }
 
-// settle reads back what became of the proposal mine; settled is false if that
-// is not known yet.
-func (a *attempt) settle(ctx context.Context, mine head.Head) (applied Applied, j head.Judgement, settled bool) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTime)
+// readBack reads the outcome of the proposal own; known is false if it can't be
+// determined yet.
+func (a *attempt) readBack(ctx context.Context, own head.Head) (applied Applied, j head.Judgement, known bool) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readBackTimeout)
 	defer cancel()
-	rows, err := a.Table.Read(ctx, head.Key, head.HistoryKey(mine.Version))
+	rows, err := a.Table.Read(ctx, head.Key, head.HistoryKey(own.Version))
 	if err != nil {
 		return Applied{}, j, false
 	}
-	if j, err = head.Judge(mine, rows[0], rows[1]); err != nil {
+	if j, err = head.Judge(own, rows[0], rows[1]); err != nil {
 		return Applied{}, j, false
 	}
 	switch j.Verdict {
 	case head.Won:
-		return Applied{Head: mine}, j, true
+		return Applied{Head: own}, j, true
 	case head.Superseded:
-		return Applied{Head: mine, Newest: j.Winner}, j, true
+		return Applied{Head: own, Newest: j.Winner}, j, true
 	case head.Lost, head.Forgotten:
 		return Applied{}, j, true
 	default:
@@ -199,22 +199,22 @@
 	}
 }
 
-func (a *attempt) verdictError(ctx context.Context, j head.Judgement, mine head.Head) error {
+func (a *attempt) verdictError(ctx context.Context, j head.Judgement, own head.Head) error {
 	switch j.Verdict {
 	case head.Lost:
-		return a.conflict(ctx, j.Winner, mine)
+		return a.conflict(ctx, j.Winner, own)
 	case head.Forgotten:
-		return &UnknownError{Mine: mine, Err: errForgotten}
+		return &UnknownError{Mine: own, Err: errForgotten}
 	default:
 		return nil
 	}
 }
 
-// conflict returns a *ConflictError with what differs, if the winner's body
-// can be read.
-func (a *attempt) conflict(ctx context.Context, winner, mine head.Head) error {
-	e := &ConflictError{Winner: winner, Mine: mine}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTime)
+// conflict returns a *ConflictError. It contains the differences if the winner's
+// body can be read.
+func (a *attempt) conflict(ctx context.Context, winner, own head.Head) error {
+	e := &ConflictError{Winner: winner, Mine: own}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readBackTimeout)
 	defer cancel()
 	if theirs, err := Fetch(ctx, a.Store, winner.Hash); err == nil {
 		e.Changes = config.Diff(theirs, a.doc)
@@ -232,7 +232,7 @@
 	})
 }
 
-// Fetch reads the body with a hash from the store, checks and parses it.
+// Fetch reads the body with the hash from the store, verifies and parses it.
 func Fetch(ctx context.Context, s Getter, hash string) (*config.Document, error) {
 	packed, err := s.Get(ctx, BodyKey(hash))
 	if err != nil {
@@ -245,9 +245,9 @@
 	return config.Parse(body)
 }
 
-func unsettled(sent bool, mine head.Head, err error) error {
+func transactError(sent bool, own head.Head, err error) error {
 	if sent {
-		return &UnknownError{Mine: mine, Err: err}
+		return &UnknownError{Mine: own, Err: err}
 	}
 	return &UnavailableError{Step: "advance the head row", Err: err}
 }
@@ -263,13 +263,13 @@
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = applyRetryFirst
-	b.MaxInterval = applyRetryMost
+	b.InitialInterval = applyRetryInitial
+	b.MaxInterval = applyRetryMax
 	return b
 }
 
-// retry repeats op until it succeeds or ctx ends; the error is op's last one
-// before that.
+// retry repeats op until it succeeds or ctx ends. The error is the last error of
+// op from before the end of ctx, if there is one.
 func retry[T any](ctx context.Context, op func() (T, error)) (T, error) {
 	var last error
 	v, err := backoff.Retry(ctx, func() (T, error) {
@@ -285,7 +285,7 @@
 	return v, err
 }
 
-// wait waits for d and returns the cause if ctx ends before.
+// wait waits for d. It returns the cause if ctx ends first.
 func wait(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/configsync/apply_test.go
+++ b/internal/configsync/apply_test.go
@@ -17,23 +17,23 @@
 	"guavapaddle/internal/configsync"
 )
 
-const patience = 30 * time.Second
+const applyTimeout = 30 * time.Second
 
-// applying applies document n as an operator within patience.
-func applying(t *testing.T, p *platform, operator string, base uint64, n int) (configsync.Applied, error) {
+// applyAs applies document n as the given operator, with applyTimeout.
+func applyAs(t *testing.T, p *platform, operator string, base uint64, n int) (configsync.Applied, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), applyTimeout)
 	defer cancel()
 	a := &configsync.Applier{Table: p, Store: p, Operator: operator, Base: base}
 	return a.Apply(ctx, document(n))
 }
 
-func TestApplyPastLostAnswers(t *testing.T) {
+func TestApplySucceedsDespiteLostReplies(t *testing.T) {
 	tests := []struct {
-		name  string
-		fates []int
+		name   string
+		faults []int
 	}{
-		{"all is well", nil},
+		{"no fault", nil},
 		{"answer lost", []int{answerLost}},
 		{"call lost", []int{callLost}},
 		{"call late", []int{late}},
@@ -43,12 +43,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newPlatform()
-				p.fates = tt.fates
-				applied, err := applying(t, p, "kim", 0, 1)
+				p.faults = tt.faults
+				applied, err := applyAs(t, p, "kim", 0, 1)
 				require.NoError(t, err)
 				require.Equal(t, uint64(1), applied.Head.Version)
 				require.Len(t, p.accepted(), 1)
-				again, err := applying(t, p, "lee", 0, 1)
+				again, err := applyAs(t, p, "lee", 0, 1)
 				require.NoError(t, err)
 				require.True(t, again.Unchanged)
 				require.Equal(t, applied.Head, again.Head)
@@ -57,14 +57,14 @@
 	}
 }
 
-func TestApplyToldWhoWonAndWhatDiffers(t *testing.T) {
-	for _, fates := range [][]int{nil, {callLost}, {answered, answerLost}} {
+func TestApplyConflictHasWinnerAndDifferences(t *testing.T) {
+	for _, faults := range [][]int{nil, {callLost}, {answered, answerLost}} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPlatform()
 			p.apply(t, 1)
 			p.before = func() { p.apply(t, 2) }
-			p.fates = fates
-			_, err := applying(t, p, "kim", 0, 3)
+			p.faults = faults
+			_, err := applyAs(t, p, "kim", 0, 3)
 			var conflict *configsync.ConflictError
 			require.ErrorAs(t, err, &conflict)
 			require.Equal(t, "setup", conflict.Winner.Operator)
@@ -80,9 +80,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.apply(t, 1)
-		p.fates = []int{answerLost}
-		slow := &onTop{platform: p, t: t}
-		a := &configsync.Applier{Table: slow, Store: p, Operator: "kim"}
+		p.faults = []int{answerLost}
+		overtaken := &overtakenTable{platform: p, t: t}
+		a := &configsync.Applier{Table: overtaken, Store: p, Operator: "kim"}
 		applied, err := a.Apply(t.Context(), document(2))
 		require.NoError(t, err)
 		require.Equal(t, uint64(2), applied.Head.Version)
@@ -91,14 +91,15 @@
 	})
 }
 
-// onTop lets another operator advance the head before the fate is read back.
-type onTop struct {
+// overtakenTable is a platform where another operator advances the head before the
+// outcome of a transaction is read back.
+type overtakenTable struct {
 	*platform
 	t     *testing.T
 	reads int
 }
 
-func (o *onTop) Read(ctx context.Context, keys ...string) ([]row.Row, error) {
+func (o *overtakenTable) Read(ctx context.Context, keys ...string) ([]row.Row, error) {
 	if len(keys) > 1 && o.reads == 0 {
 		o.reads++
 		o.apply(o.t, 3)
@@ -110,43 +111,43 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.down = true
-		_, err := applying(t, p, "kim", 0, 1)
+		_, err := applyAs(t, p, "kim", 0, 1)
 		var unavailable *configsync.UnavailableError
-		require.ErrorAs(t, err, &unavailable, "nothing was sent")
+		require.ErrorAs(t, err, &unavailable, "nothing has been sent")
 
 		p.down = false
 		p.before = func() { p.set(func() { p.down = true }) }
-		_, err = applying(t, p, "kim", 0, 1)
-		require.ErrorAs(t, err, &unavailable, "the table refused")
+		_, err = applyAs(t, p, "kim", 0, 1)
+		require.ErrorAs(t, err, &unavailable, "the table refused the transaction")
 
 		p.down = false
 		p.before = func() {
 			time.AfterFunc(time.Millisecond, func() { p.set(func() { p.down = true }) })
-			p.set(func() { p.silence = make(chan struct{}) })
+			p.set(func() { p.readsBlocked = make(chan struct{}) })
 		}
-		p.fates = []int{callLost}
-		_, err = applying(t, p, "kim", 0, 1)
+		p.faults = []int{callLost}
+		_, err = applyAs(t, p, "kim", 0, 1)
 		var unknown *configsync.UnknownError
-		require.ErrorAs(t, err, &unknown, "sent, and never read back")
+		require.ErrorAs(t, err, &unknown, "the transaction was sent and can't be read back")
 		require.Equal(t, uint64(1), unknown.Mine.Version)
 	})
 }
 
-func TestApplyFromAnotherBase(t *testing.T) {
+func TestApplyToOtherBaseConflicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.apply(t, 1)
 		p.apply(t, 2)
-		_, err := applying(t, p, "kim", 1, 3)
+		_, err := applyAs(t, p, "kim", 1, 3)
 		var conflict *configsync.ConflictError
 		require.ErrorAs(t, err, &conflict)
 		require.Equal(t, uint64(2), conflict.Winner.Version)
-		_, err = applying(t, p, "kim", 2, 3)
+		_, err = applyAs(t, p, "kim", 2, 3)
 		require.NoError(t, err)
 	})
 }
 
-func TestApplyRefusesOtherBytesOfAVersion(t *testing.T) {
+func TestApplyRefusesChangedBytesOfModelVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		first := p.apply(t, 1)
@@ -161,12 +162,13 @@
 
 		p.set(func() { p.objects[configsync.BodyKey(first.Hash)] = nil })
 		_, err = a.Apply(t.Context(), doc)
-		require.NoError(t, err, "a body that is lost can't be compared with")
+		require.NoError(t, err, "a lost body does not block the next document")
 	})
 }
 
-// TestInvariantOperatorsRaceOnPlatform lets eight operators apply at the same
-// time while four of five transactions fail in some way.
+// TestInvariantOperatorsRaceOnPlatform guards against two operators' documents accepted
+// as the same version, and against operators that are told a wrong outcome. Eight
+// operators apply at the same time while four of five transactions have a fault.
 func TestInvariantOperatorsRaceOnPlatform(t *testing.T) {
 	const operators, rounds = 8, 20
 	for seed := range int64(rounds) {
@@ -176,7 +178,7 @@
 			var wg sync.WaitGroup
 			applied, errs := make([]configsync.Applied, operators), make([]error, operators)
 			for i := range operators {
-				wg.Go(func() { applied[i], errs[i] = applying(t, p, fmt.Sprint(i), 0, i) })
+				wg.Go(func() { applied[i], errs[i] = applyAs(t, p, fmt.Sprint(i), 0, i) })
 			}
 			wg.Wait()
 			accepted := map[string]head.Head{}
@@ -187,7 +189,7 @@
 			require.NotEmpty(t, accepted)
 			for i, err := range errs {
 				h, won := accepted[fmt.Sprint(i)]
-				require.Equal(t, err == nil, won, "operator %d was told %v", i, err)
+				require.Equal(t, err == nil, won, "operator %d got error %v", i, err)
 				if err == nil {
 					require.Equal(t, h, applied[i].Head)
 					continue
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -2,8 +2,8 @@
 // a node at the newest one.
 //
 // The body of a document is stored in the object store under its hash, then
-// the head row of the table is advanced by compare-and-set. What that means
-// when operators race or answers are lost is decided by core/config/head.
+// the head row of the table is advanced by compare-and-set. Package
+// core/config/head evaluates the result when operators race or replies are lost.
 //
 // # Usage
 //
@@ -19,17 +19,17 @@
 //
 //	f := &configsync.Follower{Table: t, Store: s, Peers: peers, OnChange: use}
 //	go f.Run(ctx)
-//	f.Hint(version, hash) // from each digest of a peer
+//	f.Hint(version, hash) // from each gossip digest of a peer
 //	admit := f.Fresh()
 //
-// The head is polled slowly, as peers tell of new versions within a gossip
-// round; the period grows with the number of nodes so that all nodes together
-// stay below Follower.MaxReads reads a second.
+// The head is polled at a low rate, as new versions are gossiped by peers within
+// one round. The period grows with the number of nodes so that all nodes together
+// stay below Follower.MaxReads reads per second.
 //
-// After its start and after a pause of its process a node is not fresh until
-// the head was read or a fresh peer answered, in reply to a question asked
-// since. If the table is down and all peers answer without being fresh, or
-// nobody answers for Follower.TrustAfter, it takes the newest version that it
-// knows: nodes that were all paused in an outage would else wait for each
-// other.
+// After its start and after a pause of its process a node is stale until it has
+// read the head or received a fresh peer's reply to a query sent since then. If
+// the table is down and all peers reply without being fresh, or no fresh peer
+// replies for Follower.TrustAfter, the node assumes that the newest version it
+// knows is current: otherwise nodes that were all paused during an outage would
+// wait for each other.
 package configsync
--- a/internal/configsync/errors.go
+++ b/internal/configsync/errors.go
@@ -9,30 +9,31 @@
 	"guavapaddle/core/config/head"
 )
 
-// errForgotten is the cause of an *UnknownError long after the sending.
+// errForgotten is the cause of an *UnknownError when the outcome is read back so
+// late that the history rows no longer contain the proposed version.
 var errForgotten = eris.New("the history no longer reaches back to it")
 
 type (
-	// ConflictError means that another operator's document was accepted in
-	// place of ours, or that the head was not at the version demanded. Nothing
-	// of ours took effect or ever will.
+	// ConflictError means that another operator's document was accepted instead,
+	// or that the head was not at the required version. The own document had no
+	// effect and never will.
 	ConflictError struct {
-		Winner  head.Head       // what was accepted
-		Mine    head.Head       // what was not; zero if it was not sent
-		Changes []config.Change // from the winner's document to mine; nil if its body could not be read
+		Winner  head.Head       // the accepted head
+		Mine    head.Head       // the rejected proposal; zero if it was not sent
+		Changes []config.Change // from the winner's document to the own one; nil if the winner's body could not be read
 	}
 
-	// UnknownError means that the document was sent and its fate could not be
-	// read back in time. It may have taken effect or may still do.
+	// UnknownError means that the document was sent and the outcome could not be
+	// read back in time. It may have taken effect or may still do so.
 	UnknownError struct {
 		Mine head.Head
 		Err  error
 	}
 
-	// UnavailableError means that the platform could not be reached in time
-	// and nothing was changed.
+	// UnavailableError means that the platform was not reachable in time and
+	// nothing was changed.
 	UnavailableError struct {
-		Step string // what was tried
+		Step string // the step that failed
 		Err  error
 	}
 
@@ -41,19 +42,19 @@
 		Err error
 	}
 
-	// HashError means that a body is not the one that its hash names.
+	// HashError means that a body doesn't have the expected hash.
 	HashError struct {
 		Want, Got string
 	}
 )
 
-// Error tells who won.
+// Error implements error.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("version %d was applied by %q (apply id %s, hash %s); differences to yours: %d",
 		e.Winner.Version, e.Winner.Operator, e.Winner.ApplyID, e.Winner.Hash, len(e.Changes))
 }
 
-// Error tells what may still take effect.
+// Error implements error.
 func (e *UnknownError) Error() string {
 	return fmt.Sprintf("version %d (apply id %s, hash %s) was sent and may take effect: %v", e.Mine.Version, e.Mine.ApplyID, e.Mine.Hash, e.Err)
 }
@@ -61,7 +62,7 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// Error tells what could not be done.
+// Error implements error.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("nothing was changed: %s: %v", e.Step, e.Err)
 }
@@ -69,10 +70,10 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// Error tells both hashes.
+// Error implements error.
 func (e *HashError) Error() string { return fmt.Sprintf("body has hash %s, not %s", e.Got, e.Want) }
 
-// Error tells the cause.
+// Error implements error.
 func (e *BodyError) Error() string { return fmt.Sprintf("body can't be unpacked: %v", e.Err) }
 
 // Unwrap returns the cause.
--- a/internal/configsync/fake_test.go
+++ b/internal/configsync/fake_test.go
@@ -17,16 +17,16 @@
 	"guavapaddle/io/table"
 )
 
-// Fates of a transaction at the platform.
+// Faults of a transaction at the platform.
 const (
-	answered   = iota // done and answered
-	answerLost        // done, but the answer is lost
-	callLost          // not done, which the caller can't know
-	refused           // not done, which the caller is told
-	late              // done at the next transaction, which the caller can't know
+	answered   = iota // committed, and the reply received
+	answerLost        // committed, but the reply is lost
+	callLost          // not committed, unknown to the caller
+	refused           // not committed, and the caller is told
+	late              // committed with the next transaction, unknown to the caller
 )
 
-// platform is a table and an object store in memory, with faults.
+// platform is an in-memory table and object store with injected faults.
 type platform struct {
 	mu       sync.Mutex
 	rows     map[string]row.Row
@@ -34,14 +34,14 @@
 	objects  map[string][]byte
 	history  []head.Head
 
-	down     bool
-	onTheWay []row.Tx      // late transactions
-	fates    []int         // of the next transactions, answered after these
-	random   *rand.Rand    // draws fates if set
-	before   func()        // runs once before the next transaction
-	reads    int           // of the table
-	gets     int           // of the object store
-	silence  chan struct{} // reads wait for it if set
+	down         bool
+	delayed      []row.Tx      // transactions with the fault late
+	faults       []int         // faults of the next transactions; later ones are answered
+	random       *rand.Rand    // draws the faults if set
+	before       func()        // called once, before the next transaction
+	reads        int           // reads of the table
+	gets         int           // reads of the object store
+	readsBlocked chan struct{} // blocks reads until it is closed, if set
 }
 
 func newPlatform() *platform {
@@ -62,15 +62,15 @@
 	change()
 }
 
-func (p *platform) fate() int {
+func (p *platform) nextFault() int {
 	if p.random != nil {
 		return p.random.Intn(late + 1)
 	}
-	if len(p.fates) == 0 {
+	if len(p.faults) == 0 {
 		return answered
 	}
-	f := p.fates[0]
-	p.fates = p.fates[1:]
+	f := p.faults[0]
+	p.faults = p.faults[1:]
 	return f
 }
 
@@ -84,20 +84,20 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := p.fate()
+	f := p.nextFault()
 	switch {
 	case p.down || f == refused:
 		return row.Result{}, unavailable()
 	case f == callLost:
 		return row.Result{}, uncertain()
 	case f == late:
-		p.onTheWay = append(p.onTheWay, tx)
+		p.delayed = append(p.delayed, tx)
 		return row.Result{}, uncertain()
 	}
-	for _, earlier := range p.onTheWay {
+	for _, earlier := range p.delayed {
 		p.commit(earlier)
 	}
-	p.onTheWay = nil
+	p.delayed = nil
 	result := p.commit(tx)
 	if f == answerLost {
 		return row.Result{}, uncertain()
@@ -132,11 +132,11 @@
 
 func (p *platform) Read(ctx context.Context, keys ...string) ([]row.Row, error) {
 	p.mu.Lock()
-	silence := p.silence
+	readsBlocked := p.readsBlocked
 	p.mu.Unlock()
-	if silence != nil {
+	if readsBlocked != nil {
 		select {
-		case <-silence:
+		case <-readsBlocked:
 		case <-ctx.Done():
 			return nil, uncertain()
 		}
@@ -175,21 +175,21 @@
 	return body, nil
 }
 
-// accepted returns the apply ids in order.
+// accepted returns the accepted heads in order.
 func (p *platform) accepted() []head.Head {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.history)
 }
 
-// document returns a valid document that differs by n.
+// document returns a valid document whose move price is n.
 func document(n int) *config.Document {
 	doc := sample.Corella()
 	doc.Placement.MovePrice = float64(n)
 	return doc
 }
 
-// apply makes document n the newest.
+// apply makes document n the newest one.
 func (p *platform) apply(t testing.TB, n int) head.Ref {
 	t.Helper()
 	a := &configsync.Applier{Table: p, Store: p, Operator: "setup"}
@@ -198,11 +198,12 @@
 	return applied.Head.Ref()
 }
 
-// applySilently does so while others' readings stay unanswered.
-func (p *platform) applySilently(t testing.TB, n int) head.Ref {
+// applyWhileReadsBlock makes document n the newest one while the reads of others
+// stay blocked.
+func (p *platform) applyWhileReadsBlock(t testing.TB, n int) head.Ref {
 	t.Helper()
-	var silence chan struct{}
-	p.set(func() { silence, p.silence = p.silence, nil })
-	defer p.set(func() { p.silence = silence })
+	var readsBlocked chan struct{}
+	p.set(func() { readsBlocked, p.readsBlocked = p.readsBlocked, nil })
+	defer p.set(func() { p.readsBlocked = readsBlocked })
 	return p.apply(t, n)
 }
--- a/internal/configsync/fetch.go
+++ b/internal/configsync/fetch.go
@@ -10,13 +10,13 @@
 	"guavapaddle/core/config/head"
 )
 
-// fetchedFrom is how many peers are asked for a body at once.
-const fetchedFrom = 3
+// maxFetchPeers is how many peers are queried for a body at once.
+const maxFetchPeers = 3
 
-// errNoPeer is the failure of a fetch when there is no peer to ask.
+// errNoPeer means that no live peer returned the body.
 var errNoPeer = eris.New("no live peer has the body")
 
-// fetchLoop fetches and puts in force whatever is newer than that in force.
+// fetchLoop fetches and adopts versions newer than the one in force.
 func (f *Follower) fetchLoop(ctx context.Context) error {
 	b := failBackoff()
 	for {
@@ -26,25 +26,25 @@
 		if !behind {
 			b.Reset()
 			select {
-			case <-f.want:
+			case <-f.wakeFetch:
 			case <-ctx.Done():
 				return context.Cause(ctx)
 			}
 			continue
 		}
-		err := f.bring(ctx, ref)
+		err := f.adopt(ctx, ref)
 		if err == nil {
 			continue
 		}
 		f.Log.Warn("config-fetch", zap.Uint64("version", ref.Version), zap.String("hash", ref.Hash), zap.Error(err))
-		if err := waitOr(ctx, b.NextBackOff(), f.want); err != nil {
+		if err := waitOr(ctx, b.NextBackOff(), f.wakeFetch); err != nil {
 			return err
 		}
 	}
 }
 
-// bring fetches the body of ref and puts it in force.
-func (f *Follower) bring(ctx context.Context, ref head.Ref) error {
+// adopt fetches the body of ref and puts it in force.
+func (f *Follower) adopt(ctx context.Context, ref head.Ref) error {
 	body, source, err := f.fetch(ctx, ref.Hash)
 	if err != nil {
 		return err
@@ -55,12 +55,13 @@
 		return err
 	}
 	index := config.NewIndex(doc, ref.Version)
-	// OnChange goes first, so that a node that says it has a version serves it.
+	// OnChange is called first, so that a node that reports a version already serves it.
 	if f.OnChange != nil {
 		f.OnChange(index)
 	}
 	packed := pack(body)
-	// So does the line: whoever reads a version in the node's status finds it in its log.
+	// The line is logged before the state changes, so that a version in the node's status
+	// is always found in its log.
 	f.Log.Info("config-in-force", zap.Uint64("version", ref.Version), zap.String("hash", ref.Hash), zap.String("source", source))
 	if err := f.Log.Sync(); err != nil {
 		f.Log.Warn("log-behind", zap.Error(err))
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// fetch gets the body with a hash from the store, else from peers.
+// fetch returns the body with the hash from the store, or from peers if that fails.
 func (f *Follower) fetch(ctx context.Context, hash string) (body []byte, source string, err error) {
 	body, err = f.fetchFrom(ctx, fromStore, hash, func(ctx context.Context) ([]byte, error) {
 		return f.Store.Get(ctx, BodyKey(hash))
@@ -87,7 +88,7 @@
 	return nil, "", err
 }
 
-// fetchFrom gets and checks a body from one source.
+// fetchFrom gets a body from one source and verifies it.
 func (f *Follower) fetchFrom(ctx context.Context, source, hash string, get func(context.Context) ([]byte, error)) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.FetchTimeout)
 	defer cancel()
@@ -100,10 +101,10 @@
 	return body, err
 }
 
-// fetchPeers asks a few random peers at the same time and takes the first body
+// fetchPeers queries a few random peers in parallel and returns the first body
 // with the hash.
 func (f *Follower) fetchPeers(ctx context.Context, hash string) ([]byte, error) {
-	peers, _ := f.somePeers(fetchedFrom)
+	peers, _ := f.somePeers(maxFetchPeers)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	bodies := make(chan []byte, len(peers))
--- a/internal/configsync/follower.go
+++ b/internal/configsync/follower.go
@@ -20,19 +20,21 @@
 const (
 	// DefaultPeriod is the time between reads of the head row.
 	DefaultPeriod = 2 * time.Second
-	// DefaultMaxReads bounds the reads a second of all nodes together.
+	// DefaultMaxReads bounds the reads per second of all nodes together.
 	DefaultMaxReads = 20.0
-	// DefaultMaxPause is the gap in a node's own ticks that makes it stale.
+	// DefaultMaxPause is the longest gap between a node's ticks that doesn't make
+	// it stale.
 	DefaultMaxPause = time.Second
-	// DefaultTrustAfter is how long a stale node waits for a confirmation.
+	// DefaultTrustAfter is how long a stale node waits for a confirmation before
+	// it assumes that the newest known version is current.
 	DefaultTrustAfter = 5 * time.Second
 	// DefaultFetchTimeout bounds one fetch of a body.
 	DefaultFetchTimeout = time.Second
 
-	jitter         = 0.2 // share of the period
-	ticksPerPause  = 5
-	failRetryFirst = 200 * time.Millisecond
-	failRetryMost  = 10 * time.Second
+	jitter           = 0.2 // fraction of the period
+	ticksPerPause    = 5
+	failRetryInitial = 200 * time.Millisecond
+	failRetryMax     = 10 * time.Second
 )
 
 const (
@@ -43,46 +45,46 @@
 
 type (
 	// Follower keeps a node at the newest configuration. Its exported fields
-	// are set before Run.
+	// must be set before Run.
 	Follower struct {
 		Table    Reader
 		Store    Getter
 		Peers    func() []Peer             // live peers, may be nil
-		Nodes    func() int                // how many nodes there are, one if nil
-		OnChange func(index *config.Index) // called in order of versions; must not call Run
+		Nodes    func() int                // number of nodes, one if nil
+		OnChange func(index *config.Index) // called in ascending order of versions; must not call Run
 
 		Period       time.Duration    // DefaultPeriod if zero
-		MaxReads     float64          // reads a second of all nodes, DefaultMaxReads if zero
+		MaxReads     float64          // reads per second of all nodes, DefaultMaxReads if zero
 		MaxPause     time.Duration    // DefaultMaxPause if zero
 		TrustAfter   time.Duration    // DefaultTrustAfter if zero
 		FetchTimeout time.Duration    // DefaultFetchTimeout if zero
-		Now          func() time.Time // clock by which pauses are noticed, time.Now if nil
-		Log          *zap.Logger      // none if nil
-		Metrics      *Metrics         // none if nil
-
-		once sync.Once
-		read chan struct{} // wakes the reading of the head
-		want chan struct{} // wakes the fetching of a body
-		ask  chan struct{} // wakes the asking of peers
-
-		mu       sync.Mutex
-		state    head.Follower
-		body     []byte // canonical, of state.InForce
-		packed   []byte // the same as peers carry it
-		index    *config.Index
-		lastTick time.Time
-		staleAt  time.Time // start of staleness
-		table    tableState
+		Now          func() time.Time // clock for the detection of pauses, time.Now if nil
+		Log          *zap.Logger      // disabled if nil
+		Metrics      *Metrics         // disabled if nil
+
+		once      sync.Once
+		wakeRead  chan struct{} // wakes readLoop
+		wakeFetch chan struct{} // wakes fetchLoop
+		wakeQuery chan struct{} // wakes queryLoop
+
+		mu         sync.Mutex
+		state      head.Follower
+		body       []byte // canonical body of state.InForce
+		packed     []byte // body in the form sent to peers
+		index      *config.Index
+		lastTick   time.Time
+		staleSince time.Time // when the node became stale
+		table      tableState
 	}
 
-	// tableState is what the last read of the head row told of the table.
+	// tableState is the state of the table according to the last read of the head row.
 	tableState int
 )
 
-// init fills in the defaults.
+// init sets the defaults.
 func (f *Follower) init() {
 	f.once.Do(func() {
-		f.read, f.want, f.ask = make(chan struct{}, 1), make(chan struct{}, 1), make(chan struct{}, 1)
+		f.wakeRead, f.wakeFetch, f.wakeQuery = make(chan struct{}, 1), make(chan struct{}, 1), make(chan struct{}, 1)
 		f.Period = orDefault(f.Period, DefaultPeriod)
 		f.MaxPause = orDefault(f.MaxPause, DefaultMaxPause)
 		f.TrustAfter = orDefault(f.TrustAfter, DefaultTrustAfter)
@@ -109,39 +111,40 @@
 	return d
 }
 
-// Run follows the head until ctx ends and returns the cause.
+// Run follows the head until ctx ends and returns the cause of that.
 func (f *Follower) Run(ctx context.Context) error {
 	f.init()
 	now := f.Now()
 	f.mu.Lock()
-	f.lastTick, f.staleAt = now, now
+	f.lastTick, f.staleSince = now, now
 	f.mu.Unlock()
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return f.readLoop(ctx) })
 	g.Go(func() error { return f.fetchLoop(ctx) })
 	g.Go(func() error { return f.tickLoop(ctx) })
-	g.Go(func() error { return f.askLoop(ctx) })
+	g.Go(func() error { return f.queryLoop(ctx) })
 	return g.Wait()
 }
 
-// Hint tells that a peer has a version in force, however long ago it said so.
+// Hint records that a peer has reported a version to be in force. The report may
+// be of any age.
 func (f *Follower) Hint(version uint64, hash string) {
 	f.init()
-	f.learn(func(s head.Follower) (head.Follower, error) {
+	f.update(func(s head.Follower) (head.Follower, error) {
 		return s.WithHint(head.Ref{Version: version, Hash: hash})
 	})
 }
 
-// Head returns what is in force and whether the node is fresh, to answer a
-// peer's ConfigHead.
+// Head returns the version in force and whether the node is fresh, for the reply
+// to a peer's ConfigHead.
 func (f *Follower) Head() (ref head.Ref, fresh bool) {
 	fresh = f.Fresh()
 	return f.InForce(), fresh
 }
 
-// Fresh tells whether the node may admit requests by its configuration: see
-// head.Follower.Fresh. It sees a pause of the process even before any timer
-// does.
+// Fresh reports whether the node may admit requests by its configuration: see
+// head.Follower.Fresh. It detects a pause of the process even before any timer
+// fires.
 func (f *Follower) Fresh() bool {
 	f.init()
 	f.tick(f.Now())
@@ -150,7 +153,7 @@
 	return f.state.Fresh()
 }
 
-// InForce returns what is in force, the zero Ref if nothing is.
+// InForce returns the version in force, the zero Ref if there is none.
 func (f *Follower) InForce() head.Ref {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,15 +167,15 @@
 	return f.index
 }
 
-// TableUp tells whether the last read of the head row succeeded.
+// TableUp reports whether the last read of the head row succeeded.
 func (f *Follower) TableUp() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table == tableUp
 }
 
-// Packed returns the body in force, if it has the given hash, as a peer's
-// FetchConfig is to get it.
+// Packed returns the packed body in force if it has the given hash, for the reply
+// to a peer's FetchConfig.
 func (f *Follower) Packed(hash string) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,15 +183,15 @@
 }
 
 // Body returns the canonical body in force if it has the given hash, for
-// operators.
+// operators' commands.
 func (f *Follower) Body(hash string) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.body, f.body != nil && f.state.InForce().Hash == hash
 }
 
-// learn changes the state and wakes the fetching if there is something new.
-func (f *Follower) learn(change func(head.Follower) (head.Follower, error)) {
+// update changes the state, and wakes fetchLoop if there is a new version to fetch.
+func (f *Follower) update(change func(head.Follower) (head.Follower, error)) {
 	f.mu.Lock()
 	before := f.state.Target()
 	state, err := change(f.state)
@@ -199,7 +202,7 @@
 		f.Log.Error("config-fork", zap.Uint64("version", fork.Known.Version), zap.String("hash", fork.Known.Hash), zap.String("other-hash", fork.Other.Hash))
 	}
 	if state.Target() != before {
-		wake(f.want)
+		wake(f.wakeFetch)
 	}
 }
 
@@ -210,7 +213,7 @@
 	}
 }
 
-// tickLoop watches for pauses and for staleness that lasts.
+// tickLoop detects pauses of the process and staleness longer than TrustAfter.
 func (f *Follower) tickLoop(ctx context.Context) error {
 	for {
 		if err := wait(ctx, f.MaxPause/ticksPerPause); err != nil {
@@ -220,20 +223,21 @@
 	}
 }
 
-// tick notes that the process runs at now.
+// tick records that the process is running at now. A longer gap since the last tick
+// than MaxPause makes the node stale.
 func (f *Follower) tick(now time.Time) {
 	f.mu.Lock()
 	gap := f.gap(now)
 	paused := !f.lastTick.IsZero() && gap > f.MaxPause
 	if paused {
 		f.state = f.state.WithPause()
-		f.staleAt = now
+		f.staleSince = now
 	}
 	if !f.lastTick.IsZero() {
 		f.lastTick = now
 	}
-	trust := f.mayTrust(now)
-	if trust {
+	assume := f.mayAssume(now)
+	if assume {
 		f.state = f.state.WithAssumed(f.state.QueryStamp())
 	}
 	version := f.state.Target().Version
@@ -241,35 +245,35 @@
 	if paused {
 		f.Metrics.pauses.Inc()
 		f.Log.Warn("config-stale", zap.Duration("pause", gap))
-		wake(f.read)
-		wake(f.ask)
+		wake(f.wakeRead)
+		wake(f.wakeQuery)
 	}
-	if trust {
-		f.noteTrust(version)
+	if assume {
+		f.recordAssumed(version)
 	}
 }
 
-func (f *Follower) noteTrust(version uint64) {
+func (f *Follower) recordAssumed(version uint64) {
 	f.Metrics.trusted.Inc()
 	f.Log.Warn("config-trusted", zap.Uint64("version", version))
 }
 
 // gap returns the time since the last tick by the monotonic or the wall clock,
-// whichever says more: some pauses of a VM stop the monotonic clock.
+// whichever is longer: some pauses of a VM stop the monotonic clock.
 func (f *Follower) gap(now time.Time) time.Duration {
 	return max(now.Sub(f.lastTick), now.Round(0).Sub(f.lastTick.Round(0)))
 }
 
-// mayTrust tells whether the newest version seen is to be taken as confirmed:
-// the table can't be read and no fresh peer answered for TrustAfter.
-func (f *Follower) mayTrust(now time.Time) bool {
+// mayAssume reports whether the newest known version is to be assumed current:
+// the table can't be read and no fresh peer has replied for TrustAfter.
+func (f *Follower) mayAssume(now time.Time) bool {
 	_, behind := f.state.Missing()
 	return !f.state.Fresh() && f.table == tableDown && !behind &&
-		f.state.InForce().Version > 0 && now.Sub(f.staleAt) >= f.TrustAfter
+		f.state.InForce().Version > 0 && now.Sub(f.staleSince) >= f.TrustAfter
 }
 
-// readLoop reads the head row now and then, at once after a pause, and with
-// growing pauses while the table can't be read.
+// readLoop reads the head row periodically, at once after a pause of the process,
+// and with exponential backoff while the table can't be read.
 func (f *Follower) readLoop(ctx context.Context) error {
 	b := failBackoff()
 	for {
@@ -280,7 +284,7 @@
 		} else {
 			b.Reset()
 		}
-		if err := waitOr(ctx, next, f.read); err != nil {
+		if err := waitOr(ctx, next, f.wakeRead); err != nil {
 			return err
 		}
 	}
@@ -288,12 +292,12 @@
 
 func failBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = failRetryFirst
-	b.MaxInterval = failRetryMost
+	b.InitialInterval = failRetryInitial
+	b.MaxInterval = failRetryMax
 	return b
 }
 
-// period returns the time to the next read, with jitter.
+// period returns the time until the next read, with jitter.
 func (f *Follower) period() time.Duration {
 	p := f.Period
 	if f.Nodes != nil {
@@ -302,9 +306,9 @@
 	return time.Duration(float64(p) * (1 - jitter + 2*jitter*rand.Float64()))
 }
 
-// ticket is to be taken before a question is sent. A pause that no timer has
-// noticed yet is noticed here.
-func (f *Follower) ticket() head.QueryStamp {
+// queryStamp returns the stamp for a query that is about to be sent. It also detects
+// a pause that no timer has detected yet.
+func (f *Follower) queryStamp() head.QueryStamp {
 	f.tick(f.Now())
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -312,7 +316,7 @@
 }
 
 func (f *Follower) readHead(ctx context.Context) error {
-	ticket := f.ticket()
+	queryStamp := f.queryStamp()
 	rows, err := f.Table.Read(ctx, head.Key)
 	var h head.Head
 	if err == nil {
@@ -334,11 +338,11 @@
 		return err
 	}
 	f.tick(f.Now())
-	f.learn(func(s head.Follower) (head.Follower, error) { return s.WithRead(ticket, h.Ref()) })
+	f.update(func(s head.Follower) (head.Follower, error) { return s.WithRead(queryStamp, h.Ref()) })
 	return nil
 }
 
-// waitOr waits for d or for c and returns the cause if ctx ends before.
+// waitOr waits for d or for c, and returns the cause if ctx ends first.
 func waitOr(ctx context.Context, d time.Duration, c <-chan struct{}) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/configsync/follower_test.go
+++ b/internal/configsync/follower_test.go
@@ -21,22 +21,22 @@
 var errPeerDown = errors.New("peer is down")
 
 type (
-	// member is a node with its follower and a clock that can jump.
+	// member is a node with a follower and an adjustable clock.
 	member struct {
 		*configsync.Follower
-		mu       sync.Mutex
-		versions []uint64 // in force, in order
-		offset   time.Duration
-		cut      bool // peers can't reach it
-		stop     context.CancelFunc
+		mu          sync.Mutex
+		versions    []uint64 // versions put in force, in order
+		offset      time.Duration
+		unreachable bool // peers can't reach the node
+		stop        context.CancelFunc
 	}
 
-	// link is one member as the others reach it.
-	link struct{ m *member }
+	// link implements configsync.Peer for a member.
+	peerLink struct{ m *member }
 )
 
-func (l link) FetchConfig(_ context.Context, hash string) ([]byte, error) {
-	if l.m.isCut() {
+func (l peerLink) FetchConfig(_ context.Context, hash string) ([]byte, error) {
+	if l.m.isUnreachable() {
 		return nil, errPeerDown
 	}
 	body, ok := l.m.Packed(hash)
@@ -46,45 +46,45 @@
 	return body, nil
 }
 
-func (l link) ConfigHead(context.Context) (head.Ref, bool, error) {
-	if l.m.isCut() {
+func (l peerLink) ConfigHead(context.Context) (head.Ref, bool, error) {
+	if l.m.isUnreachable() {
 		return head.Ref{}, false, errPeerDown
 	}
 	ref, fresh := l.m.Head()
 	return ref, fresh, nil
 }
 
-func (m *member) isCut() bool {
+func (m *member) isUnreachable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.cut
+	return m.unreachable
 }
 
-func (m *member) setCut(cut bool) {
+func (m *member) setUnreachable(unreachable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut = cut
+	m.unreachable = unreachable
 }
 
-// pause makes the member find that it did not run for d.
+// pause simulates a pause of the member's process of length d.
 func (m *member) pause(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.offset += d
 }
 
-func (m *member) seen() []uint64 {
+func (m *member) adopted() []uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]uint64{}, m.versions...)
 }
 
-// start runs a member with the given peers.
+// start runs a member with the given peers, which are all other nodes.
 func start(t *testing.T, p *platform, peers ...*member) *member {
 	return startOf(t, p, len(peers)+1, peers...)
 }
 
-// startOf runs a member of a deployment of so many nodes.
+// startOf runs a member with the given peers in a deployment of the given number of nodes.
 func startOf(t *testing.T, p *platform, nodes int, peers ...*member) *member {
 	m := &member{}
 	m.Follower = &configsync.Follower{
@@ -93,7 +93,7 @@
 		Peers: func() []configsync.Peer {
 			var list []configsync.Peer
 			for _, o := range peers {
-				list = append(list, link{m: o})
+				list = append(list, peerLink{m: o})
 			}
 			return list
 		},
@@ -115,8 +115,8 @@
 	return m
 }
 
-// after lets d pass in the bubble.
-func after(d time.Duration) {
+// advance lets d of the bubble's fake time pass.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
@@ -125,29 +125,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		m := start(t, p)
-		after(time.Second)
+		advance(time.Second)
 		require.False(t, m.Fresh(), "there is no configuration yet")
 		p.apply(t, 1)
-		after(3 * time.Second)
+		advance(3 * time.Second)
 		require.True(t, m.Fresh())
 		require.Equal(t, uint64(1), m.Index().Version())
 		p.apply(t, 2)
 		p.apply(t, 3)
-		after(3 * time.Second)
-		require.Equal(t, []uint64{1, 3}, m.seen())
+		advance(3 * time.Second)
+		require.Equal(t, []uint64{1, 3}, m.adopted())
 		body, ok := m.Body(m.InForce().Hash)
 		require.True(t, ok)
 		require.Equal(t, m.InForce().Hash, config.HashBytes(body))
-		require.Equal(t, 1, countVersions(m.seen(), 3), "each version is put in force once")
+		require.Equal(t, 1, countVersions(m.adopted(), 3), "each version is put in force once")
 	})
 }
 
-// TestVersionIsLoggedBeforeItIsReported guards against a node whose status has a
-// version that its log doesn't have yet.
+// TestVersionIsLoggedBeforeItIsReported guards against a node that reports a version in
+// its status before its log contains the version.
 func TestVersionIsLoggedBeforeItIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
-		var atLine []uint64 // the version that the node reports when it logs one
+		var atLine []uint64 // the version that the node reports at each log line
 		m := &member{}
 		m.Follower = &configsync.Follower{Table: p, Store: p}
 		core, lines := observer.New(zap.InfoLevel)
@@ -159,9 +159,9 @@
 		}))
 		go func() { _ = m.Run(t.Context()) }()
 		p.apply(t, 1)
-		after(3 * time.Second)
+		advance(3 * time.Second)
 		p.apply(t, 2)
-		after(3 * time.Second)
+		advance(3 * time.Second)
 		require.Equal(t, uint64(2), m.InForce().Version)
 		require.Equal(t, 2, lines.FilterMessage("config-in-force").Len())
 		require.Equal(t, []uint64{0, 1}, atLine)
@@ -178,38 +178,38 @@
 	return n
 }
 
-func TestHintBringsVersionAtOnce(t *testing.T) {
+func TestHintIsFetchedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.apply(t, 1)
 		m := start(t, p)
-		after(time.Second)
+		advance(time.Second)
 		ref := p.apply(t, 2)
 		reads := p.reads
 		m.Hint(ref.Version, ref.Hash)
-		after(time.Millisecond)
+		advance(time.Millisecond)
 		require.Equal(t, ref, m.InForce())
-		require.Equal(t, reads, p.reads, "the table was not asked")
+		require.Equal(t, reads, p.reads, "the table is not read")
 		m.Hint(1, "an old hash")
-		after(time.Millisecond)
+		advance(time.Millisecond)
 		require.Equal(t, ref, m.InForce())
 	})
 }
 
-func TestPeersGiveBodyWhenStoreIsDown(t *testing.T) {
+func TestBodyIsFetchedFromPeersWhenStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.apply(t, 1)
 		first := start(t, p)
 		second := start(t, p, first)
-		after(time.Second)
+		advance(time.Second)
 		ref := p.apply(t, 2)
-		second.setCut(true)
+		second.setUnreachable(true)
 		first.Hint(ref.Version, ref.Hash)
-		after(time.Millisecond)
+		advance(time.Millisecond)
 		p.set(func() { p.down = true })
 		second.Hint(ref.Version, ref.Hash)
-		after(time.Millisecond)
+		advance(time.Millisecond)
 		require.Equal(t, ref, second.InForce())
 	})
 }
@@ -219,69 +219,70 @@
 		p := newPlatform()
 		p.apply(t, 1)
 		m := start(t, p)
-		after(time.Second)
+		advance(time.Second)
 		ref := p.apply(t, 2)
 		other := p.objects[configsync.BodyKey(document(1).Hash())]
 		good := p.objects[configsync.BodyKey(ref.Hash)]
 		p.set(func() { p.objects[configsync.BodyKey(ref.Hash)] = other })
-		after(10 * time.Second)
-		require.Equal(t, []uint64{1}, m.seen())
+		advance(10 * time.Second)
+		require.Equal(t, []uint64{1}, m.adopted())
 		p.set(func() { p.objects[configsync.BodyKey(ref.Hash)] = []byte("not packed") })
-		after(20 * time.Second)
-		require.Equal(t, []uint64{1}, m.seen())
-		require.True(t, m.Fresh(), "it goes on under what it has")
+		advance(20 * time.Second)
+		require.Equal(t, []uint64{1}, m.adopted())
+		require.True(t, m.Fresh(), "the node keeps serving with its version")
 		p.set(func() { p.objects[configsync.BodyKey(ref.Hash)] = good })
-		after(20 * time.Second)
-		require.Equal(t, []uint64{1, 2}, m.seen())
+		advance(20 * time.Second)
+		require.Equal(t, []uint64{1, 2}, m.adopted())
 	})
 }
 
-// TestInvariantRestartInOutage shows that a node that starts while the
-// platform is down takes the highest version from its peers.
+// TestInvariantRestartInOutage guards against a node that starts while the platform
+// is down and doesn't adopt the highest version of its peers.
 func TestInvariantRestartInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.apply(t, 1)
 		behind := start(t, p)
-		after(time.Second)
+		advance(time.Second)
 		behind.stop()
 		p.apply(t, 2)
 		ahead := start(t, p)
-		after(time.Second)
+		advance(time.Second)
 		p.set(func() { p.down = true })
 		fresh := start(t, p, behind, ahead)
-		after(time.Second)
+		advance(time.Second)
 		require.Equal(t, ahead.InForce(), fresh.InForce())
 		require.True(t, fresh.Fresh())
-		require.Equal(t, uint64(2), fresh.seen()[len(fresh.seen())-1])
+		require.Equal(t, uint64(2), fresh.adopted()[len(fresh.adopted())-1])
 
-		alone := start(t, p)
-		after(time.Minute)
-		require.False(t, alone.Fresh(), "nobody could tell it anything")
+		standalone := start(t, p)
+		advance(time.Minute)
+		require.False(t, standalone.Fresh(), "a node without peers can't learn a version")
 	})
 }
 
-// TestInvariantPausedNodeReadsAgain shows that a node doesn't admit after a
-// pause until it was told the head again.
+// TestInvariantPausedNodeReadsAgain guards against a node that admits requests after a
+// pause of its process before it has read the head again. A read that began before the
+// pause and a hint must not count.
 func TestInvariantPausedNodeReadsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.apply(t, 1)
 		m := start(t, p)
-		after(time.Second)
+		advance(time.Second)
 		require.True(t, m.Fresh())
 
-		silence := make(chan struct{})
-		p.set(func() { p.silence = silence })
-		after(3 * time.Second) // a reading begins before the pause
-		ref := p.applySilently(t, 2)
+		readsBlocked := make(chan struct{})
+		p.set(func() { p.readsBlocked = readsBlocked })
+		advance(3 * time.Second) // a read begins before the pause
+		ref := p.applyWhileReadsBlock(t, 2)
 		m.pause(time.Minute)
-		require.False(t, m.Fresh(), "the very first call after the pause is told")
+		require.False(t, m.Fresh(), "the first call after the pause detects it")
 		m.Hint(1, p.accepted()[0].Hash)
-		require.False(t, m.Fresh(), "a hint confirms nothing")
-		p.set(func() { p.silence = nil })
-		close(silence)
-		after(time.Second)
+		require.False(t, m.Fresh(), "a hint is no confirmation")
+		p.set(func() { p.readsBlocked = nil })
+		close(readsBlocked)
+		advance(time.Second)
 		require.Equal(t, ref, m.InForce())
 		require.True(t, m.Fresh())
 	})
@@ -292,46 +293,47 @@
 		p := newPlatform()
 		p.apply(t, 1)
 		peer := start(t, p)
-		dead := &member{cut: true}
+		dead := &member{unreachable: true}
 		m := start(t, p, peer, dead)
-		after(time.Second)
+		advance(time.Second)
 		p.set(func() { p.down = true })
-		after(30 * time.Second)
+		advance(30 * time.Second)
 		m.pause(time.Minute)
 		require.False(t, m.Fresh())
-		after(time.Second)
-		require.True(t, m.Fresh(), "a fresh peer answered")
+		advance(time.Second)
+		require.True(t, m.Fresh(), "a fresh peer replied")
 
 		peer.pause(time.Minute)
 		m.pause(time.Minute)
 		require.False(t, m.Fresh())
-		after(configsync.DefaultTrustAfter - time.Second)
-		require.False(t, m.Fresh(), "no fresh peer answers, and not all answer")
-		after(2 * time.Second)
-		require.True(t, m.Fresh(), "no fresh peer answered for long")
+		advance(configsync.DefaultTrustAfter - time.Second)
+		require.False(t, m.Fresh(), "no fresh peer replies, and not all peers reply")
+		advance(2 * time.Second)
+		require.True(t, m.Fresh(), "no fresh peer replied for TrustAfter")
 	})
 }
 
-func TestAllPausedInOutageTrustEachOther(t *testing.T) {
+func TestAllPausedInOutageAssumeNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.apply(t, 1)
 		a := start(t, p)
 		b := start(t, p, a)
-		after(time.Second)
+		advance(time.Second)
 		p.set(func() { p.down = true })
-		after(30 * time.Second)
+		advance(30 * time.Second)
 		a.pause(time.Minute)
 		b.pause(time.Minute)
 		require.False(t, a.Fresh())
 		require.False(t, b.Fresh())
-		after(time.Second)
-		require.True(t, b.Fresh(), "all others answered and none is fresh")
+		advance(time.Second)
+		require.True(t, b.Fresh(), "all peers replied and none is fresh")
 	})
 }
 
-// TestOutageEndsWithoutStorm counts what 350 nodes ask of the platform.
-func TestOutageEndsWithoutStorm(t *testing.T) {
+// TestOutageCausesNoReadBurst guards against bursts of reads during and after an outage
+// of the platform, by the reads of 350 nodes.
+func TestOutageCausesNoReadBurst(t *testing.T) {
 	const nodes, window = 350, 40 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
@@ -340,10 +342,10 @@
 		for i := range members {
 			members[i] = startOf(t, p, nodes)
 		}
-		after(20 * time.Second)
+		advance(20 * time.Second)
 		steady := readsIn(p, window)
 		p.set(func() { p.down = true })
-		after(time.Minute)
+		advance(time.Minute)
 		outage := readsIn(p, window)
 		p.set(func() { p.down = false })
 		p.apply(t, 2)
@@ -351,7 +353,7 @@
 		for range 20 {
 			peak = max(peak, readsIn(p, time.Second))
 		}
-		after(5 * time.Second)
+		advance(5 * time.Second)
 		for _, m := range members {
 			require.Equal(t, uint64(2), m.InForce().Version)
 		}
@@ -363,11 +365,11 @@
 	})
 }
 
-// readsIn returns the reads of the table in the next d.
+// readsIn returns the number of reads of the table in the next d.
 func readsIn(p *platform, d time.Duration) int {
 	before := 0
 	p.set(func() { before = p.reads })
-	after(d)
+	advance(d)
 	n := 0
 	p.set(func() { n = p.reads - before })
 	return n
--- a/internal/configsync/metrics.go
+++ b/internal/configsync/metrics.go
@@ -4,13 +4,13 @@
 
 const namespace = "guavapaddle"
 
-// Sources of a body, as the label "source" names them.
+// Values of the label "source": where a body was fetched from.
 const (
 	fromStore = "store"
 	fromPeer  = "peer"
 )
 
-// Metrics counts what followers do. The zero value is not usable: see
+// Metrics counts the actions of followers. The zero value is not usable: see
 // NewMetrics.
 type Metrics struct {
 	version  prometheus.Gauge
@@ -40,7 +40,7 @@
 	return m
 }
 
-// result is the label value for err.
+// result returns the value of the label "result" for err.
 func result(err error) string {
 	if err != nil {
 		return "failed"
--- a/internal/configsync/pack.go
+++ b/internal/configsync/pack.go
@@ -9,9 +9,9 @@
 	"guavapaddle/core/config"
 )
 
-// pack returns a canonical body as the object store and peers carry it:
-// compressed, as a large deployment's body goes to hundreds of nodes hundreds
-// of times a day.
+// pack returns a canonical body in the form used in the object store and between
+// peers. It is compressed, as the body of a large deployment is sent to hundreds
+// of nodes hundreds of times a day.
 func pack(body []byte) []byte {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
@@ -27,8 +27,8 @@
 	return b.Bytes()
 }
 
-// unpack returns the canonical body with a hash from its packed form. The
-// error is a *BodyError or a *HashError.
+// unpack returns the canonical body from its packed form and verifies its hash.
+// The error is a *BodyError or a *HashError.
 func unpack(packed []byte, hash string) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/configsync/platform.go
+++ b/internal/configsync/platform.go
@@ -7,11 +7,11 @@
 	"guavapaddle/core/row"
 )
 
-// bodyPrefix begins the keys of bodies in the object store.
+// bodyPrefix is the prefix of the object store's keys of bodies.
 const bodyPrefix = "config/"
 
 type (
-	// Table is the table service, as io/table speaks to it.
+	// Table is the part of the table service's client that an Applier uses.
 	Table interface {
 		Reader
 		Transact(ctx context.Context, tx row.Tx) (row.Result, error)
@@ -22,7 +22,7 @@
 		Read(ctx context.Context, keys ...string) ([]row.Row, error)
 	}
 
-	// Store is the object store, as io/object speaks to it.
+	// Store is the part of the object store's client that an Applier uses.
 	Store interface {
 		Getter
 		Put(ctx context.Context, key string, body []byte) error
@@ -33,16 +33,16 @@
 		Get(ctx context.Context, key string) ([]byte, error)
 	}
 
-	// Peer is another node. Both calls are questions that the peer answers when
-	// it gets them: an answer that was sent before may not be given.
+	// Peer is another node. The peer must compute the reply to each call when
+	// it receives the call; cached replies are not allowed.
 	Peer interface {
-		// FetchConfig returns the body with a hash: the peer's Follower.Packed.
+		// FetchConfig returns the packed body with the hash: the peer's Follower.Packed.
 		FetchConfig(ctx context.Context, hash string) ([]byte, error)
-		// ConfigHead returns what the peer has in force and whether it is
-		// fresh: the peer's Follower.Head.
+		// ConfigHead returns the version that the peer has in force and whether
+		// the peer is fresh: its Follower.Head.
 		ConfigHead(ctx context.Context) (ref head.Ref, fresh bool, err error)
 	}
 )
 
-// BodyKey returns the object store's key of the body with a hash.
+// BodyKey returns the object store's key of the body with the hash.
 func BodyKey(hash string) string { return bodyPrefix + hash }
