--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -21,28 +21,28 @@
 )
 
 type (
-	// op is one change on its way to the table.
+	// op is a change that is queued or being written.
 	op struct {
-		change    claim.Change
-		durable   bool         // goes again until its fate is known
-		settle    bool         // settles an insert that was given up
-		unsure    bool         // a transaction with it had no answer
-		abandoned bool         // its caller waits no longer
-		over      bool         // it has ended
-		tries     int          // failures
-		done      chan ended   // of capacity one, nil if nobody waits
-		insert    claim.Change // that settle settles
+		change      claim.Change
+		durable     bool          // written again until its outcome is known
+		settle      bool          // settles an abandoned insert
+		unconfirmed bool          // the reply to a transaction with it was lost
+		abandoned   bool          // its caller no longer waits
+		ended       bool          // it has ended
+		tries       int           // failed transactions
+		done        chan opResult // of capacity one, nil if nobody waits
+		insert      claim.Change  // the abandoned insert, if settle is set
 	}
 
-	// ended is how an op ended.
-	ended struct {
-		fate claim.WriteOutcome
-		row  row.Row // with the revision if it took, the one in the way if it lost
-		err  error   // *outcome.Error, for an insert that could not be written
+	// opResult is the result of an op.
+	opResult struct {
+		writeOutcome claim.WriteOutcome
+		row          row.Row // with the revision if it committed, the conflicting row if it lost
+		err          error   // *outcome.Error, for an insert that could not be written
 	}
 )
 
-// Run commits what is claimed, settles and sweeps, until ctx ends.
+// Run writes the submitted changes and sweeps old claims until ctx ends.
 func (s *Store) Run(ctx context.Context) {
 	s.once.Do(s.init)
 	go s.sweepLoop(ctx)
@@ -69,7 +69,7 @@
 	}
 }
 
-// await waits until o has ended, at most for d.
+// await waits until o has ended, for at most d.
 func (o *op) await(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -79,16 +79,16 @@
 	}
 }
 
-// begin notes that one more change must take effect.
-func (s *Store) begin() {
+// addPending counts a change that must take effect.
+func (s *Store) addPending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending++
 	s.Metrics.setPending(s.pending)
 }
 
-// end notes that a change that must take effect did.
-func (s *Store) end() {
+// pendingDone records that a change counted by addPending has taken effect. The lock is held.
+func (s *Store) pendingDone() {
 	s.pending--
 	s.Metrics.setPending(s.pending)
 	if s.pending == 0 && s.idle != nil {
@@ -108,7 +108,8 @@
 	}
 }
 
-// next takes the next batch from the queue: no key twice, within the bounds.
+// next removes the next batch from the queue. It contains each key at most once and is
+// within MaxBatch and MaxBatchBytes.
 func (s *Store) next(ctx context.Context) []*op {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	keys := map[string]bool{}
 	bytes := 0
 	for _, o := range s.queue {
-		if o.over || s.dropAbandoned(ctx, o) {
+		if o.ended || s.dropAbandoned(ctx, o) {
 			continue
 		}
 		size := o.size()
@@ -133,21 +134,21 @@
 	return batch
 }
 
-// dropAbandoned ends o if its caller waits no longer, and tells whether it did.
+// dropAbandoned ends o if its caller no longer waits, and reports whether it did.
 // The lock is held.
 func (s *Store) dropAbandoned(ctx context.Context, o *op) bool {
 	if !o.abandoned {
 		return false
 	}
-	o.over = true
-	if o.unsure {
+	o.ended = true
+	if o.unconfirmed {
 		s.pending++
 		go s.settle(ctx, o.change, 0)
 	}
 	return true
 }
 
-// size returns the bytes that the answer in o has, about.
+// size returns the approximate size of the answer in o, in bytes.
 func (o *op) size() int {
 	if o.change.Claim.Answer == nil {
 		return 0
@@ -155,7 +156,7 @@
 	return len(o.change.Claim.Answer.Body)
 }
 
-// commit commits a batch and ends, settles or queues again each of its ops.
+// commit writes a batch and ends, settles or requeues each of its ops.
 func (s *Store) commit(ctx context.Context, batch []*op) {
 	var tx row.Tx
 	changes := make([]claim.Change, len(batch))
@@ -171,11 +172,11 @@
 	case err == nil && res.Committed:
 		s.Metrics.transaction(committed)
 		for _, o := range batch {
-			s.finish(ctx, o, ended{fate: claim.Committed, row: row.Row{Key: o.change.Key, Revision: res.Revision}})
+			s.finish(ctx, o, opResult{writeOutcome: claim.Committed, row: row.Row{Key: o.change.Key, Revision: res.Revision}})
 		}
-	case err == nil && s.sortConflicts(ctx, batch, res.Conflicts):
+	case err == nil && s.resolveConflicts(ctx, batch, res.Conflicts):
 		s.Metrics.transaction(conflict)
-	case err != nil && notDone(err):
+	case err != nil && notCommitted(err):
 		s.Metrics.transaction(refused)
 		s.failed(ctx, batch, err)
 	default:
@@ -184,20 +185,20 @@
 	}
 }
 
-// sortConflicts ends the ops whose rows are in conflict and queues the others
-// again. It returns false if no row concerns an op.
-func (s *Store) sortConflicts(ctx context.Context, batch []*op, conflicts []row.Row) bool {
+// resolveConflicts handles the ops whose rows conflict and requeues the others. It
+// returns false if no row belongs to an op.
+func (s *Store) resolveConflicts(ctx context.Context, batch []*op, conflicts []row.Row) bool {
 	rows := map[string]row.Row{}
 	for _, r := range conflicts {
 		rows[r.Key] = r
 	}
-	hit := slices.ContainsFunc(batch, func(o *op) bool { _, found := rows[o.change.Key]; return found })
-	if !hit {
+	concernsBatch := slices.ContainsFunc(batch, func(o *op) bool { _, found := rows[o.change.Key]; return found })
+	if !concernsBatch {
 		return false
 	}
 	for _, o := range batch {
 		if r, found := rows[o.change.Key]; found {
-			s.judge(ctx, o, r)
+			s.resolve(ctx, o, r)
 		} else {
 			s.submit(o)
 		}
@@ -205,12 +206,12 @@
 	return true
 }
 
-// readBack learns the fate of a batch whose answer was lost.
+// readBack reads the outcome of a batch whose reply was lost.
 func (s *Store) readBack(ctx context.Context, batch []*op, cause error) {
 	keys := make([]string, len(batch))
 	s.mu.Lock()
 	for i, o := range batch {
-		o.unsure = true
+		o.unconfirmed = true
 		keys[i] = o.change.Key
 	}
 	s.mu.Unlock()
@@ -222,27 +223,27 @@
 		return
 	}
 	for i, o := range batch {
-		s.judge(ctx, o, rows[i])
+		s.resolve(ctx, o, rows[i])
 	}
 }
 
-// judge ends o by the row as it is now, or queues it again if its fate is open:
-// to write it once more is safe, since only one of the copies can take effect.
-func (s *Store) judge(ctx context.Context, o *op, r row.Row) {
-	fate, err := o.change.Outcome(r)
+// resolve ends o by the current content of its row, or requeues it if its outcome is
+// pending: writing it again is safe, since only one of the copies can take effect.
+func (s *Store) resolve(ctx context.Context, o *op, r row.Row) {
+	writeOutcome, err := o.change.Outcome(r)
 	switch {
 	case err != nil:
-		s.Log.Error("claim row not understood", zap.Error(err))
-		s.finish(ctx, o, ended{err: outcome.Refuse(outcome.Internal, err.Error(), 0)})
-	case fate == claim.Pending:
+		s.Log.Error("claim row can't be parsed", zap.Error(err))
+		s.finish(ctx, o, opResult{err: outcome.Refuse(outcome.Internal, err.Error(), 0)})
+	case writeOutcome == claim.Pending:
 		s.submit(o)
 	default:
-		s.finish(ctx, o, ended{fate: fate, row: r})
+		s.finish(ctx, o, opResult{writeOutcome: writeOutcome, row: r})
 	}
 }
 
-// failed handles a batch that the table did not take: claims are refused as not
-// run, everything else goes again later.
+// failed handles a batch that was not written, or whose outcome is unknown: claims are
+// refused as not run, all other changes are written again after a backoff.
 func (s *Store) failed(ctx context.Context, batch []*op, cause error) {
 	s.Log.Warn("claims not written", zap.Int("claims", len(batch)), zap.Error(cause))
 	s.markDown(ctx)
@@ -260,7 +261,7 @@
 	}
 }
 
-// markDown makes claims be refused at once until the table answers a read.
+// markDown makes the store refuse claims at once until the table answers a read.
 func (s *Store) markDown(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,7 +272,7 @@
 	go s.probe(ctx)
 }
 
-// probe reads a row now and then until the table answers.
+// probe reads a row periodically until the table answers.
 func (s *Store) probe(ctx context.Context) {
 	for sleep(ctx, s.Pause) {
 		call, cancel := context.WithTimeout(ctx, s.Timeout)
@@ -286,41 +287,41 @@
 	}
 }
 
-// abandon notes that o's caller waits no longer. It returns false if o has
-// ended already.
+// abandon records that o's caller no longer waits. It returns false if o has already
+// ended.
 func (s *Store) abandon(o *op) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.over {
+	if o.ended {
 		return false
 	}
 	o.abandoned = true
 	return true
 }
 
-// finish ends o. An insert that may stand although its caller was told that the
-// call did not run is settled.
-func (s *Store) finish(ctx context.Context, o *op, e ended) {
+// finish ends o. It settles an insert that may have committed although its caller was
+// told that the call did not run.
+func (s *Store) finish(ctx context.Context, o *op, e opResult) {
 	s.mu.Lock()
-	if o.over {
+	if o.ended {
 		s.mu.Unlock()
 		return
 	}
-	o.over = true
-	gone := !o.durable && ((o.abandoned && e.fate == claim.Committed) || (e.err != nil && o.unsure))
+	o.ended = true
+	unsettled := !o.durable && ((o.abandoned && e.writeOutcome == claim.Committed) || (e.err != nil && o.unconfirmed))
 	if o.durable && !o.settle {
-		s.end()
+		s.pendingDone()
 	}
 	s.mu.Unlock()
 	if e.err == nil {
-		s.Metrics.change(string(e.fate))
+		s.Metrics.change(string(e.writeOutcome))
 	}
 	if o.settle {
-		s.settled(ctx, o, e)
+		s.settlementEnded(ctx, o, e)
 		return
 	}
-	if gone {
-		s.begin()
+	if unsettled {
+		s.addPending()
 		go s.settle(ctx, o.change, 0)
 	}
 	if o.done != nil {
@@ -328,7 +329,7 @@
 	}
 }
 
-// sleep waits for d and returns false if ctx ended before.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -1,18 +1,18 @@
 // Package claims keeps the claims of core/claim in the platform's table.
 //
-// Many claims and stored answers go in one transaction: the first goes at once,
-// the next transaction no sooner than Spacing later, with all that came in
-// between. So a node makes at most 1/Spacing transactions a second whatever the
-// load, and waits for none when it is idle. A conflict of one claim does not
-// fail the others, which go again without it. When the answer of a transaction
-// is lost all its rows are read back.
+// Claims and stored answers are written in batches: the first change is written
+// at once, and the next transaction starts no sooner than Spacing later, with all
+// changes submitted in between. So a node makes at most 1/Spacing transactions per
+// second under any load, and an idle node writes without delay. A conflict of one
+// claim does not fail the others: they are written again without it. If the reply
+// to a transaction is lost, all its rows are read back.
 //
-// When the table is down, a claim is refused as not run at once: after a failure
-// without even trying, until the table answers a read. An insert that was given up with its fate
-// unknown is settled in the background: its row is released, or written as
-// released if it is absent, so that neither the insert nor a late copy of it
-// keeps the call from being claimed by a repeat. Answers and releases are kept
-// in memory and written until they take effect.
+// When the table is down, claims are refused as not run: the first one after it
+// failed, later ones without a transaction until the table answers a read. An
+// abandoned insert with an unknown outcome is settled in the background: its row is
+// released, or written as released if it is absent, so that neither the insert nor
+// a late copy of it prevents a retry from claiming the call. Answers and releases
+// are kept in memory and written until they take effect.
 //
 // # Usage
 //
@@ -20,9 +20,9 @@
 //	go s.Run(ctx)
 //	g, err := s.Claim(ctx, claims.Call{Team: "corella", Key: key, ...})
 //	switch {
-//	case err != nil:        // tell the caller
-//	case g.Stored != nil:   // give the stored answer
-//	default:                // send, then Finish, MarkUnknown or Release g.Held
+//	case err != nil:        // return err to the caller
+//	case g.Stored != nil:   // return the stored answer
+//	default:                // send the call, then Finish, MarkUnknown or Release g.Held
 //	}
 //	s.Flush(ctx) // before the node stops
 package claims
--- a/internal/claims/failure.go
+++ b/internal/claims/failure.go
@@ -2,8 +2,8 @@
 
 import "guavapaddle/io/table"
 
-// notDone tells whether a failed transaction was surely not done.
-func notDone(err error) bool {
+// notCommitted reports whether a failed transaction certainly had no effect.
+func notCommitted(err error) bool {
 	k := table.KindOf(err)
 	return k == table.Unavailable || k == table.Invalid
 }
--- a/internal/claims/metrics.go
+++ b/internal/claims/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what a Store does. A nil Metrics counts nothing.
+// Metrics counts the actions of a Store. A nil Metrics counts nothing.
 type Metrics struct {
 	claims       *prometheus.CounterVec
 	transactions *prometheus.CounterVec
@@ -10,7 +10,7 @@
 	pending      prometheus.Gauge
 }
 
-// NewMetrics returns counters that are registered with r.
+// NewMetrics returns metrics that are registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		claims: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -55,7 +55,7 @@
 	}
 }
 
-// setPending sets the gauge.
+// setPending sets the number of changes that have not taken effect yet.
 func (m *Metrics) setPending(n int) {
 	if m != nil {
 		m.pending.Set(float64(n))
--- a/internal/claims/settle.go
+++ b/internal/claims/settle.go
@@ -10,8 +10,8 @@
 	"guavapaddle/core/row"
 )
 
-// settle makes sure that an insert that was given up neither holds its row nor
-// takes effect later. It goes on until the table has said so, or ctx ends.
+// settle ensures that an abandoned insert neither holds its row nor takes effect
+// later. It retries until the table has confirmed that, or ctx ends.
 func (s *Store) settle(ctx context.Context, insert claim.Change, tries int) {
 	r, err := s.readOne(ctx, insert.Key)
 	for ; err != nil; tries++ {
@@ -23,15 +23,15 @@
 	change, needed, err := claim.Settle(insert, r, time.Now().UnixMilli())
 	if err != nil || !needed {
 		if err != nil {
-			s.Log.Error("claim row not understood", zap.Error(err))
+			s.Log.Error("claim row can't be parsed", zap.Error(err))
 		}
-		s.settleDone()
+		s.countSettled()
 		return
 	}
 	s.submit(&op{change: change, durable: true, settle: true, insert: insert})
 }
 
-// readOne reads one row within the time-out.
+// readOne reads one row within Timeout.
 func (s *Store) readOne(ctx context.Context, key string) (row.Row, error) {
 	call, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
@@ -42,19 +42,19 @@
 	return rows[0], nil
 }
 
-// settled ends a settlement, or starts it over if another write came first.
-func (s *Store) settled(ctx context.Context, o *op, e ended) {
-	if e.err == nil && e.fate == claim.Committed {
-		s.settleDone()
+// settlementEnded ends a settlement, or restarts it if another write came first.
+func (s *Store) settlementEnded(ctx context.Context, o *op, e opResult) {
+	if e.err == nil && e.writeOutcome == claim.Committed {
+		s.countSettled()
 		return
 	}
 	go s.settle(ctx, o.insert, o.tries)
 }
 
-// settleDone notes the end of a settlement.
-func (s *Store) settleDone() {
+// countSettled counts the end of a settlement.
+func (s *Store) countSettled() {
 	s.Metrics.change("settled")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end()
+	s.pendingDone()
 }
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -15,35 +15,37 @@
 )
 
 const (
-	// DefaultSpacing is the least time between the starts of two transactions.
+	// DefaultSpacing is the minimum time between the starts of two transactions.
 	DefaultSpacing = 20 * time.Millisecond
-	// DefaultTimeout bounds one transaction and one reading back.
+	// DefaultTimeout bounds one transaction, and one read of its rows after a lost reply.
 	DefaultTimeout = 400 * time.Millisecond
-	// DefaultWait bounds how long a claim waits in all before it is refused.
+	// DefaultWait bounds the total wait of a claim before it is refused.
 	DefaultWait = time.Second
-	// DefaultPause is the time between reads that find out whether a table
-	// that failed is back. Claims are refused without a try until then.
+	// DefaultPause is the time between reads that check whether a failed table
+	// is available again. Claims are refused without a transaction until then.
 	DefaultPause = 250 * time.Millisecond
-	// DefaultMaxBatch is the most changes in one transaction.
+	// DefaultMaxBatch is the maximum number of changes in one transaction.
 	DefaultMaxBatch = 256
-	// DefaultMaxBatchBytes bounds the stored answers in one transaction.
+	// DefaultMaxBatchBytes bounds the total size of the stored answers in one
+	// transaction.
 	DefaultMaxBatchBytes = 1 << 20
-	// DefaultInFlight is the most transactions at the same time.
+	// DefaultInFlight is the maximum number of concurrent transactions.
 	DefaultInFlight = 4
-	// DefaultMaxQueue is the most changes that wait.
+	// DefaultMaxQueue is the number of queued changes from which on claims are
+	// refused.
 	DefaultMaxQueue = 8192
-	// DefaultAnswerWait bounds how long Finish waits for the table, so that a
-	// repeat right after the answer finds it stored.
+	// DefaultAnswerWait bounds how long Finish waits for the table. It waits so
+	// that a retry right after the answer finds it stored.
 	DefaultAnswerWait = 150 * time.Millisecond
-	// DefaultSweepPeriod is the time between removals of old claims.
+	// DefaultSweepPeriod is the mean time between removals of old claims.
 	DefaultSweepPeriod = 15 * time.Second
 )
 
 const (
-	// maxRounds bounds how often a claim starts over because the row that
-	// stood in its way was released.
+	// maxRounds bounds how often a claim starts over because the conflicting row
+	// was released.
 	maxRounds = 3
-	// objectPrefix begins the key of every stored body.
+	// objectPrefix is the prefix of the object store's keys of stored bodies.
 	objectPrefix = "claim-answer/"
 	objectTries  = 3
 )
@@ -62,7 +64,7 @@
 		Get(ctx context.Context, key string) ([]byte, error)
 	}
 
-	// Call is a call that is to run at most once.
+	// Call is a call that must run at most once.
 	Call struct {
 		Team      string
 		Key       string // idempotency key, not empty
@@ -71,15 +73,15 @@
 		Deadline  time.Time
 	}
 
-	// Grant is the answer to a claim that did not fail. Either Stored is set,
-	// or the caller holds Held and may send the call once.
+	// Grant is the result of a successful claim. Either Stored is set, or the
+	// caller holds the claim Held and may send the call once.
 	Grant struct {
 		Held   claim.Held
-		Stored *claim.Answer // whole, with its body
+		Stored *claim.Answer // including the body
 	}
 
-	// Store makes and ends claims. Its exported fields are set before Run; it
-	// is safe for concurrent use. Zero settings mean the defaults.
+	// Store makes and ends claims. Its exported fields must be set before Run;
+	// it is safe for concurrent use. Zero settings select the defaults.
 	Store struct {
 		Table       Table
 		Objects     Objects
@@ -108,43 +110,44 @@
 
 		mu      sync.Mutex
 		queue   []*op
-		inserts map[string]*insertion // by row key
-		pending int                   // changes that must take effect and have not yet
+		inserts map[string]*insertion // in progress, by row key
+		pending int                   // changes that must take effect and have not done so yet
 		idle    chan struct{}         // closed when pending is zero, nil if nobody waits
 		down    bool                  // claims are refused until a read is answered
 	}
 
-	// insertion is an insert of this node that others of the same row wait for.
+	// insertion is an insert in progress. Other inserts of the same row at this
+	// node wait for it.
 	insertion struct {
 		change claim.Change
-		end    ended
-		done   chan struct{} // closed when end is set
+		result opResult
+		done   chan struct{} // closed when result is set
 	}
 )
 
-// Claim claims c for this node. Every error is an *outcome.Error: refused as
-// not run if the claim could not be written, whose caller may come back with
-// the same key, or what an asker is told of an earlier call with the same key.
+// Claim claims c for this node. Every error is an *outcome.Error: either a refusal
+// as not run if the claim could not be written, after which the caller may retry
+// with the same key, or the outcome of an earlier call with the same key.
 func (s *Store) Claim(_ context.Context, c Call) (Grant, error) {
 	s.once.Do(s.init)
-	mine := claim.Claim{
+	own := claim.Claim{
 		Team: c.Team, BodyHash: c.BodyHash, Attempt: rand.Text(),
 		Node: s.Node, Incarnation: s.Incarnation, RequestID: c.RequestID,
 		AtMS: time.Now().UnixMilli(), DeadlineMS: c.Deadline.UnixMilli(),
 	}
 	limit := time.Now().Add(s.Wait)
 	key := claim.Key(c.Team, c.Key)
-	change := claim.Insert(key, mine, 0)
+	change := claim.Insert(key, own, 0)
 	for range maxRounds {
 		e := s.insertOnce(change, limit)
 		if e.err != nil {
 			return Grant{}, e.err
 		}
-		if e.fate == claim.Committed {
+		if e.writeOutcome == claim.Committed {
 			s.Metrics.claim("claimed")
 			return Grant{Held: change.Held(e.row.Revision)}, nil
 		}
-		v, err := claim.Evaluate(e.row, mine, time.Now(), s.Dead)
+		v, err := claim.Evaluate(e.row, own, time.Now(), s.Dead)
 		if err != nil {
 			return Grant{}, outcome.Refuse(outcome.Internal, err.Error(), 0)
 		}
@@ -155,23 +158,23 @@
 			s.Metrics.claim(string(v.Err.Reason))
 			return Grant{}, v.Err
 		}
-		// A fresh attempt id: the old one may already stand in the row as
+		// The attempt id is renewed: the row may already contain the old one as
 		// released, and a change must never be mistaken for an older one.
-		mine.Attempt = rand.Text()
-		change = claim.Insert(key, mine, v.Revision)
+		own.Attempt = rand.Text()
+		change = claim.Insert(key, own, v.Revision)
 	}
 	return Grant{}, outcome.Unconfirmed(outcome.InProgress, "many callers claim this key at once")
 }
 
-// Finish stores the answer of a call that h's holder sent. It waits for the
-// table for at most AnswerWait, and not at all while the table is down; the
-// answer is written until it takes effect.
+// Finish stores the answer to a call that the holder of h sent. It waits for the
+// table for at most AnswerWait, and not at all while the table is down. The write
+// is retried until it takes effect.
 func (s *Store) Finish(h claim.Held, a claim.Answer) {
 	s.once.Do(s.init)
-	s.begin()
-	o := &op{durable: true, done: make(chan ended, 1)}
+	s.addPending()
+	o := &op{durable: true, done: make(chan opResult, 1)}
 	go func() {
-		o.change = h.Finish(s.outsource(h, a))
+		o.change = h.Finish(s.storeBody(h, a))
 		s.submit(o)
 	}()
 	s.mu.Lock()
@@ -182,27 +185,27 @@
 	}
 }
 
-// MarkUnknown records that the call was sent and its answer lost for reason r. It
-// returns at once.
+// MarkUnknown records that the call was sent and its answer was lost for reason r.
+// It returns at once.
 func (s *Store) MarkUnknown(h claim.Held, r outcome.Reason) {
 	s.once.Do(s.init)
-	s.begin()
+	s.addPending()
 	s.submit(&op{change: h.MarkUnknown(r), durable: true})
 }
 
-// Release lets the call be claimed again. It may only be called if the call
-// provably did not run and will not be sent. It waits for the table for at most
-// the time-out of a transaction, so that a repeat finds the row free.
+// Release makes the call available for another claim. It may only be called if the
+// call provably did not run and will not be sent. It waits for the table for at most
+// Timeout, so that a retry finds the row released.
 func (s *Store) Release(h claim.Held) {
 	s.once.Do(s.init)
-	s.begin()
-	o := &op{change: h.Release(), durable: true, done: make(chan ended, 1)}
+	s.addPending()
+	o := &op{change: h.Release(), durable: true, done: make(chan opResult, 1)}
 	s.submit(o)
 	o.await(s.Timeout)
 }
 
 // Flush waits until all answers and releases have taken effect, or ctx ends. It
-// returns how many have not.
+// returns the number of those that have not.
 func (s *Store) Flush(ctx context.Context) int {
 	s.once.Do(s.init)
 	for {
@@ -224,33 +227,33 @@
 	}
 }
 
-// insertOnce lets one insert of a row go to the table at a time. Those that come
-// meanwhile are told of the row that it left.
-func (s *Store) insertOnce(c claim.Change, limit time.Time) ended {
+// insertOnce writes at most one insert of a row at a time. Inserts of the same row
+// that arrive meanwhile wait for it, and lose against the row that it left.
+func (s *Store) insertOnce(c claim.Change, limit time.Time) opResult {
 	s.mu.Lock()
-	if first := s.inserts[c.Key]; first != nil {
+	if earlier := s.inserts[c.Key]; earlier != nil {
 		s.mu.Unlock()
-		<-first.done // ends by its own limit, which is the earlier one
-		e := first.end
-		if e.fate == claim.Committed {
-			e = ended{fate: claim.Lost, row: row.Row{Key: c.Key, Value: first.change.Value(), Revision: e.row.Revision}}
+		<-earlier.done // it ends by its own limit, which is the earlier one
+		e := earlier.result
+		if e.writeOutcome == claim.Committed {
+			e = opResult{writeOutcome: claim.Lost, row: row.Row{Key: c.Key, Value: earlier.change.Value(), Revision: e.row.Revision}}
 		}
 		return e
 	}
 	i := &insertion{change: c, done: make(chan struct{})}
 	s.inserts[c.Key] = i
 	s.mu.Unlock()
-	i.end = s.insert(c, limit)
+	i.result = s.insert(c, limit)
 	s.mu.Lock()
 	delete(s.inserts, c.Key)
 	s.mu.Unlock()
 	close(i.done)
-	return i.end
+	return i.result
 }
 
-// insert commits an insert and returns its end, refused as not run when the
-// table can't be had until limit.
-func (s *Store) insert(c claim.Change, limit time.Time) ended {
+// insert writes an insert and returns its result: refused as not run if the table
+// isn't available until limit.
+func (s *Store) insert(c claim.Change, limit time.Time) opResult {
 	now := time.Now()
 	s.mu.Lock()
 	refuse := s.down || len(s.queue) >= s.MaxQueue
@@ -258,7 +261,7 @@
 	if refuse {
 		return s.tableDown("paused")
 	}
-	o := &op{change: c, done: make(chan ended, 1)}
+	o := &op{change: c, done: make(chan opResult, 1)}
 	s.submit(o)
 	t := time.NewTimer(limit.Sub(now))
 	defer t.Stop()
@@ -268,19 +271,19 @@
 	case <-t.C:
 	}
 	if !s.abandon(o) {
-		return <-o.done // it ended at the same moment
+		return <-o.done // it ended concurrently
 	}
 	return s.tableDown("timeout")
 }
 
-// tableDown returns the end of a claim that could not be written.
-func (s *Store) tableDown(result string) ended {
+// tableDown returns the result of a claim that could not be written.
+func (s *Store) tableDown(result string) opResult {
 	s.Metrics.claim(result)
-	return ended{err: outcome.Refuse(outcome.TableDown,
+	return opResult{err: outcome.Refuse(outcome.TableDown,
 		"this try did not run; of earlier tries with the same key nothing is known", time.Second)}
 }
 
-// stored returns the grant of a stored answer with its body.
+// stored returns a grant with the stored answer, including its body.
 func (s *Store) stored(a *claim.Answer) (Grant, error) {
 	s.Metrics.claim("stored")
 	if a.Lost {
@@ -302,8 +305,9 @@
 	return Grant{Stored: &whole}, nil
 }
 
-// outsource moves a large body to the object store.
-func (s *Store) outsource(h claim.Held, a claim.Answer) claim.Answer {
+// storeBody moves a large body to the object store. If that fails, the answer is marked
+// as lost.
+func (s *Store) storeBody(h claim.Held, a claim.Answer) claim.Answer {
 	if len(a.Body) <= s.InlineBytes {
 		return a
 	}
@@ -325,20 +329,20 @@
 	return a
 }
 
-// init puts the defaults in place.
+// init sets the defaults.
 func (s *Store) init() {
-	def(&s.Spacing, DefaultSpacing)
-	def(&s.Timeout, DefaultTimeout)
-	def(&s.Wait, DefaultWait)
-	def(&s.Pause, DefaultPause)
-	def(&s.AnswerWait, DefaultAnswerWait)
-	def(&s.MaxBatch, DefaultMaxBatch)
-	def(&s.MaxBatchBytes, DefaultMaxBatchBytes)
-	def(&s.InFlight, DefaultInFlight)
-	def(&s.MaxQueue, DefaultMaxQueue)
-	def(&s.InlineBytes, claim.DefaultInlineBytes)
-	def(&s.Retention, claim.DefaultRetention)
-	def(&s.SweepPeriod, DefaultSweepPeriod)
+	setDefault(&s.Spacing, DefaultSpacing)
+	setDefault(&s.Timeout, DefaultTimeout)
+	setDefault(&s.Wait, DefaultWait)
+	setDefault(&s.Pause, DefaultPause)
+	setDefault(&s.AnswerWait, DefaultAnswerWait)
+	setDefault(&s.MaxBatch, DefaultMaxBatch)
+	setDefault(&s.MaxBatchBytes, DefaultMaxBatchBytes)
+	setDefault(&s.InFlight, DefaultInFlight)
+	setDefault(&s.MaxQueue, DefaultMaxQueue)
+	setDefault(&s.InlineBytes, claim.DefaultInlineBytes)
+	setDefault(&s.Retention, claim.DefaultRetention)
+	setDefault(&s.SweepPeriod, DefaultSweepPeriod)
 	if s.Log == nil {
 		s.Log = zap.NewNop()
 	}
@@ -347,16 +351,16 @@
 	s.slots = make(chan struct{}, s.InFlight)
 }
 
-// def sets *v to d if it is zero.
-func def[T comparable](v *T, d T) {
+// setDefault sets *v to d if it is zero.
+func setDefault[T comparable](v *T, d T) {
 	var zero T
 	if *v == zero {
 		*v = d
 	}
 }
 
-// backoff returns the wait before a change that must take effect goes again.
+// backoff returns the delay before a change that must take effect is written again.
 func (s *Store) backoff(tries int) time.Duration {
-	const most = 5 * time.Second
-	return min(most, time.Duration(float64(s.Pause)*math.Pow(2, float64(min(tries, 16)))))
+	const maxDelay = 5 * time.Second
+	return min(maxDelay, time.Duration(float64(s.Pause)*math.Pow(2, float64(min(tries, 16)))))
 }
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -19,7 +19,7 @@
 	"guavapaddle/internal/testbed/tabletest"
 )
 
-// objects is an object store in memory.
+// objects is an in-memory object store.
 type objects struct {
 	mu   sync.Mutex
 	data map[string][]byte
@@ -45,7 +45,7 @@
 	return nil, context.DeadlineExceeded
 }
 
-// inBubble runs f with fake time and a store on a table.
+// inBubble runs f in a synctest bubble with a table and a store.
 func inBubble(t *testing.T, f func(t *testing.T, table *tabletest.Table, s *claims.Store)) {
 	synctest.Test(t, func(t *testing.T) {
 		table := tabletest.New()
@@ -54,7 +54,7 @@
 	})
 }
 
-// store returns a store that runs until the test ends.
+// store returns a store on the table that runs until the test ends.
 func store(t *testing.T, table claims.Table, node string, set ...func(s *claims.Store)) *claims.Store {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &claims.Store{Table: table, Objects: &objects{data: map[string][]byte{}}, Node: node, Incarnation: 1}
@@ -63,25 +63,25 @@
 	}
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
-	t.Cleanup(func() { cancel(); await.Value(t, done, "the store's end") })
+	t.Cleanup(func() { cancel(); await.Value(t, done, "end of the store") })
 	return s
 }
 
-// booking returns the call of a key.
-func booking(key string) claims.Call {
+// callWithKey returns a call with the given key.
+func callWithKey(key string) claims.Call {
 	return claims.Call{Team: "corella", Key: key, BodyHash: "h", RequestID: "r-" + key, Deadline: time.Now().Add(5 * time.Second)}
 }
 
-// flush demands that all answers and releases take effect within a minute.
-func flush(t *testing.T, s *claims.Store) {
+// requireFlush requires that all answers and releases take effect within a minute.
+func requireFlush(t *testing.T, s *claims.Store) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	require.Zero(t, s.Flush(ctx))
 }
 
-// refused demands that err is a refusal because the table is down.
-func refused(t *testing.T, err error) {
+// requireRefused requires that err is a refusal because the table is down.
+func requireRefused(t *testing.T, err error) {
 	t.Helper()
 	require.Error(t, err)
 	require.Equal(t, outcome.RefusedNotRun, outcome.From(err).Outcome)
@@ -89,28 +89,28 @@
 	require.NotZero(t, outcome.From(err).RetryAfter)
 }
 
-func TestManyClaimsGoInFewTransactions(t *testing.T) {
+func TestClaimsAreBatched(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		const calls = 500
 		var wg sync.WaitGroup
 		for i := range calls {
 			time.Sleep(2 * time.Millisecond)
 			wg.Go(func() {
-				g, err := s.Claim(t.Context(), booking(fmt.Sprint(i)))
+				g, err := s.Claim(t.Context(), callWithKey(fmt.Sprint(i)))
 				require.NoError(t, err)
 				s.Finish(g.Held, claim.Answer{Status: 200})
 			})
 		}
 		wg.Wait()
-		flush(t, s)
-		require.LessOrEqual(t, table.Transactions(), 53, "500 calls a second, 50 transactions a second")
+		requireFlush(t, s)
+		require.LessOrEqual(t, table.Transactions(), 53, "500 calls per second need 50 transactions per second")
 	})
 }
 
-// TestEightNodesCarryTheTarget: 2,000 calls a second that may not be repeated, on
-// 8 nodes with a table that takes 5 ms, cost several hundred transactions a
-// second and little time.
-func TestEightNodesCarryTheTarget(t *testing.T) {
+// TestEightNodesSustainTargetLoad guards against too many transactions and too long waits
+// at the target load: 2,000 calls per second that may not be repeated, on 8 nodes with a
+// table that takes 5 ms, cause several hundred transactions per second.
+func TestEightNodesSustainTargetLoad(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, first *claims.Store) {
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Delay: 5 * time.Millisecond} })
 		stores := []*claims.Store{first}
@@ -125,7 +125,7 @@
 			time.Sleep(seconds * time.Second / calls)
 			wg.Go(func() {
 				begin := time.Now()
-				g, err := stores[i%8].Claim(t.Context(), booking(fmt.Sprint(i)))
+				g, err := stores[i%8].Claim(t.Context(), callWithKey(fmt.Sprint(i)))
 				require.NoError(t, err)
 				mu.Lock()
 				waits = append(waits, time.Since(begin))
@@ -145,7 +145,7 @@
 func TestIdleNodeClaimsAtOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T, _ *tabletest.Table, s *claims.Store) {
 		begin := time.Now()
-		_, err := s.Claim(t.Context(), booking("a"))
+		_, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		require.Equal(t, begin, time.Now())
 	})
@@ -154,13 +154,13 @@
 func TestConflictFailsItsClaimOnly(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		other := store(t, table, "n2")
-		_, err := other.Claim(t.Context(), booking("3"))
+		_, err := other.Claim(t.Context(), callWithKey("3"))
 		require.NoError(t, err)
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Delay: 10 * time.Millisecond} })
 		var wg sync.WaitGroup
 		for i := range 10 {
 			wg.Go(func() {
-				g, err := s.Claim(t.Context(), booking(fmt.Sprint(i)))
+				g, err := s.Claim(t.Context(), callWithKey(fmt.Sprint(i)))
 				if i == 3 {
 					require.Equal(t, outcome.InProgress, outcome.From(err).Reason)
 					return
@@ -173,39 +173,39 @@
 	})
 }
 
-// TestInvariantAtMostOnceDoubledCallers: of many who ask for the same call at
-// once, through two nodes, one may send.
+// TestInvariantAtMostOnceDoubledCallers guards against a call that is sent twice when
+// many callers claim it at the same time through two nodes: exactly one may send it.
 func TestInvariantAtMostOnceDoubledCallers(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		other := store(t, table, "n2")
-		var held atomic.Int32
+		var granted atomic.Int32
 		var wg sync.WaitGroup
 		for i := range 200 {
 			wg.Go(func() {
-				g, err := []*claims.Store{s, other}[i%2].Claim(t.Context(), booking("a"))
+				g, err := []*claims.Store{s, other}[i%2].Claim(t.Context(), callWithKey("a"))
 				if err != nil {
 					require.Equal(t, outcome.InProgress, outcome.From(err).Reason)
 					return
 				}
 				require.Nil(t, g.Stored)
-				held.Add(1)
+				granted.Add(1)
 			})
 		}
 		wg.Wait()
-		require.EqualValues(t, 1, held.Load())
+		require.EqualValues(t, 1, granted.Load())
 	})
 }
 
-// TestInvariantAtMostOnceLostInsertAnswer: the attempt id tells the holder that
-// its insert took effect although the answer was lost, and a second asker that
-// it did not claim.
+// TestInvariantAtMostOnceLostInsertAnswer guards against a wrong outcome when the reply
+// to an insert is lost: by the attempt id the holder recognizes that its insert took
+// effect, and a second caller that the claim is not its own.
 func TestInvariantAtMostOnceLostInsertAnswer(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		table.SetFault(func(c tabletest.Call) tabletest.Fault { return tabletest.Fault{LoseAnswer: c.Write} })
-		g, err := s.Claim(t.Context(), booking("a"))
+		g, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		require.NotZero(t, g.Held.Revision)
-		_, err = store(t, table, "n2").Claim(t.Context(), booking("a"))
+		_, err = store(t, table, "n2").Claim(t.Context(), callWithKey("a"))
 		require.Equal(t, outcome.InProgress, outcome.From(err).Reason)
 		require.Equal(t, outcome.Unknown, outcome.From(err).Outcome)
 	})
@@ -213,39 +213,39 @@
 
 func TestTableDownRefusesAtOnce(t *testing.T) {
 	for name, fault := range map[string]tabletest.Fault{
-		"refuses":        {Refuse: true},
-		"breaks":         {Lose: true},
-		"answers not":    {Hang: true},
-		"too slow":       {Delay: 10 * time.Second},
-		"takes and dies": {LoseAnswer: true},
+		"refuses":       {Refuse: true},
+		"breaks":        {Lose: true},
+		"hangs":         {Hang: true},
+		"too slow":      {Delay: 10 * time.Second},
+		"loses replies": {LoseAnswer: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 				table.SetFault(func(tabletest.Call) tabletest.Fault { return fault })
 				begin := time.Now()
-				_, err := s.Claim(t.Context(), booking("a"))
-				refused(t, err)
+				_, err := s.Claim(t.Context(), callWithKey("a"))
+				requireRefused(t, err)
 				require.LessOrEqual(t, time.Since(begin), 2*claims.DefaultTimeout)
 				begin, n := time.Now(), table.Transactions()
 				for i := range 100 {
-					_, err = s.Claim(t.Context(), booking(fmt.Sprint(i)))
-					refused(t, err)
+					_, err = s.Claim(t.Context(), callWithKey(fmt.Sprint(i)))
+					requireRefused(t, err)
 				}
-				require.Equal(t, begin, time.Now(), "no wait while the table is known to be down")
+				require.Equal(t, begin, time.Now(), "claims don't wait while the table is known to be down")
 				require.Equal(t, n, table.Transactions())
 				table.SetFault(nil)
 				time.Sleep(10 * time.Second)
-				g, err := s.Claim(t.Context(), booking("a"))
-				require.NoError(t, err, "a repeat runs once the table is back")
+				g, err := s.Claim(t.Context(), callWithKey("a"))
+				require.NoError(t, err, "a retry can claim the call when the table is available again")
 				require.NotZero(t, g.Held.Revision)
 			})
 		})
 	}
 }
 
-// TestInvariantRefusedNotRunLateInsert: an insert whose caller was told not run
-// and which reaches the table seconds later does not keep a repeat, through
-// any node, from running, nor lets two run.
+// TestInvariantRefusedNotRunLateInsert guards against an insert that reaches the table
+// seconds after its caller was told that the call did not run: it must neither prevent a
+// retry through any node from running, nor allow two runs.
 func TestInvariantRefusedNotRunLateInsert(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		table.SetFault(func(c tabletest.Call) tabletest.Fault {
@@ -254,55 +254,55 @@
 			}
 			return tabletest.Fault{Hang: true}
 		})
-		_, err := s.Claim(t.Context(), booking("a"))
-		refused(t, err)
+		_, err := s.Claim(t.Context(), callWithKey("a"))
+		requireRefused(t, err)
 		time.Sleep(time.Second)
 		table.SetFault(nil)
-		time.Sleep(5 * time.Second) // settled before or after the insert arrived
+		time.Sleep(5 * time.Second) // settled before or after the insert arrives
 		other := store(t, table, "n2")
-		g, err := other.Claim(t.Context(), booking("a"))
+		g, err := other.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		other.Finish(g.Held, claim.Answer{Status: 201, Body: []byte("booked")})
-		flush(t, other)
-		again, err := s.Claim(t.Context(), booking("a"))
+		requireFlush(t, other)
+		again, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		require.Equal(t, []byte("booked"), again.Stored.Body)
 	})
 }
 
-// TestGivenUpInsertIsReleased: the table hangs until after the caller's wait
-// and the insert then took effect.
-func TestGivenUpInsertIsReleased(t *testing.T) {
+// TestAbandonedInsertIsReleased guards against a row that stays claimed when the table
+// replies too late for the caller's wait and the insert takes effect.
+func TestAbandonedInsertIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := tabletest.New()
 		s := store(t, table, "n1", func(s *claims.Store) { s.Wait = 100 * time.Millisecond })
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Delay: 300 * time.Millisecond} })
-		_, err := s.Claim(t.Context(), booking("a"))
-		refused(t, err)
+		_, err := s.Claim(t.Context(), callWithKey("a"))
+		requireRefused(t, err)
 		table.SetFault(nil)
 		time.Sleep(2 * time.Second)
-		_, err = s.Claim(t.Context(), booking("a"))
+		_, err = s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 	})
 }
 
 func TestReleasedCallMayBeClaimedAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
-		g, err := s.Claim(t.Context(), booking("a"))
+		g, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		s.Release(g.Held)
-		_, err = store(t, table, "n2").Claim(t.Context(), booking("a"))
+		_, err = store(t, table, "n2").Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 	})
 }
 
-// TestAnswersOutliveAnOutage: an answer that can't be stored is kept and stored
-// when the table is back.
-func TestAnswersOutliveAnOutage(t *testing.T) {
+// TestAnswersAreKeptDuringOutage guards against the loss of an answer that can't be
+// stored during an outage: it is kept and stored when the table is available again.
+func TestAnswersAreKeptDuringOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
-		g, err := s.Claim(t.Context(), booking("a"))
+		g, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
-		lost, err := s.Claim(t.Context(), booking("b"))
+		lost, err := s.Claim(t.Context(), callWithKey("b"))
 		require.NoError(t, err)
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Hang: true} })
 		s.Finish(g.Held, claim.Answer{Status: 200, Body: []byte("yes")})
@@ -311,40 +311,40 @@
 		defer cancel()
 		require.Equal(t, 2, s.Flush(ctx))
 		table.SetFault(nil)
-		flush(t, s)
-		again, err := store(t, table, "n2").Claim(t.Context(), booking("a"))
+		requireFlush(t, s)
+		again, err := store(t, table, "n2").Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		require.Equal(t, []byte("yes"), again.Stored.Body)
-		_, err = s.Claim(t.Context(), booking("b"))
+		_, err = s.Claim(t.Context(), callWithKey("b"))
 		require.Equal(t, outcome.BackendLost, outcome.From(err).Reason)
 		require.Equal(t, outcome.Unknown, outcome.From(err).Outcome)
 	})
 }
 
-func TestLargeAnswersGoToTheObjectStore(t *testing.T) {
+func TestLargeAnswersAreStoredInObjectStore(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		big := make([]byte, claim.DefaultInlineBytes+1)
 		big[7] = 1
-		g, err := s.Claim(t.Context(), booking("a"))
+		g, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		s.Finish(g.Held, claim.Answer{Status: 200, Body: big})
-		flush(t, s)
+		requireFlush(t, s)
 		rows, err := table.Read(t.Context(), claim.Key("corella", "a"))
 		require.NoError(t, err)
 		require.Less(t, len(rows[0].Value), 2000)
-		again, err := s.Claim(t.Context(), booking("a"))
+		again, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		require.Equal(t, big, again.Stored.Body)
 
 		s.Objects.(*objects).down = true
-		_, err = s.Claim(t.Context(), booking("a"))
+		_, err = s.Claim(t.Context(), callWithKey("a"))
 		require.Equal(t, outcome.AnswerLost, outcome.From(err).Reason)
-		require.Equal(t, outcome.FailedAfterStart, outcome.From(err).Outcome, "it ran")
-		b, err := s.Claim(t.Context(), booking("b"))
+		require.Equal(t, outcome.FailedAfterStart, outcome.From(err).Outcome, "the call ran")
+		b, err := s.Claim(t.Context(), callWithKey("b"))
 		require.NoError(t, err)
 		s.Finish(b.Held, claim.Answer{Status: 200, Body: big})
-		flush(t, s)
-		_, err = s.Claim(t.Context(), booking("b"))
+		requireFlush(t, s)
+		_, err = s.Claim(t.Context(), callWithKey("b"))
 		require.Equal(t, outcome.AnswerLost, outcome.From(err).Reason)
 	})
 }
@@ -352,7 +352,7 @@
 func TestOldClaimsAreRemoved(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		for i := range 20 {
-			g, err := s.Claim(t.Context(), booking(fmt.Sprint(i)))
+			g, err := s.Claim(t.Context(), callWithKey(fmt.Sprint(i)))
 			require.NoError(t, err)
 			if i%2 == 0 {
 				s.Release(g.Held)
@@ -361,13 +361,13 @@
 			}
 		}
 		time.Sleep(23 * time.Hour)
-		again, err := s.Claim(t.Context(), booking("0"))
+		again, err := s.Claim(t.Context(), callWithKey("0"))
 		require.NoError(t, err)
 		s.Finish(again.Held, claim.Answer{Status: 202})
 		time.Sleep(2 * time.Hour)
 		left, err := table.Scan(t.Context(), claim.Prefix)
 		require.NoError(t, err)
-		require.Len(t, left, 1, "what was claimed an hour ago stays")
+		require.Len(t, left, 1, "a claim made an hour ago stays")
 		time.Sleep(24 * time.Hour)
 		for _, prefix := range []string{claim.Prefix, claim.BatchPrefix} {
 			left, err = table.Scan(t.Context(), prefix)
@@ -377,9 +377,9 @@
 	})
 }
 
-// TestInvariantAnswerStoredBeforeCallerHears: a repeat right after the answer,
-// through another node, gets the stored answer, as long as the table answers
-// in its usual time. A table that is slow or down holds no answer for longer
+// TestInvariantAnswerStoredBeforeCallerHears guards against a retry through another node,
+// right after the answer, that doesn't get the stored answer while the table replies in
+// its usual time, and against a slow or unavailable table that delays an answer by more
 // than AnswerWait.
 func TestInvariantAnswerStoredBeforeCallerHears(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
@@ -387,20 +387,20 @@
 		other := store(t, table, "n2")
 		for i := range 20 {
 			key := fmt.Sprint("k", i)
-			g, err := s.Claim(t.Context(), booking(key))
+			g, err := s.Claim(t.Context(), callWithKey(key))
 			require.NoError(t, err)
 			s.Finish(g.Held, claim.Answer{Status: 200})
-			again, err := other.Claim(t.Context(), booking(key))
+			again, err := other.Claim(t.Context(), callWithKey(key))
 			require.NoError(t, err)
 			require.NotNil(t, again.Stored)
 		}
-		g, err := s.Claim(t.Context(), booking("slow"))
+		g, err := s.Claim(t.Context(), callWithKey("slow"))
 		require.NoError(t, err)
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Hang: true} })
 		begin := time.Now()
 		s.Finish(g.Held, claim.Answer{Status: 200})
 		require.Equal(t, claims.DefaultAnswerWait, time.Since(begin))
 		table.SetFault(nil)
-		flush(t, s)
+		requireFlush(t, s)
 	})
 }
--- a/internal/claims/sweep.go
+++ b/internal/claims/sweep.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// sweepMinutes bounds the minutes swept in one period.
+	// sweepMinutes is the maximum number of minutes of claims swept per period.
 	sweepMinutes = 10
-	// sweepTimeout bounds each call of a sweep, which reads much.
+	// sweepTimeout bounds the sweep of one minute, which reads many rows.
 	sweepTimeout = 5 * time.Second
 )
 
-// sweepLoop removes old claims now and then. All nodes do; the random part of
-// the period and the cursor row keep them from doing it twice, which would do
-// no harm.
+// sweepLoop removes old claims periodically. All nodes do so; the random part of
+// the period and the cursor row avoid duplicate work, which would be harmless.
 func (s *Store) sweepLoop(ctx context.Context) {
 	for sleep(ctx, s.SweepPeriod/2+rand.N(s.SweepPeriod)) {
 		for range sweepMinutes {
@@ -34,7 +33,7 @@
 	}
 }
 
-// sweep removes the claims of the oldest minute that is due, and tells whether
+// sweep removes the claims of the oldest minute that is due, and reports whether
 // there was one.
 func (s *Store) sweep(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
@@ -66,7 +65,7 @@
 			return false, err
 		}
 		if !res.Committed {
-			return false, nil // somebody else sweeps, or a claim was made again
+			return false, nil // another node sweeps, or a call was claimed again
 		}
 		s.Metrics.change("swept")
 	}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -24,6 +24,7 @@
 //
 // # Usage
 //
-//	g := &gateway.Gateway{Pool: &http1.Pool{}, Picture: picture, Log: log, Zone: "dc1"}
+//	g := &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: "dc1", ...}
+//	g.Run(picker)
 //	server := &http1.Server{Handler: g}
 package gateway
