--- a/internal/owner/catalog.go
+++ b/internal/owner/catalog.go
@@ -8,23 +8,23 @@
 	"guavapaddle/core/ledger"
 )
 
-// catalog is what an owner needs of a configuration. It doesn't change.
+// catalog is the part of a configuration that an owner needs. It is immutable.
 type catalog struct {
-	servers  map[string]config.BackendServer // engines by name
-	costs    map[backend.Item]ledger.Cost
-	declared map[string]backend.Item // version that is to serve, by nameOf
-	loads    int                     // concurrent loads that the weight store bears
-	minStay  time.Duration           // of an item before it may be unloaded
+	servers      map[string]config.BackendServer // engine servers by name
+	costs        map[backend.Item]ledger.Cost
+	declared     map[string]backend.Item // declared version, by nameOf
+	maxLoads     int                     // maximum concurrent loads from the weight store
+	minResidence time.Duration           // minimum residence of an item before it may be unloaded
 }
 
 // newCatalog returns the catalog of a document.
 func newCatalog(doc config.Document) *catalog {
 	c := &catalog{
-		servers:  map[string]config.BackendServer{},
-		costs:    map[backend.Item]ledger.Cost{},
-		declared: map[string]backend.Item{},
-		loads:    doc.Limits.WeightLoads,
-		minStay:  time.Duration(doc.Placement.MinResidenceMS) * time.Millisecond,
+		servers:      map[string]config.BackendServer{},
+		costs:        map[backend.Item]ledger.Cost{},
+		declared:     map[string]backend.Item{},
+		maxLoads:     doc.Limits.WeightLoads,
+		minResidence: time.Duration(doc.Placement.MinResidenceMS) * time.Millisecond,
 	}
 	for _, s := range doc.Servers {
 		if s.Type == config.Engine {
@@ -48,16 +48,16 @@
 // cost returns the cost of an item, zero if it isn't declared.
 func (c *catalog) cost(i backend.Item) ledger.Cost { return c.costs[i] }
 
-// current tells whether an item is the version that is to serve.
-func (c *catalog) current(i backend.Item) bool { return c.declared[nameOf(i)] == i }
+// isCurrent reports whether an item is the declared version.
+func (c *catalog) isCurrent(i backend.Item) bool { return c.declared[nameOf(i)] == i }
 
-// replaces tells whether callers of item are served by other as well: by the
-// same version, by the one that is to serve, or by any if item is an old one.
+// replaces reports whether other can serve the callers of item: if it is the
+// same version or the declared one, or any version if item itself is outdated.
 func (c *catalog) replaces(other, item backend.Item) bool {
-	return nameOf(other) == nameOf(item) && (other.Version == item.Version || c.current(other) || !c.current(item))
+	return nameOf(other) == nameOf(item) && (other.Version == item.Version || c.isCurrent(other) || !c.isCurrent(item))
 }
 
-// settings returns the settings of a server's ledger.
+// settings returns the ledger settings of a server.
 func (c *catalog) settings(s config.BackendServer) ledger.Settings {
 	return ledger.Settings{
 		Server:   s.Name,
@@ -68,5 +68,6 @@
 	}
 }
 
-// nameOf returns what callers name: a model or an adapter of a model.
+// nameOf returns the version-independent key of a model or an adapter, as
+// addressed by callers.
 func nameOf(i backend.Item) string { return i.Base + "+" + i.Name }
--- a/internal/owner/claims.go
+++ b/internal/owner/claims.go
@@ -19,34 +19,34 @@
 	slotPrefix   = "owner/slot/"
 	unloadPrefix = "owner/unload/"
 
-	// slotTTL ends the claim of a load that its owner doesn't end, longer
-	// than any load takes.
+	// slotTTL expires the claim of a load that its owner did not release. It is
+	// longer than any load takes.
 	slotTTL = 30 * time.Second
-	// unloadTTL ends the claim of an unload likewise. A server's order
-	// lifetime is added.
+	// unloadTTL expires the claim of an unload that its owner did not release.
+	// The order lifetime of the server is added.
 	unloadTTL = time.Minute
-	// foreverTTL stands for the lifetime of orders that never end.
-	foreverTTL = 10 * time.Minute
-	// turn is how long a node keeps its static share of the slots.
-	turn = 15 * time.Second
+	// unlimitedTTL is the claim lifetime for servers whose orders never expire.
+	unlimitedTTL = 10 * time.Minute
+	// shareRotation is how long a node keeps its static share of the slots.
+	shareRotation = 15 * time.Second
 )
 
 type (
-	// claims makes claims in the table that expire: a claim whose row another
-	// node has seen unchanged for its time to live is that node's to take.
+	// claims manages expiring claims in the table. A node may take over a claim
+	// whose row it has observed unchanged for the claim's time to live.
 	claims struct {
-		o    *Owner
-		mu   sync.Mutex
-		seq  uint64
-		seen map[string]claimSight
+		o         *Owner
+		mu        sync.Mutex
+		seq       uint64
+		sightings map[string]sighting
 	}
 
-	claimSight struct {
+	sighting struct {
 		revision uint64
 		since    time.Duration
 	}
 
-	// claim is a row that was claimed; a zero claim has no row.
+	// claim identifies a claimed row; the zero claim has no row.
 	claim struct {
 		key      string
 		revision uint64
@@ -55,17 +55,17 @@
 	// claimValue is the value of a claim's row.
 	claimValue struct {
 		Token  string       `json:"token"`
-		For    string       `json:"for"` // for people
+		For    string       `json:"for"` // human-readable description
 		Server string       `json:"server"`
 		Item   backend.Item `json:"item"`
 		TTLMS  int64        `json:"ttl-ms"`
 	}
 )
 
-func newClaims(o *Owner) *claims { return &claims{o: o, seen: map[string]claimSight{}} }
+func newClaims(o *Owner) *claims { return &claims{o: o, sightings: map[string]sighting{}} }
 
-// acquire claims the first free one of keys. It returns false if none is free,
-// and the table's error if it doesn't answer.
+// acquire claims the first free key. It returns false if none is free, and the
+// table's error if the table is unavailable.
 func (c *claims) acquire(ctx context.Context, server string, item backend.Item, ttl time.Duration, keys ...string) (claim, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.o.CallTimeout)
 	defer cancel()
@@ -74,19 +74,20 @@
 		return claim{}, false, err
 	}
 	for _, r := range rows {
-		if !c.free(r) {
+		if !c.isFree(r) {
 			continue
 		}
-		got, ok, err := c.put(ctx, r, server, item, ttl)
+		acquired, ok, err := c.write(ctx, r, server, item, ttl)
 		if ok || err != nil {
-			return got, ok, err
+			return acquired, ok, err
 		}
 	}
 	return claim{}, false, nil
 }
 
-// put claims a row, reading back if the table's answer was lost.
-func (c *claims) put(ctx context.Context, r row.Row, server string, item backend.Item, ttl time.Duration) (claim, bool, error) {
+// write claims a row. If the outcome of the transaction is unknown, it reads the
+// row back.
+func (c *claims) write(ctx context.Context, r row.Row, server string, item backend.Item, ttl time.Duration) (claim, bool, error) {
 	token := c.token()
 	value, err := json.Marshal(claimValue{
 		Token: token, For: server + " " + item.String(), Server: server, Item: item, TTLMS: ttl.Milliseconds(),
@@ -110,19 +111,19 @@
 	return claim{key: r.Key, revision: rows[0].Revision}, ours, nil
 }
 
-// free tells whether a row is there to be claimed.
-func (c *claims) free(r row.Row) bool {
+// isFree reports whether a row can be claimed: it is absent, or its claim expired.
+func (c *claims) isFree(r row.Row) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Revision == 0 {
-		delete(c.seen, r.Key)
+		delete(c.sightings, r.Key)
 		return true
 	}
 	now := c.o.now()
-	s := c.seen[r.Key]
+	s := c.sightings[r.Key]
 	if s.revision != r.Revision {
-		s = claimSight{revision: r.Revision, since: now}
-		c.seen[r.Key] = s
+		s = sighting{revision: r.Revision, since: now}
+		c.sightings[r.Key] = s
 	}
 	var v claimValue
 	if json.Unmarshal(r.Value, &v) != nil {
@@ -131,7 +132,7 @@
 	return now-s.since >= time.Duration(v.TTLMS)*time.Millisecond
 }
 
-// release ends a claim; if that fails the claim expires.
+// release deletes a claim. If that fails, the claim expires later.
 func (c *claims) release(ctx context.Context, cl claim) {
 	if cl.key == "" {
 		return
@@ -144,9 +145,9 @@
 	}
 }
 
-// left returns the claims of unloads that earlier owners of a server made for
-// names and did not end.
-func (c *claims) left(ctx context.Context, server string, names []string) (map[backend.Item]claim, error) {
+// inheritedUnloads returns the unload claims on names that earlier owners of a
+// server made and did not release.
+func (c *claims) inheritedUnloads(ctx context.Context, server string, names []string) (map[backend.Item]claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.o.CallTimeout)
 	defer cancel()
 	keys := make([]string, len(names))
@@ -167,7 +168,7 @@
 	return found, nil
 }
 
-// token returns a value that no other claim has.
+// token returns a unique claim token.
 func (c *claims) token() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,11 +176,12 @@
 	return c.o.Node + "/" + c.o.Incarnation + "/" + strconv.FormatUint(c.seq, 10)
 }
 
-// share returns how many loads this node may run while the table is out: each
-// slot belongs to one of the live nodes at a time, which changes each turn.
-func (o *Owner) share(slots int) int {
+// slotShare returns how many loads this node may run while the table is
+// unavailable. Each slot is assigned to one live node at a time and reassigned
+// every shareRotation.
+func (o *Owner) slotShare(slots int) int {
 	ring := rendezvous.New(o.live(), xxhash.Sum64String)
-	round := strconv.FormatInt(time.Now().Unix()/int64(turn/time.Second), 10)
+	round := strconv.FormatInt(time.Now().Unix()/int64(shareRotation/time.Second), 10)
 	n := 0
 	for i := range slots {
 		if ring.Lookup(strconv.Itoa(i)+"/"+round) == o.Node {
@@ -189,7 +191,7 @@
 	return n
 }
 
-// slotKeys returns the keys of the weight store's slots.
+// slotKeys returns the table keys of n weight-store slots.
 func slotKeys(n int) []string {
 	keys := make([]string, n)
 	for i := range keys {
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -1,14 +1,15 @@
-// Package owner owns backend servers that run models: it decides which of them
-// this node should own, holds their leases, keeps their memory ledgers, gives
-// orders until each holds what it should, and publishes what it sees.
+// Package owner manages the backend servers that run models: it decides which of
+// them this node should own, holds their leases, keeps their memory ledgers, sends
+// load and unload orders until each server matches its plan, and publishes their
+// state.
 //
 // # Method
 //
-// The wanted owner of a server is the first of the live nodes by rendezvous
-// hashing. One goroutine, the keeper, renews the node's session and takes the
-// servers that it should own; another per server, the worker, polls the engine
-// and gives orders. Rules that keep memory and reachability safe are in
-// core/lease and core/ledger; docs/OWNERSHIP.md describes the whole.
+// Rendezvous hashing over the live nodes determines the wanted owner of each
+// server. Separate goroutines watch the clock, renew the node's session, and
+// acquire the servers that the node should own. One worker per owned server polls
+// the engine and sends orders. The rules that protect memory and reachability are
+// in core/lease and core/ledger; docs/OWNERSHIP.md describes the whole design.
 //
 // # Usage
 //
--- a/internal/owner/fake_test.go
+++ b/internal/owner/fake_test.go
@@ -26,62 +26,63 @@
 var errDown = errors.New("down")
 
 type (
-	// fakeTable is the table service in memory.
+	// fakeTable is an in-memory table service.
 	fakeTable struct {
-		mu       sync.Mutex
-		rows     map[string]row.Row
-		revision uint64
-		down     bool
-		mute     int // so many next transactions take effect and lose their answer
-		writes   int
+		mu          sync.Mutex
+		rows        map[string]row.Row
+		revision    uint64
+		down        bool
+		lostReplies int // number of next transactions that commit but lose their reply
+		writes      int
 	}
 
-	// fakeEngine never refuses for want of memory: it measures.
+	// fakeEngine records its peak memory use and never refuses a load for lack of
+	// memory.
 	fakeEngine struct {
 		name   string
 		checks bool
 		bytes  func(backend.Item) (bytes, peak int64)
 
-		mu      sync.Mutex
-		boot    int
-		fence   uint64
-		items   map[backend.Item]backend.ItemState
-		done    map[string]bool
-		used    int64
-		lose    int // so many next orders are accepted and never done
-		leaving bool
-		peak    int64
-		loading int
-		stale   int
-		late    time.Duration // orders take effect so much later
-		raised  func(uint64)  // called when the fence was raised
-		slow    time.Duration // from taking an inventory to its arrival
-		unloads []backend.Item
-		served  func() // called after each change
-	}
-
-	// cluster is a table, engines and nodes.
+		mu            sync.Mutex
+		boot          int
+		fence         uint64
+		items         map[backend.Item]backend.ItemState
+		done          map[string]bool
+		used          int64
+		lostOrders    int // number of next orders that are accepted but never carried out
+		leaving       bool
+		peak          int64
+		loading       int
+		staleOrders   int
+		orderDelay    time.Duration // delay until orders take effect
+		onFence       func(uint64)  // called after the fence is raised
+		stateDelay    time.Duration // delay between reading the state and returning it
+		unloadedItems []backend.Item
+		onChange      func() // called after each change
+	}
+
+	// cluster is a table service with engines and nodes.
 	cluster struct {
-		t       *testing.T
-		table   *fakeTable
-		engines map[string]*fakeEngine
-		doc     config.Document
-		nodes   []*node
-		old     []view.Server // what nodes know of servers, if not nil
+		t          *testing.T
+		table      *fakeTable
+		engines    map[string]*fakeEngine
+		doc        config.Document
+		nodes      []*node
+		staleViews []view.Server // stale views returned by known, if not nil
 	}
 
 	node struct {
 		*owner.Owner
-		c      *cluster
-		cancel context.CancelFunc
-		ended  chan struct{}
-		mu     sync.Mutex
-		frozen chan struct{} // calls wait while it is not nil
-		live   []string
-		cut    bool          // from the table
-		apart  bool          // from the engines
-		trap   chan struct{} // closed by the next order, which freezes the node
-		record chan struct{} // closed by the next order kept in a row, likewise
+		c              *cluster
+		cancel         context.CancelFunc
+		ended          chan struct{}
+		mu             sync.Mutex
+		frozen         chan struct{} // calls block while it is not nil
+		live           []string
+		tableCut       bool          // calls to the table fail
+		enginesCut     bool          // calls to the engines fail
+		freezeAtOrder  chan struct{} // closed by the next order, which freezes the node
+		freezeAtRecord chan struct{} // closed by the next order recorded in a row, which freezes the node
 	}
 
 	nodeTable struct{ n *node }
@@ -92,7 +93,7 @@
 	}
 )
 
-// wait returns when the node is not frozen.
+// wait blocks while the node is frozen.
 func (n *node) wait() {
 	n.mu.Lock()
 	ch := n.frozen
@@ -102,7 +103,7 @@
 	}
 }
 
-// freeze stops all calls of the node until it is thawed.
+// freeze blocks all calls of the node until thaw.
 func (n *node) freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,40 +119,40 @@
 	}
 }
 
-func (n *node) isCut() bool {
+func (n *node) isTableCut() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut
+	return n.tableCut
 }
 
-func (n *node) isApart() bool {
+func (n *node) areEnginesCut() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.apart
+	return n.enginesCut
 }
 
-// isolate cuts the node off from the table, the engines or both.
+// isolate makes the node's calls to the table, the engines or both fail.
 func (n *node) isolate(table, engines bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut, n.apart = table, engines
+	n.tableCut, n.enginesCut = table, engines
 }
 
-// setTrap lets the node's next order freeze it before it is sent; the returned
-// channel is closed then.
-func (n *node) setTrap() <-chan struct{} {
+// freezeBeforeOrder makes the node freeze immediately before it sends its next order. The
+// returned channel is closed at that moment.
+func (n *node) freezeBeforeOrder() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.trap = make(chan struct{})
-	return n.trap
+	n.freezeAtOrder = make(chan struct{})
+	return n.freezeAtOrder
 }
 
-func (n *node) spring(trap *chan struct{}) {
+func (n *node) freezeIfArmed(armed *chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if *trap != nil {
-		close(*trap)
-		*trap, n.frozen = nil, make(chan struct{})
+	if *armed != nil {
+		close(*armed)
+		*armed, n.frozen = nil, make(chan struct{})
 	}
 }
 
@@ -171,7 +172,7 @@
 	t.n.wait()
 	r, err := t.n.c.table.transact(t.n, tx)
 	if strings.Contains(string(tx.Writes[0].Value), `"order-id"`) {
-		t.n.spring(&t.n.record)
+		t.n.freezeIfArmed(&t.n.freezeAtRecord)
 		t.n.wait()
 	}
 	return r, err
@@ -180,12 +181,12 @@
 func (f *fakeTable) transact(n *node, tx row.Tx) (row.Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down || n.isCut() {
+	if f.down || n.isTableCut() {
 		return row.Result{}, &table.Error{Kind: table.Unavailable, Err: errDown}
 	}
 	r := f.commit(tx)
-	if f.mute > 0 {
-		f.mute--
+	if f.lostReplies > 0 {
+		f.lostReplies--
 		return row.Result{}, &table.Error{Kind: table.Uncertain, Err: errDown}
 	}
 	return r, nil
@@ -194,9 +195,9 @@
 func (f *fakeTable) commit(tx row.Tx) row.Result {
 	var r row.Result
 	for _, c := range tx.Conditions {
-		if have := f.rows[c.Key]; have.Revision != c.Revision {
-			have.Key = c.Key
-			r.Conflicts = append(r.Conflicts, have)
+		if current := f.rows[c.Key]; current.Revision != c.Revision {
+			current.Key = c.Key
+			r.Conflicts = append(r.Conflicts, current)
 		}
 	}
 	if len(r.Conflicts) > 0 {
@@ -218,7 +219,7 @@
 	f := t.n.c.table
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down || t.n.isCut() {
+	if f.down || t.n.isTableCut() {
 		return nil, &table.Error{Kind: table.Unavailable, Err: errDown}
 	}
 	out := make([]row.Row, len(keys))
@@ -231,19 +232,19 @@
 
 func (e nodeEngine) State(context.Context) (backend.State, error) {
 	e.n.wait()
-	if e.n.isApart() {
+	if e.n.areEnginesCut() {
 		return backend.State{}, &engine.Error{Kind: engine.NotSent}
 	}
 	e.e.mu.Lock()
-	s, slow := backend.State{Inventory: e.e.inventory(), Leaving: e.e.leaving}, e.e.slow
+	s, stateDelay := backend.State{Inventory: e.e.inventory(), Leaving: e.e.leaving}, e.e.stateDelay
 	e.e.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(stateDelay)
 	return s, nil
 }
 
 func (e nodeEngine) Fence(_ context.Context, fence uint64) (backend.Inventory, error) {
 	e.n.wait()
-	if e.n.isApart() {
+	if e.n.areEnginesCut() {
 		return backend.Inventory{}, &engine.Error{Kind: engine.NotSent}
 	}
 	e.e.mu.Lock()
@@ -251,20 +252,20 @@
 	if !e.e.raise(fence) {
 		return backend.Inventory{}, &engine.Error{Kind: engine.StaleFence, Fence: e.e.fence}
 	}
-	if e.e.raised != nil {
-		e.e.raised(fence)
+	if e.e.onFence != nil {
+		e.e.onFence(fence)
 	}
 	return e.e.inventory(), nil
 }
 
 func (e nodeEngine) Order(_ context.Context, o backend.Order) (bool, error) {
-	e.n.spring(&e.n.trap)
+	e.n.freezeIfArmed(&e.n.freezeAtOrder)
 	e.n.wait()
 	e.e.mu.Lock()
-	late := e.e.late
+	orderDelay := e.e.orderDelay
 	e.e.mu.Unlock()
-	if late > 0 {
-		go func() { time.Sleep(late); _, _ = e.e.do(o) }()
+	if orderDelay > 0 {
+		go func() { time.Sleep(orderDelay); _, _ = e.e.do(o) }()
 		return false, &engine.Error{Kind: engine.Lost}
 	}
 	return e.e.do(o)
@@ -279,24 +280,24 @@
 	case e.leaving:
 		return false, &engine.Error{Kind: engine.Leaving}
 	case !e.raise(o.Fence):
-		e.stale++
+		e.staleOrders++
 		return false, &engine.Error{Kind: engine.StaleFence, Fence: e.fence}
-	case e.lose > 0:
-		e.lose--
+	case e.lostOrders > 0:
+		e.lostOrders--
 		return false, nil
 	}
 	e.done[o.OrderID] = true
 	bytes, peak := e.bytes(o.Item)
 	if o.Op == backend.Unload {
-		if _, there := e.items[o.Item]; there {
+		if _, present := e.items[o.Item]; present {
 			e.used -= bytes
-			e.unloads = append(e.unloads, o.Item)
+			e.unloadedItems = append(e.unloadedItems, o.Item)
 		}
 		delete(e.items, o.Item)
-		e.served()
+		e.onChange()
 		return true, nil
 	}
-	if _, there := e.items[o.Item]; there {
+	if _, present := e.items[o.Item]; present {
 		return true, nil
 	}
 	e.items[o.Item] = backend.Loading
@@ -311,7 +312,7 @@
 			e.items[o.Item] = backend.Resident
 			e.used -= peak
 			e.loading--
-			e.served()
+			e.onChange()
 		}
 	})
 	return false, nil
@@ -345,36 +346,36 @@
 	e.items, e.done = map[backend.Item]backend.ItemState{}, map[string]bool{}
 }
 
-// set changes the engine under its lock.
+// set calls f with the engine's lock held.
 func (e *fakeEngine) set(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
 }
 
-// refused returns how many orders carried an old fencing number.
+// refused returns how many orders were refused for a stale fencing number.
 func (e *fakeEngine) refused() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.stale
+	return e.staleOrders
 }
 
-// unloaded returns how many items were unloaded.
+// unloaded returns how many items the engine has unloaded.
 func (e *fakeEngine) unloaded() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.unloads)
+	return len(e.unloadedItems)
 }
 
-// has tells whether an item serves.
+// has reports whether an item is resident.
 func (e *fakeEngine) has(i backend.Item) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.items[i] == backend.Resident
 }
 
-// newCluster declares servers of 100 bytes, and models a to f of 40 bytes with
-// a peak of 10 on top, so that any two fit, and three don't.
+// newCluster declares servers with 100 bytes for models, and models a to f of 40
+// bytes that need 10 more while loading. Any two models fit, three don't.
 func newCluster(t *testing.T, checks bool, servers int) *cluster {
 	c := &cluster{t: t, table: &fakeTable{rows: map[string]row.Row{}}, engines: map[string]*fakeEngine{}}
 	c.doc.Limits.WeightLoads = 2
@@ -383,7 +384,7 @@
 		c.doc.Servers = append(c.doc.Servers, config.BackendServer{Name: name, Address: name, Type: config.Engine,
 			MemoryBytes: 110, KVReserveBytes: 10, ChecksOrders: checks, OrderLifetimeMS: 30000, Slots: 4})
 		c.engines[name] = &fakeEngine{name: name, checks: checks, items: map[backend.Item]backend.ItemState{},
-			done: map[string]bool{}, bytes: func(backend.Item) (int64, int64) { return 40, 10 }, served: func() {}}
+			done: map[string]bool{}, bytes: func(backend.Item) (int64, int64) { return 40, 10 }, onChange: func() {}}
 	}
 	for _, m := range strings.Split("abcdef", "") {
 		c.doc.Models = append(c.doc.Models, config.Model{Name: m, Version: "1", Bytes: 40, LoadPeakBytes: 10})
@@ -393,7 +394,7 @@
 
 func model(name string) backend.Item { return backend.Item{Name: name, Version: "1"} }
 
-// start starts a node that believes in the given live nodes.
+// start starts a node with the given list of live nodes.
 func (c *cluster) start(name string, live ...string) *node {
 	n := &node{c: c, ended: make(chan struct{}), live: live}
 	n.Owner = &owner.Owner{
@@ -417,7 +418,7 @@
 	return n
 }
 
-// setLive changes whom the node believes to live.
+// setLive sets the node's list of live nodes.
 func (n *node) setLive(live ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -435,8 +436,8 @@
 
 // known returns the newest view of each server.
 func (c *cluster) known() []view.Server {
-	if c.old != nil {
-		return c.old
+	if c.staleViews != nil {
+		return c.staleViews
 	}
 	newest := map[string]view.Server{}
 	for _, n := range c.nodes {
@@ -453,7 +454,7 @@
 	return out
 }
 
-// owns returns the names of the servers of which the node has a view.
+// owns returns the names of the servers that the node publishes views of.
 func (n *node) owns() []string {
 	var out []string
 	for _, v := range n.Views() {
@@ -462,23 +463,23 @@
 	return out
 }
 
-// plan gives all nodes the plan of a server.
+// plan sets the plan of a server on all nodes.
 func (c *cluster) plan(server string, items ...backend.Item) {
 	for _, n := range c.nodes {
 		n.SetPlan(server, items)
 	}
 }
 
-// peaksFit demands that no engine was ever over its bytes.
-func (c *cluster) peaksFit() {
+// requirePeaksFit requires that no engine ever exceeded its memory.
+func (c *cluster) requirePeaksFit() {
 	c.t.Helper()
 	for _, e := range c.engines {
 		e.set(func() { require.LessOrEqual(c.t, e.peak, int64(100), e.name) })
 	}
 }
 
-// resident demands that an engine serves exactly these items.
-func (c *cluster) resident(server string, items ...backend.Item) {
+// requireResident requires that an engine serves exactly the given items.
+func (c *cluster) requireResident(server string, items ...backend.Item) {
 	c.t.Helper()
 	e := c.engines[server]
 	e.mu.Lock()
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -4,17 +4,17 @@
 
 const namespace = "guavapaddle"
 
-// Metrics counts what the owner decides. The caller registers Collectors.
+// Metrics holds the owner's metrics. The caller registers Collectors.
 type Metrics struct {
 	Orders   *prometheus.CounterVec // by op and result
-	Moves    *prometheus.CounterVec // by op: items that became resident or absent by order
-	Refused  *prometheus.CounterVec // by reason: orders that were not given
-	Leases   *prometheus.CounterVec // by event
-	Restarts prometheus.Counter     // engines seen with a new boot id
-	Memory   *prometheus.GaugeVec   // bytes by server and state held or free
+	Moves    *prometheus.CounterVec // items loaded or unloaded by order, by op
+	Refused  *prometheus.CounterVec // orders that were not sent, by reason
+	Leases   *prometheus.CounterVec // lease events, by event
+	Restarts prometheus.Counter     // engine restarts, detected by a new boot ID
+	Memory   *prometheus.GaugeVec   // bytes by server and state (held or free)
 }
 
-// NewMetrics returns counters at zero.
+// NewMetrics returns metrics that are not yet registered.
 func NewMetrics() *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: "owner", Name: name, Help: help}, labels)
@@ -31,12 +31,12 @@
 	}
 }
 
-// Collectors returns all metrics to register.
+// Collectors returns the collectors to register.
 func (m *Metrics) Collectors() []prometheus.Collector {
 	return []prometheus.Collector{m.Orders, m.Moves, m.Refused, m.Leases, m.Restarts, m.Memory}
 }
 
-// forget drops what is told of a server that is no longer owned.
+// forget deletes the gauges of a server that is no longer owned.
 func (m *Metrics) forget(server string) {
 	m.Memory.DeletePartialMatch(prometheus.Labels{"server": server})
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// callsToBump is after how many calls without effect a server that checks
-	// gets a new epoch, which makes the order void.
-	callsToBump = 3
-	// bumpPeriod is the shortest time between two such epochs.
-	bumpPeriod = 5 * time.Second
+	// sendsBeforeBump is the number of sends without effect after which a server
+	// that checks fencing numbers gets a new epoch, which voids the order.
+	sendsBeforeBump = 3
+	// minBumpInterval is the minimum time between two such epochs.
+	minBumpInterval = 5 * time.Second
 )
 
-// act gives the orders that bring the server closer to its plan.
-func (w *worker) act(ctx context.Context) {
-	if !w.fenced && !w.refence(ctx) {
+// sendOrders sends the orders that bring the server closer to its plan.
+func (w *worker) sendOrders(ctx context.Context) {
+	if !w.fenced && !w.raiseFence(ctx) {
 		return
 	}
 	want := w.o.plan(w.name)
 	if w.resendOverdue(ctx, want) {
-		return // a new epoch: the inventory is read first
+		return // the epoch changed, so the inventory must be read first
 	}
 	for _, item := range want {
-		if w.ledger.Entry(item).State != ledger.Absent || w.resting(item) {
+		if w.ledger.Entry(item).State != ledger.Absent || w.inCooldown(item) {
 			continue
 		}
 		if reason := w.load(ctx, item); reason == Reason(ledger.NoMemory) && w.makeRoom(ctx, item, want) {
-			break // what follows must not take the bytes
+			break // less important items must not take the freed memory
 		}
 	}
 	w.unloadStale(ctx, want)
-	w.cleanRow(ctx)
+	w.clearRecords(ctx)
 }
 
-// refence raises the fence in a new boot of the engine, under a running lease.
-func (w *worker) refence(ctx context.Context) bool {
+// raiseFence raises the fence on a restarted engine. It needs a valid lease.
+func (w *worker) raiseFence(ctx context.Context) bool {
 	running, _ := w.o.mayOrder(w.name)
 	if !running {
 		w.o.Metrics.refused(Restarted)
@@ -54,18 +54,18 @@
 	began, epoch := w.o.now(), w.ledger.Epoch()
 	inv, err := w.inventory(ctx, epoch)
 	if err != nil {
-		w.overtaken(ctx, err, epoch)
+		w.handleStaleFence(ctx, err, epoch)
 		return false
 	}
 	if w.ledger.Observe(began, w.o.now(), inv) {
-		w.restarted()
+		w.reportRestart()
 		return false
 	}
 	w.fenced = true
 	return true
 }
 
-// load orders an item to be loaded, or tells why not.
+// load sends an order to load an item. It returns the reason if it sends none.
 func (w *worker) load(ctx context.Context, item backend.Item) Reason {
 	cost, ok := w.catalog.costs[item]
 	if !ok {
@@ -74,61 +74,61 @@
 	order, err := w.ledger.Reserve(w.o.now(), backend.Load, item, cost, nil)
 	if reasonOf(err) == Reason(ledger.NoMemory) {
 		w.o.Metrics.refused(Reason(ledger.NoMemory))
-		return Reason(ledger.NoMemory) // makeRoom says more
+		return Reason(ledger.NoMemory) // makeRoom logs the details
 	}
 	if err != nil {
 		return w.refuse(item, backend.Load, reasonOf(err))
 	}
-	slot, ok := w.slot(ctx, item)
+	slotClaim, ok := w.slotClaim(ctx, item)
 	if !ok {
 		w.ledger.Cancel(w.o.now(), order.OrderID)
 		return w.refuse(item, backend.Load, NoSlot)
 	}
-	w.slots[item] = slot
+	w.slots[item] = slotClaim
 	return w.send(ctx, order)
 }
 
-// slot claims one of the weight store's slots, or takes one of the node's
-// static share while the table is out.
-func (w *worker) slot(ctx context.Context, item backend.Item) (claim, bool) {
-	if w.catalog.loads <= 0 {
+// slotClaim claims one of the weight store's slots. While the table is
+// unavailable, it uses the node's static share instead.
+func (w *worker) slotClaim(ctx context.Context, item backend.Item) (claim, bool) {
+	if w.catalog.maxLoads <= 0 {
 		return claim{}, true
 	}
-	got, ok, err := w.o.claims.acquire(ctx, w.name, item, slotTTL, slotKeys(w.catalog.loads)...)
+	got, ok, err := w.o.claims.acquire(ctx, w.name, item, slotTTL, slotKeys(w.catalog.maxLoads)...)
 	if err != nil {
-		return claim{}, w.o.loading() < w.o.share(w.catalog.loads)
+		return claim{}, w.o.loadingCount() < w.o.slotShare(w.catalog.maxLoads)
 	}
 	return got, ok
 }
 
-// send sends an order that the ledger allowed, if the lease allows it.
+// send sends an order that the ledger has reserved, if the lease permits it.
 func (w *worker) send(ctx context.Context, order backend.Order) Reason {
-	reason := w.prepare(ctx)
+	reason := w.recordIfUnchecked(ctx)
 	if reason == allowed {
-		reason = w.permit(ctx) // immediately before the send
+		reason = w.checkLease(ctx) // checked immediately before the send
 	}
 	if reason != allowed {
 		w.ledger.Cancel(w.o.now(), order.OrderID)
-		w.endUnsent(ctx, order)
+		w.releaseUnsent(ctx, order)
 		return w.refuse(order.Item, order.Op, reason)
 	}
 	w.orders[order.Item] = order
 	w.ledger.Sending(w.o.now(), order.OrderID)
-	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.o.CallTimeout)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.o.CallTimeout)
 	defer cancel()
-	done, err := w.engine.Order(call, order)
-	w.ledger.RecordResult(w.o.now(), order.OrderID, answerOf(err))
-	w.note(order, done, err)
+	done, err := w.engine.Order(callCtx, order)
+	w.ledger.RecordResult(w.o.now(), order.OrderID, callResult(err))
+	w.logResult(order, done, err)
 	if err != nil {
-		w.rest[order.Item] = w.o.now() + retryAfter
-		w.failed(ctx, err)
+		w.cooldownEnd[order.Item] = w.o.now() + retryDelay
+		w.handleOrderError(ctx, err)
 	}
-	delete(w.said, order.Item)
+	delete(w.lastRefusal, order.Item)
 	return allowed
 }
 
-// note logs and counts the answer to an order.
-func (w *worker) note(order backend.Order, done bool, err error) {
+// logResult logs and counts the result of an order.
+func (w *worker) logResult(order backend.Order, done bool, err error) {
 	result := "accepted"
 	if done {
 		result = "done"
@@ -143,36 +143,38 @@
 		zap.Int64("free-bytes", w.ledger.Free()), zap.Error(err))
 }
 
-// failed draws conclusions from an order that was refused.
-func (w *worker) failed(ctx context.Context, err error) {
+// handleOrderError updates the worker's state after an order was refused.
+func (w *worker) handleOrderError(ctx context.Context, err error) {
 	switch engine.KindOf(err) {
 	case engine.StaleFence:
-		w.overtaken(ctx, err, w.ledger.Epoch())
+		w.handleStaleFence(ctx, err, w.ledger.Epoch())
 	case engine.Leaving:
 		if !w.leaving {
-			w.left()
+			w.markLeaving()
 		}
 	}
 }
 
-// prepare keeps the order in the row of a server that doesn't check.
-func (w *worker) prepare(ctx context.Context) Reason {
+// recordIfUnchecked records the order in the row of a server that doesn't check fencing
+// numbers.
+func (w *worker) recordIfUnchecked(ctx context.Context) Reason {
 	if w.server.ChecksOrders {
 		return allowed
 	}
 	if running, _ := w.o.mayOrder(w.name); !running {
 		return NoLease
 	}
-	if !w.keepRecords(ctx) {
+	if !w.writeRecords(ctx) {
 		return NotRecorded
 	}
 	return allowed
 }
 
-// permit tells whether an order may be sent now. While the table is out, the
-// owner of a server that checks goes on under its last epoch, if the engine
-// confirms that nobody has raised the fence above it and has not restarted.
-func (w *worker) permit(ctx context.Context) Reason {
+// checkLease decides whether an order may be sent now. While the table is
+// unavailable, the owner of a server that checks fencing numbers continues under
+// its last epoch, provided that the engine confirms that the fence was not raised
+// above that epoch and that it has not restarted.
+func (w *worker) checkLease(ctx context.Context) Reason {
 	running, outage := w.o.mayOrder(w.name)
 	if running {
 		return allowed
@@ -185,7 +187,7 @@
 	inv, err := w.inventory(ctx, epoch)
 	switch {
 	case engine.KindOf(err) == engine.StaleFence:
-		w.o.drop(w.name)
+		w.o.markLost(w.name)
 		return Rival
 	case err != nil:
 		return Unreachable
@@ -196,20 +198,21 @@
 	return allowed
 }
 
-// keepRecords keeps all unsettled orders in the server's row.
-func (w *worker) keepRecords(ctx context.Context) bool {
+// writeRecords writes all unsettled orders to the server's row.
+func (w *worker) writeRecords(ctx context.Context) bool {
 	orders, err := encodeRecords(w.ledger.Records())
-	return err == nil && w.o.record(ctx, w.name, orders)
+	return err == nil && w.o.recordOrders(ctx, w.name, orders)
 }
 
-// cleanRow drops settled orders from the row of a server that doesn't check.
-func (w *worker) cleanRow(ctx context.Context) {
-	if !w.server.ChecksOrders && len(w.ledger.Records()) == 0 && len(w.o.row(w.name).Orders) > 0 {
-		w.keepRecords(ctx)
+// clearRecords removes settled orders from the row of a server that doesn't check
+// fencing numbers.
+func (w *worker) clearRecords(ctx context.Context) {
+	if !w.server.ChecksOrders && len(w.ledger.Records()) == 0 && len(w.o.leaseRow(w.name).Orders) > 0 {
+		w.writeRecords(ctx)
 	}
 }
 
-// encodeRecords returns nil for none.
+// encodeRecords encodes records as JSON. It returns nil if there are none.
 func encodeRecords(records []ledger.Record) (json.RawMessage, error) {
 	if len(records) == 0 {
 		return nil, nil
@@ -217,17 +220,18 @@
 	return json.Marshal(records)
 }
 
-// resendOverdue sends orders without effect again. On a server that checks, an
-// order that several calls could not settle, or that is no longer wanted and
-// may yet arrive, is made void by a new epoch; then it returns true.
+// resendOverdue resends orders that have shown no effect. On a server that checks
+// fencing numbers, an order that several sends have not settled, or that is no
+// longer wanted but may still arrive, is voided by acquiring a new epoch. It
+// returns true if the epoch changed.
 func (w *worker) resendOverdue(ctx context.Context, want []backend.Item) bool {
 	for _, e := range w.ledger.Overdue(w.o.now(), w.o.Patience) {
 		wanted := e.Order.Op == backend.Unload || slices.Contains(want, e.Item)
-		if w.server.ChecksOrders && (e.Sends >= callsToBump || !wanted) && w.bump(ctx) {
+		if w.server.ChecksOrders && (e.Sends >= sendsBeforeBump || !wanted) && w.bump(ctx) {
 			return true
 		}
 		if !wanted && !w.server.ChecksOrders {
-			continue // its lifetime settles it
+			continue // the order expires after its lifetime
 		}
 		if order, ok := w.ledger.Resend(e.Item); ok {
 			w.send(ctx, order)
@@ -236,21 +240,22 @@
 	return false
 }
 
-// bump takes the server again with the next epoch.
+// bump acquires the server again with a higher epoch. It reports whether the
+// epoch changed.
 func (w *worker) bump(ctx context.Context) bool {
 	now := w.o.now()
 	running, _ := w.o.mayOrder(w.name)
-	if !running || (w.bumped != 0 && now-w.bumped < bumpPeriod) {
+	if !running || (w.lastBump != 0 && now-w.lastBump < minBumpInterval) {
 		return false
 	}
-	w.bumped = now
-	w.o.take(ctx, w.name, 0)
+	w.lastBump = now
+	w.o.acquire(ctx, w.name, 0)
 	epoch, held := w.o.epochOf(w.name)
 	return held && epoch != w.ledger.Epoch()
 }
 
-// makeRoom unloads what is not wanted until an item fits. It returns false if
-// that can't succeed.
+// makeRoom unloads items outside the plan until the given item fits. It returns
+// false if the item can't be made to fit.
 func (w *worker) makeRoom(ctx context.Context, item backend.Item, want []backend.Item) bool {
 	cost := w.catalog.cost(item)
 	missing := cost.Bytes + cost.Peak - w.ledger.Free()
@@ -258,7 +263,7 @@
 	for _, e := range w.ledger.Entries() {
 		switch {
 		case e.Order.Op == backend.Unload || e.State == ledger.Unloading:
-			missing -= e.ReservedBytes() // on its way out
+			missing -= e.ReservedBytes() // already being unloaded
 		case w.evictable(e, want):
 			candidates = append(candidates, e)
 		}
@@ -288,12 +293,12 @@
 	return missing <= 0
 }
 
-// evictOrder puts old versions first, then adapters, then what is there for
-// longest.
+// evictOrder sorts outdated versions first, then adapters, then the items that
+// have been resident longest.
 func (w *worker) evictOrder(a, b ledger.Entry) int {
 	rank := func(e ledger.Entry) int {
 		switch {
-		case !w.catalog.current(e.Item):
+		case !w.catalog.isCurrent(e.Item):
 			return 0
 		case e.Item.Base != "":
 			return 1
@@ -303,56 +308,57 @@
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Since, b.Since))
 }
 
-// evictable tells whether an item may be unloaded to make room.
+// evictable reports whether an item may be unloaded to make room.
 func (w *worker) evictable(e ledger.Entry, want []backend.Item) bool {
-	if e.State != ledger.Resident || e.Order.OrderID != "" || w.resting(e.Item) {
+	if e.State != ledger.Resident || e.Order.OrderID != "" || w.inCooldown(e.Item) {
 		return false
 	}
 	for _, i := range want {
-		if i == e.Item || (i.Base != "" && i.Base == e.Item.Name && w.catalog.current(e.Item)) {
+		if i == e.Item || (i.Base != "" && i.Base == e.Item.Name && w.catalog.isCurrent(e.Item)) {
 			return false
 		}
 	}
-	young := e.Since > w.adopted && w.o.now()-e.Since < w.catalog.minStay
-	return !w.catalog.current(e.Item) || !young
+	isRecent := e.Since > w.adoptedAt && w.o.now()-e.Since < w.catalog.minResidence
+	return !w.catalog.isCurrent(e.Item) || !isRecent
 }
 
-// unloadStale unloads versions that are no longer declared.
+// unloadStale unloads evictable versions that are no longer declared.
 func (w *worker) unloadStale(ctx context.Context, want []backend.Item) {
 	for _, e := range w.ledger.Entries() {
-		if !w.catalog.current(e.Item) && w.evictable(e, want) {
+		if !w.catalog.isCurrent(e.Item) && w.evictable(e, want) {
 			w.unload(ctx, e.Item)
 		}
 	}
 }
 
-// refuse notes why an order was not given. A reason is logged once until it
-// changes.
+// refuse counts an order that was not sent and starts the item's cooldown. A
+// reason is logged only when it changes.
 func (w *worker) refuse(item backend.Item, op backend.Op, r Reason) Reason {
 	w.o.Metrics.refused(r)
-	w.rest[item] = w.o.now() + retryAfter
-	if w.said[item] != r {
-		w.said[item] = r
-		w.log.Info("order not given", zap.Uint64("epoch", w.ledger.Epoch()), zap.Stringer("item", item),
+	w.cooldownEnd[item] = w.o.now() + retryDelay
+	if w.lastRefusal[item] != r {
+		w.lastRefusal[item] = r
+		w.log.Info("order not sent", zap.Uint64("epoch", w.ledger.Epoch()), zap.Stringer("item", item),
 			zap.String("op", string(op)), zap.String("reason", string(r)), zap.Int64("free-bytes", w.ledger.Free()))
 	}
 	return r
 }
 
-// resting tells whether an item was refused lately.
-func (w *worker) resting(item backend.Item) bool { return w.o.now() < w.rest[item] }
+// inCooldown reports whether an item waits for its retry delay to pass.
+func (w *worker) inCooldown(item backend.Item) bool { return w.o.now() < w.cooldownEnd[item] }
 
-// endUnsent ends the claims of an order that was not sent, unless an earlier
-// call carried it.
-func (w *worker) endUnsent(ctx context.Context, order backend.Order) {
+// releaseUnsent releases the claims of an order that was not sent, unless an
+// earlier call sent it.
+func (w *worker) releaseUnsent(ctx context.Context, order backend.Order) {
 	if w.ledger.Entry(order.Item).Order.OrderID == order.OrderID {
 		return
 	}
-	w.endClaim(ctx, w.slots, order.Item)
-	w.endClaim(ctx, w.unloads, order.Item)
+	w.releaseClaim(ctx, w.slots, order.Item)
+	w.releaseClaim(ctx, w.unloads, order.Item)
 }
 
-// staleFence returns the highest fencing number that the engine has seen.
+// staleFence returns the highest fencing number that the engine has seen, or zero
+// if err doesn't carry it.
 func staleFence(err error) uint64 {
 	if e, ok := errors.AsType[*engine.Error](err); ok {
 		return e.Fence
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -20,95 +20,97 @@
 const (
 	// DefaultPoll is the time between two polls of an engine.
 	DefaultPoll = 250 * time.Millisecond
-	// DefaultQuietPoll is the time between two polls of an engine that answers
-	// and has nothing to do for its owner.
+	// DefaultQuietPoll is the time between two polls of a reachable engine that
+	// matches its plan and has no order in progress.
 	DefaultQuietPoll = time.Second
-	// DefaultTick is the time between two ticks of the keeper.
+	// DefaultTick is the period of the loops that renew the session and acquire
+	// servers.
 	DefaultTick = 200 * time.Millisecond
 	// DefaultHandOver is how long another node must be the wanted owner
 	// before a server is handed over.
 	DefaultHandOver = time.Second
-	// DefaultPatience is the time after which an order without effect is
-	// sent again.
+	// DefaultPatience is the time after which an order that has shown no effect
+	// is sent again.
 	DefaultPatience = 2 * time.Second
 	// DefaultCallTimeout bounds each call to an engine or to the table.
 	DefaultCallTimeout = 2 * time.Second
 )
 
 type (
-	// Table is the table service. Its errors are sorted by table.KindOf.
+	// Table is the table service. Its errors are classified by table.KindOf.
 	Table interface {
 		Transact(ctx context.Context, tx row.Tx) (row.Result, error)
 		Read(ctx context.Context, keys ...string) ([]row.Row, error)
 	}
 
-	// Engine is one model engine. Its errors are sorted by engine.KindOf.
+	// Engine is one model engine. Its errors are classified by engine.KindOf.
 	Engine interface {
 		State(ctx context.Context) (backend.State, error)
 		Fence(ctx context.Context, fence uint64) (backend.Inventory, error)
 		Order(ctx context.Context, o backend.Order) (done bool, err error)
 	}
 
-	// Owner owns backend servers. Its exported fields are set before Run;
-	// callbacks must not block and are made without locks held.
+	// Owner manages backend servers. Exported fields are set before Run.
+	// Callbacks must not block; they are called without locks held.
 	Owner struct {
 		Node        string
 		Incarnation string // unique to this start of the node
 		Table       Table
-		Engine      func(address string) Engine // called once for each address in use
-		// Live returns the names of the live nodes. A node that is not among
-		// them, as one that is stopping, hands its servers over.
+		Engine      func(address string) Engine // called once per address
+		// Live returns the names of the live nodes. A node that is not listed,
+		// for example because it is stopping, hands over its servers.
 		Live func() []string
 
-		// Known returns what is known of all servers, to find other copies of
-		// an item; LastCopy may veto an unload. Without both nothing that is
-		// declared is unloaded.
+		// Known returns the views of all servers and is used to find other
+		// copies of an item. LastCopy may veto an unload. If both are nil,
+		// declared items are never unloaded.
 		Known    func() []view.Server
 		LastCopy func(item backend.Item, server string) bool
 
-		// Occupancy tells what the dispatcher has on a server; may be nil.
+		// Occupancy returns the dispatcher's load on a server; may be nil.
 		Occupancy func(server string) (running, queued, slots int, waitMS int64)
-		OnRestart func(server string) // the engine has a new boot id; may be nil
-		OnLeaving func(server string) // the engine said that it is leaving; may be nil
+		OnRestart func(server string) // called when the engine has a new boot ID; may be nil
+		OnLeaving func(server string) // called when the engine announces that it is leaving; may be nil
 
-		Log     *zap.Logger // nil: no log
-		Metrics *Metrics    // nil: not counted
+		Log     *zap.Logger // nil disables logging
+		Metrics *Metrics    // nil disables metrics
 
-		Lease       lease.Settings // TTL, Margin and MaxPause; names are filled in
-		Poll        time.Duration  // DefaultPoll if zero, each jittered by a fifth
-		QuietPoll   time.Duration  // DefaultQuietPoll if zero, but never below Poll
+		Lease       lease.Settings // TTL, Margin and MaxPause; Node and Incarnation are filled in
+		Poll        time.Duration  // DefaultPoll if zero; each interval is jittered by 20%
+		QuietPoll   time.Duration  // DefaultQuietPoll if zero; at least Poll
 		Tick        time.Duration  // DefaultTick if zero
 		HandOver    time.Duration  // DefaultHandOver if zero
 		Patience    time.Duration  // DefaultPatience if zero
 		CallTimeout time.Duration  // DefaultCallTimeout if zero
 
-		epoch    time.Time // monotonic times count from here
-		once     sync.Once
-		claims   *claims
-		division division   // of the loop that takes servers
-		mu       sync.Mutex // guards all below
-		book     *lease.Registry
-		catalog  *catalog
-		version  uint64
-		workers  map[string]*worker
-		plans    map[string][]backend.Item
-		views    map[string]view.Server
-		engines  map[string]Engine
-		unowned  map[string]time.Duration // since when another node is the wanted owner
-		down     bool                     // the last call to the table failed
-		looked   time.Duration            // when free servers were last looked for
-		held     map[string]uint64        // epochs already logged as acquired
+		epoch         time.Time // origin of monotonic times
+		once          sync.Once
+		claims        *claims
+		assignment    assignment // used only by the loop that acquires servers
+		mu            sync.Mutex // guards the fields below
+		registry      *lease.Registry
+		catalog       *catalog
+		version       uint64
+		workers       map[string]*worker
+		plans         map[string][]backend.Item
+		views         map[string]view.Server
+		engines       map[string]Engine
+		unwantedSince map[string]time.Duration // when another node became the wanted owner
+		tableDown     bool                     // the last call to the table failed
+		searchedAt    time.Duration            // last search for free servers
+		held          map[string]uint64        // epochs already logged as acquired
 	}
 
-	// division is which servers the node should own, and from what this follows.
-	division struct {
-		live   []string
-		known  *catalog
-		wanted map[string]bool
+	// assignment is the set of servers that the node should own, and the inputs
+	// from which it was computed.
+	assignment struct {
+		live           []string
+		currentCatalog *catalog
+		wanted         map[string]bool
 	}
 )
 
-// init fills in defaults.
+// init sets defaults and allocates state on first use.
 func (o *Owner) init() {
 	o.once.Do(func() {
 		setDefault(&o.Poll, DefaultPoll)
@@ -126,14 +128,14 @@
 		}
 		o.epoch = time.Now()
 		o.Lease.Node, o.Lease.Incarnation = o.Node, o.Incarnation
-		o.book = lease.NewRegistry(o.Lease)
+		o.registry = lease.NewRegistry(o.Lease)
 		o.catalog = newCatalog(config.Document{})
 		o.claims = newClaims(o)
 		o.workers = map[string]*worker{}
 		o.plans = map[string][]backend.Item{}
 		o.views = map[string]view.Server{}
 		o.engines = map[string]Engine{}
-		o.unowned = map[string]time.Duration{}
+		o.unwantedSince = map[string]time.Duration{}
 		o.held = map[string]uint64{}
 	})
 }
@@ -144,11 +146,11 @@
 	}
 }
 
-// now returns the monotonic time since the owner was made.
+// now returns the monotonic time since the owner was initialized.
 func (o *Owner) now() time.Duration { return time.Since(o.epoch) }
 
-// SetDocument sets the configuration in force. Lower versions than the one
-// in force are passed over.
+// SetDocument sets the configuration in force. Versions lower than the current
+// one are ignored.
 func (o *Owner) SetDocument(doc config.Document, version uint64) {
 	o.init()
 	o.mu.Lock()
@@ -163,8 +165,8 @@
 }
 
 // SetPlan sets the items that a server should hold, most important first. A
-// model goes before its adapters. Items that are not wanted are unloaded only
-// when their bytes are needed or when they are no longer declared.
+// model precedes its adapters. Items outside the plan are unloaded only when
+// their memory is needed or when they are no longer declared.
 func (o *Owner) SetPlan(server string, want []backend.Item) {
 	o.init()
 	o.mu.Lock()
@@ -175,8 +177,7 @@
 	o.plans[server] = slices.Clone(want)
 }
 
-// Views returns what the owner sees of each server that it owns, ordered by
-// name.
+// Views returns the current view of each owned server, ordered by name.
 func (o *Owner) Views() []view.Server {
 	o.init()
 	o.mu.Lock()
@@ -194,16 +195,16 @@
 	return out
 }
 
-// Run owns servers until ctx ends; then it finishes calls under way, releases
-// all servers and returns.
+// Run manages servers until ctx ends. It then waits for calls in progress,
+// releases all servers and returns.
 func (o *Owner) Run(ctx context.Context) {
 	o.init()
 	var loops sync.WaitGroup
 	loops.Go(func() { every(ctx, o.Tick, o.tick) })
-	loops.Go(func() { every(ctx, o.Tick, func() { o.renewDue(ctx) }) })
+	loops.Go(func() { every(ctx, o.Tick, func() { o.renewIfDue(ctx) }) })
 	loops.Go(func() {
 		every(ctx, o.Tick, func() {
-			o.keep(ctx)
+			o.reconcile(ctx)
 			for _, w := range o.newWorkers() {
 				loops.Go(func() { w.run(ctx) })
 			}
@@ -213,43 +214,44 @@
 	o.releaseAll(context.WithoutCancel(ctx))
 }
 
-// alarm returns a timer that fills ring after d, which is not zero, and after
-// each Reset. A timer that is due when it is set, or whose own channel is in a
-// select, runs on the setter's stack; with the race detector in fake time that
-// crashes the runtime of Go 1.26 now and then.
-func alarm(d time.Duration, ring chan struct{}) *time.Timer {
+// newSignalTimer returns a timer that sends to fired after d and after each Reset.
+// The duration d must not be zero. A timer that is already due when set, or whose
+// own channel is used in a select, runs on the setter's stack; with the race
+// detector in fake time, this occasionally crashes the Go 1.26 runtime.
+func newSignalTimer(d time.Duration, fired chan struct{}) *time.Timer {
 	return time.AfterFunc(d, func() {
 		select {
-		case ring <- struct{}{}:
+		case fired <- struct{}{}:
 		default:
 		}
 	})
 }
 
-// every calls f at once and then each period after it returned, until ctx ends.
+// every calls f immediately and then again one period after each return, until
+// ctx ends.
 func every(ctx context.Context, period time.Duration, f func()) {
 	f()
-	ring := make(chan struct{}, 1)
-	timer := alarm(period, ring)
+	fired := make(chan struct{}, 1)
+	timer := newSignalTimer(period, fired)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ring:
+		case <-fired:
 		}
 		f()
 		timer.Reset(period)
 	}
 }
 
-// newWorkers returns workers for servers that are held and have none yet.
+// newWorkers creates workers for held servers that have none.
 func (o *Owner) newWorkers() []*worker {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []*worker
 	for name := range o.catalog.servers {
-		if _, held := o.book.Held(name); held && o.workers[name] == nil {
+		if _, held := o.registry.Held(name); held && o.workers[name] == nil {
 			w := newWorker(o, name)
 			o.workers[name] = w
 			out = append(out, w)
@@ -258,11 +260,12 @@
 	return out
 }
 
-// retire removes the worker of a server unless the server is held again.
-func (o *Owner) retire(server string) bool {
+// removeWorker removes the worker of a server. It returns false, changing nothing,
+// if the server is held again.
+func (o *Owner) removeWorker(server string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, held := o.book.Held(server); held {
+	if _, held := o.registry.Held(server); held {
 		return false
 	}
 	delete(o.workers, server)
@@ -271,8 +274,8 @@
 	return true
 }
 
-// known returns what the configuration in force declares.
-func (o *Owner) known() *catalog {
+// currentCatalog returns the catalog of the configuration in force.
+func (o *Owner) currentCatalog() *catalog {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.catalog
@@ -285,7 +288,7 @@
 	return o.plans[server]
 }
 
-// engine returns the client for an address.
+// engine returns the client for an address, creating it on first use.
 func (o *Owner) engine(address string) Engine {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -297,7 +300,7 @@
 	return e
 }
 
-// jitter returns d changed by up to a fifth either way.
+// jitter returns d varied randomly by up to 20% in either direction.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
--- a/internal/owner/reason.go
+++ b/internal/owner/reason.go
@@ -7,36 +7,36 @@
 	"guavapaddle/io/engine"
 )
 
-// Reason tells why the owner did not give an order; it is a label of
-// Metrics.Refused, as are the reasons of core/ledger.
+// Reason is the reason why the owner did not send an order. Together with the
+// reasons of core/ledger, it is a label value of Metrics.Refused.
 type Reason string
 
 const (
-	// NoLease means that the lease doesn't run.
+	// NoLease means that the lease is not valid.
 	NoLease Reason = "lease"
 	// Rival means that the engine has seen a higher fencing number.
 	Rival Reason = "rival"
-	// Unreachable means that the engine doesn't answer.
+	// Unreachable means that the engine didn't answer.
 	Unreachable Reason = "unreachable"
-	// Restarted means that the engine has a new boot id and its fence is not
+	// Restarted means that the engine has a new boot ID and its fence has not been
 	// raised since.
 	Restarted Reason = "restarted"
-	// NotRecorded means that the order could not be kept in the table.
+	// NotRecorded means that the order could not be recorded in the table.
 	NotRecorded Reason = "not-recorded"
-	// NoSlot means that the weight store is taken up by other loads.
+	// NoSlot means that other loads occupy all slots of the weight store.
 	NoSlot Reason = "no-slot"
 	// Undeclared means that the item is not in the configuration.
 	Undeclared Reason = "undeclared"
-	// Claimed means that another copy of the item is being unloaded, or that
-	// the table can't tell.
+	// Claimed means that another copy of the item is being unloaded, or that the
+	// table could not rule it out.
 	Claimed Reason = "claimed"
-	// Protected means that no unload may make room.
+	// Protected means that no permitted unload would free enough memory.
 	Protected Reason = "protected"
 
 	allowed Reason = ""
 )
 
-// reasonOf returns the reason inside an error of core/ledger.
+// reasonOf returns the reason carried by an error of core/ledger.
 func reasonOf(err error) Reason {
 	if r, ok := errors.AsType[*ledger.RefusalError](err); ok {
 		return Reason(r.Reason)
@@ -44,8 +44,8 @@
 	return Reason("unknown")
 }
 
-// answerOf tells what an engine's answer means for the order.
-func answerOf(err error) ledger.CallResult {
+// callResult maps the error of an order call to the ledger's result.
+func callResult(err error) ledger.CallResult {
 	switch engine.KindOf(err) {
 	case "":
 		return ledger.Accepted
--- a/internal/owner/unload.go
+++ b/internal/owner/unload.go
@@ -12,12 +12,12 @@
 	"guavapaddle/core/ledger"
 )
 
-// unload orders an item to be unloaded, or tells why not.
+// unload sends an order to unload an item. It returns the reason if it sends none.
 //
-// Two owners that each see the other's copy could unload both. So whoever
-// unloads something that is declared first claims its name in the table, and
-// then asks the engine that has another copy, not the views. The claim stays
-// until the order is settled.
+// Two owners that each see the other's copy could unload both. To prevent this,
+// the owner first claims the name of a declared item in the table, and then
+// queries the engine that has another copy instead of relying on views. The claim
+// is held until the order is settled.
 func (w *worker) unload(ctx context.Context, item backend.Item) Reason {
 	if _, declared := w.catalog.declared[nameOf(item)]; !declared {
 		return w.reserveUnload(ctx, item, nil)
@@ -29,61 +29,61 @@
 	if err != nil || !ok {
 		return w.refuse(item, backend.Unload, Claimed)
 	}
-	last := func(i backend.Item) bool { return !w.servedHere(i) && !w.servedElsewhere(ctx, i) }
+	isLastCopy := func(i backend.Item) bool { return !w.servedHere(i) && !w.servedElsewhere(ctx, i) }
 	w.unloads[item] = got
-	reason := w.reserveUnload(ctx, item, last)
+	reason := w.reserveUnload(ctx, item, isLastCopy)
 	if reason != allowed {
-		w.endClaim(ctx, w.unloads, item)
+		w.releaseClaim(ctx, w.unloads, item)
 	}
 	return reason
 }
 
-// inherit takes over the claims of unloads that earlier owners of the server
-// left: only its owner can know that such an order can't take effect any more,
-// and until then nobody else may unload the name.
-func (w *worker) inherit(ctx context.Context) {
+// readInheritedClaims takes over the unload claims that earlier owners of the
+// server left. Only the current owner can determine that such an order can no
+// longer take effect, and until then no other node may unload the name.
+func (w *worker) readInheritedClaims(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(w.catalog.declared))
-	left, err := w.o.claims.left(ctx, w.name, names)
+	inheritedUnloads, err := w.o.claims.inheritedUnloads(ctx, w.name, names)
 	if err != nil {
-		return // tried again in the next round
+		return // retried in the next round
 	}
-	w.inherited, w.heir = left, true
+	w.inherited, w.inheritedRead = inheritedUnloads, true
 }
 
-// endInherited ends the claims that were taken over and whose order is settled
-// by the ledger: the item is absent or resident and no order is open.
-func (w *worker) endInherited(ctx context.Context) {
+// releaseInheritedClaims releases the inherited claims whose order is settled: the
+// ledger shows the item as absent or resident, with no open order.
+func (w *worker) releaseInheritedClaims(ctx context.Context) {
 	for item := range w.inherited {
 		e := w.ledger.Entry(item)
 		if e.Order.OrderID == "" && (e.State == ledger.Absent || e.State == ledger.Resident) {
-			w.log.Info("claim of an earlier owner ended", zap.Stringer("item", item))
-			w.endClaim(ctx, w.inherited, item)
+			w.log.Info("claim of an earlier owner released", zap.Stringer("item", item))
+			w.releaseClaim(ctx, w.inherited, item)
 		}
 	}
 }
 
-// reserveUnload lets the ledger decide and sends the order.
-func (w *worker) reserveUnload(ctx context.Context, item backend.Item, last func(backend.Item) bool) Reason {
-	order, err := w.ledger.Reserve(w.o.now(), backend.Unload, item, ledger.Cost{}, last)
+// reserveUnload reserves an unload in the ledger and sends the order.
+func (w *worker) reserveUnload(ctx context.Context, item backend.Item, isLastCopy func(backend.Item) bool) Reason {
+	order, err := w.ledger.Reserve(w.o.now(), backend.Unload, item, ledger.Cost{}, isLastCopy)
 	if err != nil {
 		return w.refuse(item, backend.Unload, reasonOf(err))
 	}
 	return w.send(ctx, order)
 }
 
-// claimTTL returns how long the claim of an unload counts if its owner doesn't
-// end it.
+// claimTTL returns the time to live of an unload claim.
 func (w *worker) claimTTL() time.Duration {
 	switch {
 	case w.server.ChecksOrders:
 		return unloadTTL
 	case w.server.OrderLifetimeMS == 0:
-		return foreverTTL
+		return unlimitedTTL
 	}
 	return unloadTTL + time.Duration(w.server.OrderLifetimeMS)*time.Millisecond
 }
 
-// servedHere tells whether this server has the version that replaces an item.
+// servedHere reports whether this server holds another version that replaces the
+// item.
 func (w *worker) servedHere(item backend.Item) bool {
 	for _, i := range w.ledger.Serving() {
 		if i != item && w.catalog.replaces(i, item) {
@@ -93,8 +93,8 @@
 	return false
 }
 
-// servedElsewhere tells whether another engine affirms now that it serves the
-// item or what replaces it. Without Known, LastCopy has decided.
+// servedElsewhere reports whether another engine confirms that it currently serves
+// the item or a replacement. If Known is nil, the decision of LastCopy stands.
 func (w *worker) servedElsewhere(ctx context.Context, item backend.Item) bool {
 	if w.o.Known == nil {
 		return w.o.LastCopy != nil
@@ -104,7 +104,7 @@
 			continue
 		}
 		for _, i := range v.Resident {
-			if w.catalog.replaces(i, item) && w.affirmed(ctx, v.Server, i) {
+			if w.catalog.replaces(i, item) && w.confirmResident(ctx, v.Server, i) {
 				return true
 			}
 		}
@@ -112,8 +112,8 @@
 	return false
 }
 
-// affirmed asks another engine whether it serves an item.
-func (w *worker) affirmed(ctx context.Context, server string, item backend.Item) bool {
+// confirmResident queries another engine whether it serves an item.
+func (w *worker) confirmResident(ctx context.Context, server string, item backend.Item) bool {
 	s, ok := w.catalog.servers[server]
 	if !ok {
 		return false
--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -16,97 +16,97 @@
 )
 
 const (
-	pollTimeout = time.Second
-	firstRound  = time.Millisecond // from the start of a worker
-	// missesToUnreachable is after how many polls without an answer a server
-	// counts as unreachable.
-	missesToUnreachable = 2
-	// retryAfter is how long an item rests after an order for it was not given
-	// or was refused.
-	retryAfter = time.Second
+	pollTimeout     = time.Second
+	firstRoundDelay = time.Millisecond // delay of a worker's first round
+	// unreachableAfter is the number of consecutive failed polls after which a
+	// server counts as unreachable.
+	unreachableAfter = 2
+	// retryDelay is the cooldown of an item after an order for it was not sent or
+	// failed.
+	retryDelay = time.Second
 )
 
-// worker runs one server while it is held. It makes one call at a time.
+// worker manages one server while its lease is held. It makes one call at a time.
 type worker struct {
 	o      *Owner
 	name   string
 	log    *zap.Logger
 	ledger *ledger.Ledger
 
-	server   config.BackendServer // as declared now
-	catalog  *catalog
-	engine   Engine
-	fenced   bool // the fence was raised in this boot, or needn't be
-	misses   int  // polls without an answer in a row
-	leaving  bool
-	sequence uint64 // of the view
-	bumped   time.Duration
-	adopted  time.Duration // first inventory; what was there then may be old
+	server      config.BackendServer // current declaration
+	catalog     *catalog
+	engine      Engine
+	fenced      bool // the fence was raised since the engine started, or need not be
+	missedPolls int  // consecutive failed polls
+	leaving     bool
+	sequence    uint64 // of the view
+	lastBump    time.Duration
+	adoptedAt   time.Duration // time of the first inventory; the age of its items is unknown
 
-	woken   chan struct{}
-	rest    map[backend.Item]time.Duration // no order before
-	said    map[backend.Item]Reason        // last refusal logged
-	orders  map[backend.Item]backend.Order // sent, not yet seen done
-	slots   map[backend.Item]claim         // of loads
-	unloads map[backend.Item]claim         // of unloads
+	wakeUp      chan struct{}
+	cooldownEnd map[backend.Item]time.Duration // end of the cooldown
+	lastRefusal map[backend.Item]Reason        // last logged refusal
+	orders      map[backend.Item]backend.Order // sent and not yet settled
+	slots       map[backend.Item]claim         // slot claims of loads
+	unloads     map[backend.Item]claim         // name claims of unloads
 
-	inherited map[backend.Item]claim // of unloads that earlier owners left
-	heir      bool                   // inherited has been read under this epoch
+	inherited     map[backend.Item]claim // unload claims left by earlier owners
+	inheritedRead bool                   // inherited has been read in this epoch
 }
 
 func newWorker(o *Owner, name string) *worker {
 	return &worker{
 		o: o, name: name, log: o.Log.With(zap.String("server", name)),
-		ledger:  ledger.New(ledger.Settings{Server: name}),
-		woken:   make(chan struct{}, 1),
-		rest:    map[backend.Item]time.Duration{},
-		said:    map[backend.Item]Reason{},
-		orders:  map[backend.Item]backend.Order{},
-		slots:   map[backend.Item]claim{},
-		unloads: map[backend.Item]claim{},
+		ledger:      ledger.New(ledger.Settings{Server: name}),
+		wakeUp:      make(chan struct{}, 1),
+		cooldownEnd: map[backend.Item]time.Duration{},
+		lastRefusal: map[backend.Item]Reason{},
+		orders:      map[backend.Item]backend.Order{},
+		slots:       map[backend.Item]claim{},
+		unloads:     map[backend.Item]claim{},
 	}
 }
 
-// run polls and orders until ctx ends or the server is lost.
+// run polls the engine and sends orders until ctx ends or the server is lost.
 func (w *worker) run(ctx context.Context) {
-	ring := make(chan struct{}, 1)
-	timer := alarm(firstRound, ring)
+	fired := make(chan struct{}, 1)
+	timer := newSignalTimer(firstRoundDelay, fired)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ring:
-		case <-w.woken:
+		case <-fired:
+		case <-w.wakeUp:
 		}
-		if !w.step(ctx) && w.o.retire(w.name) {
-			w.endSlots(ctx)
+		if !w.step(ctx) && w.o.removeWorker(w.name) {
+			w.releaseSlots(ctx)
 			return
 		}
 		timer.Reset(jitter(w.period()))
 	}
 }
 
-// wake makes the next round begin at once.
+// wake starts the next round immediately.
 func (w *worker) wake() {
 	select {
-	case w.woken <- struct{}{}:
+	case w.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// period returns the time to the next round. A server that answers, with no
-// order on its way and nothing left to do of its plan, is polled less often.
+// period returns the time until the next round. A reachable server that matches
+// its plan and has no order in progress is polled less often.
 func (w *worker) period() time.Duration {
-	if w.misses > 0 || len(w.orders) > 0 || !w.fenced || !w.settled() {
+	if w.missedPolls > 0 || len(w.orders) > 0 || !w.fenced || !w.matchesPlan() {
 		return w.o.Poll
 	}
 	return w.o.QuietPoll
 }
 
-// settled tells whether the server holds just what it should, with nothing on
-// its way.
-func (w *worker) settled() bool {
+// matchesPlan reports whether the server serves all items of its plan, serves only
+// declared versions, and has nothing loading or unloading.
+func (w *worker) matchesPlan() bool {
 	serving := w.ledger.Serving()
 	if len(serving) != len(w.ledger.Entries()) {
 		return false
@@ -117,20 +117,21 @@
 		}
 	}
 	for _, i := range serving {
-		if !w.catalog.current(i) {
+		if !w.catalog.isCurrent(i) {
 			return false
 		}
 	}
 	return true
 }
 
-// step makes one round; false means that the server is not this node's.
+// step runs one round. It returns false if this node does not own the server or
+// released it.
 func (w *worker) step(ctx context.Context) bool {
 	epoch, held := w.o.epochOf(w.name)
 	if !held {
 		return false
 	}
-	w.catalog = w.o.known()
+	w.catalog = w.o.currentCatalog()
 	server, declared := w.catalog.servers[w.name]
 	if !declared || w.o.handOver(w.name) {
 		w.handOver(ctx, declared)
@@ -144,20 +145,20 @@
 	}
 	w.settle(ctx)
 	if w.ledger.Epoch() == epoch {
-		if !w.heir {
-			w.inherit(ctx)
+		if !w.inheritedRead {
+			w.readInheritedClaims(ctx)
 		}
-		w.endInherited(ctx)
+		w.releaseInheritedClaims(ctx)
 	}
 	w.publish(epoch)
-	if w.ledger.Epoch() == epoch && w.misses == 0 && !w.leaving {
-		w.act(ctx)
-		w.publish(epoch) // without what was ordered to unload
+	if w.ledger.Epoch() == epoch && w.missedPolls == 0 && !w.leaving {
+		w.sendOrders(ctx)
+		w.publish(epoch) // exclude items now being unloaded
 	}
 	return true
 }
 
-// configure takes the server's declaration in force.
+// configure applies the server's current declaration.
 func (w *worker) configure(s config.BackendServer) {
 	if w.engine == nil || s.Address != w.server.Address {
 		w.engine = w.o.engine(s.Address)
@@ -166,7 +167,7 @@
 	w.ledger.SetSettings(w.catalog.settings(s))
 }
 
-// handOver releases the server.
+// handOver releases the server and logs the reason.
 func (w *worker) handOver(ctx context.Context, declared bool) {
 	reason := "another node is to own it"
 	if !declared {
@@ -175,40 +176,41 @@
 	w.o.release(ctx, w.name, reason)
 }
 
-// adopt starts the ledger under a new epoch. It needs a running lease: an engine
-// that restarted may have forgotten that a rival raised the fence.
+// adopt starts the ledger in a new epoch. It needs a valid lease, because an
+// engine that restarted may have forgotten that another node raised the fence.
 func (w *worker) adopt(ctx context.Context, epoch uint64) {
 	if running, _ := w.o.mayOrder(w.name); !running {
 		return
 	}
-	r := w.o.row(w.name)
-	taken := w.o.now()
+	r := w.o.leaseRow(w.name)
+	acquiredAt := w.o.now()
 	var records []ledger.Record
 	if len(r.Orders) > 0 {
 		if err := json.Unmarshal(r.Orders, &records); err != nil {
-			w.log.Error("orders in the server's row can't be read, nothing is ordered", zap.Error(err))
+			w.log.Error("cannot decode the orders in the server's row; no orders are sent", zap.Error(err))
 			return
 		}
 	}
 	inv, err := w.inventory(ctx, epoch)
-	if !w.heard(err) {
-		w.overtaken(ctx, err, epoch)
+	if !w.answered(err) {
+		w.handleStaleFence(ctx, err, epoch)
 		return
 	}
 	if w.ledger.Epoch() != 0 && w.ledger.BootID() != inv.BootID {
-		w.restarted()
+		w.reportRestart()
 	}
-	w.ledger.Adopt(taken, epoch, inv, records)
-	w.heir = false
+	w.ledger.Adopt(acquiredAt, epoch, inv, records)
+	w.inheritedRead = false
 	w.fenced = true
-	if w.adopted == 0 {
-		w.adopted = w.o.now()
+	if w.adoptedAt == 0 {
+		w.adoptedAt = w.o.now()
 	}
 	w.log.Info("inventory adopted", zap.Uint64("epoch", epoch), zap.String("boot-id", inv.BootID),
 		zap.Int("items", len(inv.Items)), zap.Int("inherited", len(records)), zap.Int64("free-bytes", w.ledger.Free()))
 }
 
-// inventory raises the fence, if the server checks it, and reads the inventory.
+// inventory reads the engine's inventory. On a server that checks fencing numbers,
+// it also raises the fence.
 func (w *worker) inventory(ctx context.Context, epoch uint64) (backend.Inventory, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -219,72 +221,72 @@
 	return s.Inventory, err
 }
 
-// poll reads the engine's state.
+// poll reads the engine's state and updates the ledger.
 func (w *worker) poll(ctx context.Context, epoch uint64) {
-	began := w.o.now()
-	call, cancel := context.WithTimeout(ctx, pollTimeout)
+	startedAt := w.o.now()
+	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	s, err := w.engine.State(call)
-	if !w.heard(err) {
+	s, err := w.engine.State(callCtx)
+	if !w.answered(err) {
 		return
 	}
 	if s.Leaving && !w.leaving {
-		w.left()
+		w.markLeaving()
 	}
 	w.leaving = s.Leaving
-	if w.ledger.Observe(began, w.o.now(), s.Inventory) {
-		w.restarted()
-		// An engine that forgot the fence may take a rival's order: nothing is
-		// ordered until the fence is raised again under a running lease.
+	if w.ledger.Observe(startedAt, w.o.now(), s.Inventory) {
+		w.reportRestart()
+		// An engine that forgot the fence may accept another node's order. No
+		// orders are sent until the fence is raised again under a valid lease.
 		w.fenced = !w.server.ChecksOrders || s.Inventory.Fence == epoch
 	}
 	if w.server.ChecksOrders && s.Inventory.Fence > epoch {
-		w.overtaken(ctx, &engine.Error{Kind: engine.StaleFence, Fence: s.Inventory.Fence}, epoch)
+		w.handleStaleFence(ctx, &engine.Error{Kind: engine.StaleFence, Fence: s.Inventory.Fence}, epoch)
 	}
 }
 
-// heard counts misses and returns true if there was an answer.
-func (w *worker) heard(err error) bool {
+// answered counts consecutive failed polls. It reports whether the poll succeeded.
+func (w *worker) answered(err error) bool {
 	if err != nil {
-		w.misses++
+		w.missedPolls++
 		return false
 	}
-	w.misses = 0
+	w.missedPolls = 0
 	return true
 }
 
-// overtaken looks into the table after the engine has shown a higher fencing
-// number. If the server is this node's nevertheless, it gets a higher epoch.
-func (w *worker) overtaken(ctx context.Context, err error, epoch uint64) {
+// handleStaleFence reads the lease rows after the engine reported a higher fencing
+// number. If this node still owns the server, it acquires a higher epoch.
+func (w *worker) handleStaleFence(ctx context.Context, err error, epoch uint64) {
 	if engine.KindOf(err) != engine.StaleFence {
 		return
 	}
 	highest := staleFence(err)
-	keys := w.o.watch(w.name)
+	keys := w.o.keysToWatch(w.name)
 	w.log.Warn("engine has seen a higher fencing number", zap.Uint64("epoch", epoch), zap.Uint64("fence", highest))
 	if !w.o.readBack(ctx, keys) {
-		w.o.drop(w.name)
+		w.o.markLost(w.name)
 		return
 	}
-	if now, held := w.o.epochOf(w.name); held && now == epoch {
+	if current, held := w.o.epochOf(w.name); held && current == epoch {
 		if running, _ := w.o.mayOrder(w.name); running {
-			w.o.take(ctx, w.name, highest)
+			w.o.acquire(ctx, w.name, highest)
 		}
 	}
 }
 
-// restarted tells about a new boot id.
-func (w *worker) restarted() {
+// reportRestart logs, counts and reports a new boot ID of the engine.
+func (w *worker) reportRestart() {
 	w.log.Warn("engine restarted", zap.Uint64("epoch", w.ledger.Epoch()), zap.String("boot-id", w.ledger.BootID()))
 	w.o.Metrics.Restarts.Inc()
-	clear(w.rest)
+	clear(w.cooldownEnd)
 	if w.o.OnRestart != nil {
 		w.o.OnRestart(w.name)
 	}
 }
 
-// left tells that the engine is leaving.
-func (w *worker) left() {
+// markLeaving records and reports that the engine is leaving.
+func (w *worker) markLeaving() {
 	w.log.Info("engine is leaving", zap.Uint64("epoch", w.ledger.Epoch()))
 	w.leaving = true
 	if w.o.OnLeaving != nil {
@@ -292,7 +294,7 @@
 	}
 }
 
-// settle counts orders that are done and ends their claims.
+// settle counts and logs settled orders and releases their claims.
 func (w *worker) settle(ctx context.Context) {
 	for item, o := range w.orders {
 		e := w.ledger.Entry(item)
@@ -309,34 +311,34 @@
 			w.o.Metrics.Moves.WithLabelValues(string(o.Op)).Inc()
 		}
 		delete(w.orders, item)
-		w.endClaim(ctx, w.slots, item)
-		w.endClaim(ctx, w.unloads, item)
+		w.releaseClaim(ctx, w.slots, item)
+		w.releaseClaim(ctx, w.unloads, item)
 	}
 }
 
-func (w *worker) endClaim(ctx context.Context, in map[backend.Item]claim, item backend.Item) {
-	if c, ok := in[item]; ok {
-		delete(in, item)
+func (w *worker) releaseClaim(ctx context.Context, from map[backend.Item]claim, item backend.Item) {
+	if c, ok := from[item]; ok {
+		delete(from, item)
 		w.o.claims.release(ctx, c)
 	}
 }
 
-// endSlots ends the claims of loads when the server is given up. Claims of
-// unloads stay until they expire, since such an order may still take effect.
-func (w *worker) endSlots(ctx context.Context) {
+// releaseSlots releases the claims of loads when the server is given up. Unload
+// claims are left to expire, since such an order may still take effect.
+func (w *worker) releaseSlots(ctx context.Context) {
 	for item := range w.slots {
-		w.endClaim(ctx, w.slots, item)
+		w.releaseClaim(ctx, w.slots, item)
 	}
 }
 
-// publish sets the server's view.
+// publish stores the server's view and updates its memory gauges.
 func (w *worker) publish(epoch uint64) {
 	w.sequence++
 	v := view.Server{
 		Server: w.name, Owner: w.o.Node, Epoch: epoch, Sequence: w.sequence,
 		BootID: w.ledger.BootID(), Resident: w.ledger.Serving(), Loading: w.ledger.Loading(),
 		Slots: w.server.Slots, FreeBytes: w.ledger.Free(),
-		Reachable: w.misses < missesToUnreachable && w.ledger.Epoch() == epoch, Leaving: w.leaving,
+		Reachable: w.missedPolls < unreachableAfter && w.ledger.Epoch() == epoch, Leaving: w.leaving,
 	}
 	w.o.Metrics.Memory.WithLabelValues(w.name, "held").Set(float64(w.ledger.Used()))
 	w.o.Metrics.Memory.WithLabelValues(w.name, "free").Set(float64(v.FreeBytes))
