--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -27,7 +27,7 @@
 	"guavapaddle/io/peer"
 )
 
-// build makes the parts and ties them together.
+// build creates the components and connects them.
 func (n *Node) build() {
 	incarnation := uint64(time.Now().UnixNano())
 	n.demand = planner.NewDemand()
@@ -49,7 +49,7 @@
 		Store:    n.objects,
 		Peers:    n.configPeers,
 		Nodes:    func() int { return len(n.cluster.Working()) },
-		OnChange: n.configured,
+		OnChange: n.onConfigChange,
 		Log:      n.log,
 		Metrics:  configsync.NewMetrics(n.registry),
 	}
@@ -61,7 +61,7 @@
 	n.dispatch = &dispatch.Dispatcher{
 		Engine:   n.engineOf,
 		Settings: n.queueSettings,
-		OnLost:   func(server string, running []string) { n.crashes.lost(server, running) },
+		OnLost:   func(server string, running []string) { n.crashes.connectionLost(server, running) },
 	}
 	n.owner = &owner.Owner{
 		Node:        n.settings.Name,
@@ -86,9 +86,9 @@
 		Endpoint:   &peer.Endpoint{Address: n.settings.Peers, TLS: n.keys},
 		Seeds:      n.seeds,
 		Local:      &forwarded{Dispatcher: n.dispatch, node: n},
-		OnView:     n.viewed,
-		OnLoad:     n.loaded,
-		OnMessage:  n.message,
+		OnView:     n.updateView,
+		OnLoad:     n.updateLoad,
+		OnMessage:  n.handleMessage,
 		Config:     n.follower.Packed,
 		ConfigHead: n.follower.Head,
 		Spent:      n.control.Time,
@@ -100,7 +100,7 @@
 func (n *Node) buildRouter() {
 	policy, err := route.New(n.settings.Policy)
 	if err != nil {
-		panic(err) // Check has seen it
+		panic(err) // Settings.Check rejects unknown names
 	}
 	n.router = &generate.Router{
 		Self:       n.settings.Name,
@@ -113,8 +113,8 @@
 		Policy:     policy,
 		Forward:    policy.Name() == route.NameHome,
 		Guard:      n.guard,
-		Boot:       n.boot,
-		Note:       n.decided,
+		Boot:       n.bootID,
+		Note:       n.traceDecision,
 		Wanted:     n.demand.Wanted,
 	}
 	n.router.Init(n.settings.Seed, &retry.Budget{})
@@ -136,7 +136,7 @@
 		Objects:     n.objects,
 		Node:        n.settings.Name,
 		Incarnation: incarnation,
-		Dead:        n.died,
+		Dead:        n.isDead,
 		Log:         n.log,
 		Metrics:     claims.NewMetrics(n.registry),
 	}
@@ -145,7 +145,7 @@
 func (n *Node) buildPlanner() {
 	n.planner = &planner.Planner{
 		Self:    n.settings.Name,
-		Policy:  mustPlanner(n.settings.Planner),
+		Policy:  newPlanner(n.settings.Planner),
 		Demand:  n.demand,
 		Index:   n.follower.Index,
 		Working: n.cluster.Working,
@@ -170,7 +170,7 @@
 		Seed:     n.settings.Seed,
 		Log:      n.log,
 		Metrics:  call.NewMetrics(n.registry),
-		Note:     n.note,
+		Note:     n.traceEvent,
 	}
 	e := &entry.Entry{
 		Index:   n.follower.Index,
@@ -182,7 +182,7 @@
 		Demand:  n.demand,
 		Metrics: n.requests,
 		Log:     n.log,
-		Note:    n.note,
+		Note:    n.traceEvent,
 	}
 	n.callers = &caller.Server{
 		Address: n.settings.Callers,
@@ -217,15 +217,15 @@
 func newID() string {
 	b := make([]byte, idBytes)
 	if _, err := rand.Read(b); err != nil {
-		panic(err) // the system's random source never fails
+		panic(err) // crypto/rand never returns an error
 	}
 	return hex.EncodeToString(b)
 }
 
-func mustPlanner(name string) place.Planner {
+func newPlanner(name string) place.Planner {
 	p, err := place.New(name)
 	if err != nil {
-		panic(err) // Check has seen it
+		panic(err) // Settings.Check rejects unknown names
 	}
 	return p
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -24,13 +24,14 @@
 )
 
 type (
-	// platformTraffic counts the bytes of the calls to what is not a node.
+	// platformTraffic counts the bytes of calls to the platform's services and to
+	// engines.
 	platformTraffic struct {
 		table, objects, vms, engines jsonhttp.Traffic
 	}
 
-	// gauges gives the metrics that are read from the node's parts when they
-	// are asked for.
+	// gauges collects the metrics that are read from the node's components at the
+	// time of a scrape.
 	gauges struct {
 		node *Node
 
@@ -40,8 +41,8 @@
 	}
 )
 
-// controlKinds are the frames of control by the label that names them.
-// Membership is not among them, since its frames carry views too.
+// controlKinds maps the kinds of control frames to their label. Membership is not
+// included, because its frames carry views as well.
 var controlKinds = map[peer.Kind]metrics.Work{
 	cluster.KindConfig:  metrics.Configuration,
 	cluster.KindDemand:  metrics.Demand,
@@ -49,10 +50,11 @@
 	cluster.KindSuspect: metrics.Marks,
 }
 
-// Gatherer gives the metrics of the node.
+// Gatherer returns the gatherer of the node's metrics.
 func (n *Node) Gatherer() prometheus.Gatherer { return n.registry }
 
-// registerControl registers what control costs and the state of the node.
+// registerControl registers the cost of control work, the node's gauges, and the
+// metrics of the process and the Go runtime.
 func (n *Node) registerControl() {
 	n.registry.MustRegister(n.control.Collectors()...)
 	n.registry.MustRegister(collectors.NewGoCollector(), newGauges(n),
@@ -95,7 +97,7 @@
 	g.state(to)
 }
 
-// traffic gives the bytes by kind.
+// traffic collects the bytes exchanged, by kind.
 func (g *gauges) traffic(to chan<- prometheus.Metric) {
 	c, e := g.node.cluster, g.node.cluster.Endpoint
 	var control, request [2]uint64
@@ -125,7 +127,7 @@
 	to <- prometheus.MustNewConstMetric(g.datagrams, prometheus.CounterValue, float64(e.DatagramBytes()))
 }
 
-// platform gives the bytes of calls to the platform and to engines.
+// platform collects the bytes of calls to the platform's services and to engines.
 func (g *gauges) platform(count func(kind string, out, in uint64)) {
 	p := &g.node.platform
 	for kind, t := range map[string]*jsonhttp.Traffic{
@@ -136,7 +138,7 @@
 	}
 }
 
-// servers gives the load and the leases of owned servers.
+// servers collects the load and the leases of owned servers.
 func (g *gauges) servers(to chan<- prometheus.Metric) {
 	for _, name := range g.node.dispatch.Owned() {
 		l, ok := g.node.dispatch.Load(name)
@@ -154,7 +156,8 @@
 	}
 }
 
-// state gives what the node knows of the whole and of itself.
+// state collects the known nodes by state, and the state of this node's table
+// access, configuration and certificate.
 func (g *gauges) state(to chan<- prometheus.Metric) {
 	counts := map[member.Status]int{}
 	for _, n := range g.node.cluster.Nodes() {
--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -14,37 +14,39 @@
 )
 
 const (
-	bootTimeout   = 300 * time.Millisecond
-	marksPeriod   = 2 * time.Second
-	marksPeers    = 2
-	marksMessage  = 64 // marks in one message
-	marksAsked    = 32 // nodes that are waited for at once
-	crashTimeout  = 2 * time.Second
-	marksTooLarge = 4096
+	bootTimeout        = 300 * time.Millisecond
+	marksPeriod        = 2 * time.Second
+	marksGossipNodes   = 2
+	maxMarksPerMessage = 64 // maximum marks per message
+	maxMarksCalls      = 32 // maximum concurrent calls to other nodes
+	crashTimeout       = 2 * time.Second
+	maxMarksReceived   = 4096
 )
 
 type (
-	// crashes finds out whether an owned server crashed and marks what ran.
+	// crashes detects crashes of owned servers and marks the requests that were
+	// running on them.
 	crashes struct {
 		node  *Node
 		group singleflight.Group
 	}
 
-	// marksBody is what nodes tell each other of marked requests.
+	// marksBody is the message body that carries suspicion marks between nodes.
 	marksBody struct {
 		Marks []suspect.Mark `cbor:"1,keyasint"`
 	}
 )
 
-// lost is told that a server's engine broke off a request. If the engine has
-// crashed all that ran on it is marked before lost returns.
-func (c *crashes) lost(server string, running []string) {
+// connectionLost handles the loss of a request's connection to a server's engine. If the
+// engine has crashed, all requests that were running on it are marked before lost
+// returns.
+func (c *crashes) connectionLost(server string, running []string) {
 	_, _, _ = c.group.Do(server, func() (any, error) {
 		v, _ := c.node.views.Get(server)
 		ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
 		defer cancel()
-		boot, err := c.node.boot(ctx, server)
-		if err == nil && boot == v.BootID {
+		bootID, err := c.node.bootID(ctx, server)
+		if err == nil && bootID == v.BootID {
 			return nil, nil
 		}
 		all := make([]suspect.Fingerprint, len(running))
@@ -57,8 +59,8 @@
 	})
 }
 
-// boot asks a server's engine for its boot id.
-func (n *Node) boot(ctx context.Context, server string) (string, error) {
+// bootID queries a server's engine for its boot ID.
+func (n *Node) bootID(ctx context.Context, server string) (string, error) {
 	x := n.follower.Index()
 	if x == nil {
 		return "", &NotReady{}
@@ -73,26 +75,26 @@
 	return state.Inventory.BootID, err
 }
 
-// spreadMarks tells other nodes of marks and returns when they have them.
+// spreadMarks sends marks to all other nodes and returns when the calls have ended.
 func (n *Node) spreadMarks(ctx context.Context, marks []suspect.Mark) {
-	n.cluster.AskAll(ctx, marksAsked, cluster.KindSuspect, marksBody{Marks: marks})
+	n.cluster.AskAll(ctx, maxMarksCalls, cluster.KindSuspect, marksBody{Marks: marks})
 }
 
-// tellMarks repeats the newest marks to a few other nodes, for those that were
-// not reached when a mark was made.
-func (n *Node) tellMarks(ctx context.Context) {
+// gossipMarks resends the newest marks to a few other nodes, for nodes that were
+// unreachable when a mark was made.
+func (n *Node) gossipMarks(ctx context.Context) {
 	marks := n.guard.Marks()
 	if len(marks) == 0 {
 		return
 	}
-	n.cluster.TellSome(ctx, marksPeers, cluster.KindSuspect, marksBody{Marks: marks[:min(len(marks), marksMessage)]})
+	n.cluster.TellSome(ctx, marksGossipNodes, cluster.KindSuspect, marksBody{Marks: marks[:min(len(marks), maxMarksPerMessage)]})
 }
 
-// marked takes marks in that another node tells.
-func (n *Node) marked(f peer.Frame) {
+// mergeMarks merges the marks received from another node.
+func (n *Node) mergeMarks(f peer.Frame) {
 	defer n.control.Time(metrics.Marks)()
-	var b marksBody
-	if f.Decode(&b) == nil && len(b.Marks) <= marksTooLarge {
-		n.guard.Merge(b.Marks)
+	var body marksBody
+	if f.Decode(&body) == nil && len(body.Marks) <= maxMarksReceived {
+		n.guard.Merge(body.Marks)
 	}
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,7 +1,7 @@
-// Package node puts the parts of one guavapaddle node together and runs them.
+// Package node assembles the components of one guavapaddle node and runs them.
 //
-// Every node plays every role (see docs/DESIGN.md): it answers callers, owns
-// some backend servers, follows the configuration, and one of the live nodes
+// Every node has the same roles (see docs/DESIGN.md): it serves callers, owns some
+// of the backend servers and follows the configuration. One of the live nodes also
 // plans the placement.
 //
 // # Usage
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Described returns the descriptions of all metrics that n registers.
+// Described returns the descriptors of all metrics that n registers.
 func Described(n *Node) []*prometheus.Desc {
 	found := make(chan *prometheus.Desc)
 	go func() {
--- a/internal/node/roles.go
+++ b/internal/node/limits.go
@@ -15,41 +15,43 @@
 const (
 	// LimitCost limits teams by the estimated cost of their requests.
 	LimitCost = "cost"
-	// LimitRequests limits teams by the count of their requests.
+	// LimitRequests limits teams by the number of their requests.
 	LimitRequests = "requests"
-	// LimitNone limits nobody.
+	// LimitNone disables the limits.
 	LimitNone = "none"
 
-	// limitSlack is how much more than its even part of all capacity a node
-	// takes on before it limits anybody, since callers reach nodes unevenly.
+	// limitSlack is the factor by which a node may exceed its even share of the
+	// total capacity before it limits teams, since callers are not distributed
+	// evenly over the nodes.
 	limitSlack = 3
-	// assumedTokens is the cost of a request that a count limits, in tokens.
+	// assumedTokens is the assumed cost of a request in tokens for LimitRequests.
 	assumedTokens = 128.0
 )
 
-// Limits returns the names of all ways to limit teams.
+// Limits returns the names of all limit policies.
 func Limits() []string { return []string{LimitCost, LimitRequests, LimitNone} }
 
-// limits applies core/limit to the requests of this node.
+// limits applies the policies of core/limit to the requests of this node.
 type limits struct {
-	kind string
+	policyName string
 
 	mu       sync.Mutex
 	policy   limit.Policy
 	capacity float64
 }
 
-// newLimits returns limits of one of the kinds above.
-func newLimits(kind string) *limits { return &limits{kind: kind} }
+// newLimits returns limits with the given policy. No request is limited before the
+// first call of configure.
+func newLimits(policyName string) *limits { return &limits{policyName: policyName} }
 
 // Admit implements entry.Limits.
-func (l *limits) Admit(c config.Team, k config.Kind, estimate float64) (func(float64), time.Duration, bool) {
+func (l *limits) Admit(team config.Team, kind config.Kind, estimate float64) (func(float64), time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.policy == nil {
 		return func(float64) {}, 0, true
 	}
-	r, ok, after := l.policy.Admit(time.Now(), c, k, estimate)
+	r, ok, after := l.policy.Admit(time.Now(), team, kind, estimate)
 	if !ok {
 		return nil, after, false
 	}
@@ -60,8 +62,8 @@
 	}, 0, true
 }
 
-// configure sets the node's part of the capacity of all engines, in tokens or
-// requests a second.
+// configure sets the node's share of the capacity of all engines, in tokens or
+// requests per second.
 func (l *limits) configure(x *config.Index, nodes int) {
 	tokens := 0.0
 	for _, s := range x.Document().Servers {
@@ -82,11 +84,11 @@
 	case *limit.ByRequests:
 		p.Reconfigure(limit.Settings{Capacity: capacity / assumedTokens})
 	default:
-		l.policy = newPolicy(l.kind, capacity)
+		l.policy = newPolicy(l.policyName, capacity)
 	}
 }
 
-// newPolicy returns a policy of a kind, nil for none.
+// newPolicy returns a policy by name, or nil for LimitNone.
 func newPolicy(kind string, capacity float64) limit.Policy {
 	switch kind {
 	case LimitCost:
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// text returns the value of a log field as text.
+// text formats the value of a log field.
 func text(f zap.Field) string {
 	switch f.Type {
 	case zapcore.StringType:
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -30,8 +30,8 @@
 	describedName  = regexp.MustCompile(`fqName: "(guavapaddle_[a-z_]+)"`)
 )
 
-// documented returns the metrics of docs/METRICS.md and whether each is always
-// there.
+// documented returns the metrics listed in docs/METRICS.md, and whether each is
+// always present.
 func documented(t *testing.T) map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "docs", "METRICS.md"))
@@ -64,7 +64,7 @@
 	require.Equal(t, want, described)
 }
 
-func TestScrapeHasWhatIsDocumented(t *testing.T) {
+func TestScrapeHasDocumentedMetrics(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), labTimeout)
 	defer cancel()
 	l := &lab.Lab{Document: sample.Corella(), Nodes: 1}
@@ -73,9 +73,9 @@
 	require.Eventually(t, func() bool {
 		r, err := l.Status(ctx, 0)
 		return err == nil && len(r.Leases) == len(l.Engines) && len(r.Servers) == len(l.Engines)
-	}, labTimeout, pollPeriod, "one node owns all servers")
-	refused(ctx, t, l.Callers[0])
-	text := get(ctx, t, "http://"+l.Operators[0]+"/metrics")
+	}, labTimeout, pollPeriod, "the single node owns all servers")
+	sendRefused(ctx, t, l.Callers[0])
+	text := httpGet(ctx, t, "http://"+l.Operators[0]+"/metrics")
 	for name, always := range documented(t) {
 		if always {
 			require.Regexp(t, `(?m)^`+name+`[{ ]`, text)
@@ -94,9 +94,9 @@
 	require.Positive(t, status.Leases[0].ExpiresIn)
 }
 
-// refused sends a request that is refused before its team is known, and one
-// that can't be understood.
-func refused(ctx context.Context, t *testing.T, address string) {
+// sendRefused sends a request that is refused before its team is known, and one with
+// a malformed body.
+func sendRefused(ctx context.Context, t *testing.T, address string) {
 	t.Helper()
 	for _, body := range []string{`{"model":"m","messages":[{"role":"user","content":"x"}]}`, `{`} {
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
@@ -107,7 +107,7 @@
 	}
 }
 
-func get(ctx context.Context, t *testing.T, url string) string {
+func httpGet(ctx context.Context, t *testing.T, url string) string {
 	t.Helper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	require.NoError(t, err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,15 +42,15 @@
 )
 
 const (
-	idBytes        = 12
-	firstTimeout   = 15 * time.Second // for an engine's first token, once a slot is free
-	progressWindow = 2 * time.Second  // between two tokens of an engine
-	drainRetry     = time.Second
-	partsTimeout   = 5 * time.Second // for the parts to end, once no request is open
+	idBytes           = 12
+	firstEventTimeout = 15 * time.Second // until an engine's first token, once a slot is free
+	progressTimeout   = 2 * time.Second  // maximum time between two tokens of an engine
+	drainRetry        = time.Second
+	tasksTimeout      = 5 * time.Second // for the tasks to end, once no request is open
 )
 
 type (
-	// Node is one node. It is made by New.
+	// Node is one guavapaddle node. It is created by New.
 	Node struct {
 		settings Settings
 		log      *zap.Logger
@@ -84,29 +84,28 @@
 
 		operators net.Listener
 		draining  atomic.Bool // new requests are refused
-		leaving   atomic.Bool // not ready
+		leaving   atomic.Bool // the node reports that it is not ready
 		mu        sync.Mutex
 		engines   map[string]*engine.Client // by address
-		vmSeeds   []string                  // nodes by the VM list
-		listedVMs int                       // count of the VM list
+		vmSeeds   []string                  // addresses of nodes in the VM list
+		listedVMs int                       // length of the VM list
 
-		vmsLeaving []string // by the own reading of the VM list
+		vmsLeaving []string // leaving VMs in this node's last read of the VM list
 	}
 
-	// Addresses are where a node listens.
+	// Addresses are the addresses on which a node listens.
 	Addresses struct {
 		Callers, Peers, Operators string
 	}
 
-	// NotReady tells why a node takes no requests.
+	// NotReady reports why a node does not accept requests.
 	NotReady struct{ Reason outcome.Reason }
 )
 
-// Error names the reason.
+// Error returns the reason.
 func (e *NotReady) Error() string { return string(e.Reason) }
 
-// New returns a node that has not begun to listen. The settings must have
-// passed Check.
+// New returns a node that does not listen yet. The settings must have passed Check.
 func New(s Settings, log *zap.Logger) (*Node, error) {
 	files := &keys.Files{CA: s.CA, Cert: s.Cert, Key: s.Key}
 	if err := files.Load(); err != nil {
@@ -138,13 +137,13 @@
 	return n, nil
 }
 
-// died tells whether an incarnation of a node is known to have ended.
-func (n *Node) died(name string, incarnation uint64) bool {
+// isDead reports whether an incarnation of a node is known to have ended.
+func (n *Node) isDead(name string, incarnation uint64) bool {
 	m, ok := n.cluster.Node(name)
 	return ok && (m.Incarnation > incarnation || m.Incarnation == incarnation && m.Status >= member.Dead)
 }
 
-// Listen opens all addresses.
+// Listen opens all listeners and returns their addresses.
 func (n *Node) Listen() (Addresses, error) {
 	var a Addresses
 	var err error
@@ -162,19 +161,19 @@
 	return a, nil
 }
 
-// Run runs the node until ctx ends and then stops it gracefully: no request in
-// flight is cut off.
+// Run runs the node until ctx ends or a task fails. When ctx ends, it stops
+// gracefully: requests in flight are completed.
 func (n *Node) Run(ctx context.Context) error {
-	run, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	owning, disown := context.WithCancel(run)
-	defer disown()
-	running := parts.Group{Log: n.log}
+	ownerCtx, stopOwner := context.WithCancel(runCtx)
+	defer stopOwner()
+	tasks := parts.Group{Log: n.log}
 	failed := make(chan error, 1)
 	start := func(name string, f func() error) {
-		running.Go(name, func() {
-			if err := f(); err != nil && run.Err() == nil {
-				n.log.Error("part failed", zap.String("part", name), zap.Error(err))
+		tasks.Go(name, func() {
+			if err := f(); err != nil && runCtx.Err() == nil {
+				n.log.Error("task failed", zap.String("part", name), zap.Error(err))
 				select {
 				case failed <- eris.Wrap(err, name):
 				default:
@@ -182,25 +181,25 @@
 			}
 		})
 	}
-	web := &http.Server{Handler: n.operatorHandler(), ReadHeaderTimeout: time.Second}
-	start("operators", func() error { return ignoreClosed(web.Serve(n.operators)) })
-	start("cluster", func() error { return n.cluster.Run(run) })
-	start("follower", func() error { _ = n.follower.Run(run); return nil })
-	start("claims", func() error { n.claims.Run(run); return nil })
-	start("callers", func() error { return n.callers.Run(run) })
-	start("housekeeping", func() error { n.housekeeping(run); return nil })
-	start("planner", func() error { n.planner.Run(run); return nil })
-	owned := make(chan struct{})
-	start("owner", func() error { defer close(owned); n.owner.Run(owning); return nil })
+	operatorServer := &http.Server{Handler: n.operatorHandler(), ReadHeaderTimeout: time.Second}
+	start("operators", func() error { return ignoreClosed(operatorServer.Serve(n.operators)) })
+	start("cluster", func() error { return n.cluster.Run(runCtx) })
+	start("follower", func() error { _ = n.follower.Run(runCtx); return nil })
+	start("claims", func() error { n.claims.Run(runCtx); return nil })
+	start("callers", func() error { return n.callers.Run(runCtx) })
+	start("housekeeping", func() error { n.housekeeping(runCtx); return nil })
+	start("planner", func() error { n.planner.Run(runCtx); return nil })
+	ownerStopped := make(chan struct{})
+	start("owner", func() error { defer close(ownerStopped); n.owner.Run(ownerCtx); return nil })
 	var err error
 	select {
 	case <-ctx.Done():
-		n.shutdown(run, func() { disown(); <-owned })
+		n.shutdown(runCtx, func() { stopOwner(); <-ownerStopped })
 	case err = <-failed:
 	}
 	stop()
-	_ = web.Close()
-	return errors.Join(err, running.Wait(partsTimeout))
+	_ = operatorServer.Close()
+	return errors.Join(err, tasks.Wait(tasksTimeout))
 }
 
 // Ready implements operator.Readiness.
@@ -219,18 +218,18 @@
 	return &operator.Handler{Readiness: n, Reporter: n, Explainer: n.trace, Bodies: n.follower, Gatherer: n.registry}
 }
 
-// message takes in what other nodes tell besides membership.
-func (n *Node) message(from string, f peer.Frame) {
+// handleMessage handles messages from other nodes other than membership.
+func (n *Node) handleMessage(from string, f peer.Frame) {
 	if f.Kind == cluster.KindSuspect {
-		n.marked(f)
+		n.mergeMarks(f)
 		return
 	}
 	n.planner.Receive(from, f)
 }
 
-// decided notes a decision of the router.
-func (n *Node) decided(e generate.Event) {
-	n.note(e.RequestID, e.Event, zap.String("server", e.Server), zap.String("owner", e.Owner),
+// traceDecision records a decision of the router.
+func (n *Node) traceDecision(e generate.Event) {
+	n.traceEvent(e.RequestID, e.Event, zap.String("server", e.Server), zap.String("owner", e.Owner),
 		zap.Uint64("epoch", e.Epoch), zap.String("reason", e.Reason))
 	if e.Event != "pick" {
 		n.requests.Retry(e.Event, e.Reason)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -9,7 +9,7 @@
 	"guavapaddle/io/engine"
 )
 
-// engineAt returns the client of the engine at an address.
+// engineAt returns the client of the engine at an address, creating it on first use.
 func (n *Node) engineAt(address string) *engine.Client {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -21,7 +21,7 @@
 	return c
 }
 
-// engineOf returns the engine of a server by name, nil if unknown.
+// engineOf returns the engine of a server, or nil if the server is unknown.
 func (n *Node) engineOf(server string) engines.Engine {
 	x := n.follower.Index()
 	if x == nil {
@@ -33,11 +33,11 @@
 	}
 	return &engines.Client{
 		Engine:  n.engineAt(s.Address),
-		Options: engine.StreamOptions{FirstTimeout: firstTimeout, ProgressTimeout: progressWindow},
+		Options: engine.StreamOptions{FirstTimeout: firstEventTimeout, ProgressTimeout: progressTimeout},
 	}
 }
 
-// dataCentreOf returns the data centre of a server, empty if unknown.
+// dataCentreOf returns the data centre of a server, or "" if it is unknown.
 func (n *Node) dataCentreOf(server string) string {
 	if x := n.follower.Index(); x != nil {
 		s, _ := x.Server(server)
@@ -48,30 +48,30 @@
 
 // queueSettings returns the queue settings of a server.
 func (n *Node) queueSettings(server string) queue.Settings {
-	set := queue.Settings{}
+	settings := queue.Settings{}
 	if x := n.follower.Index(); x != nil {
 		s, _ := x.Server(server)
-		set.Limit = x.Limits().QueuePerServer
-		set.StepSeconds = s.StepMS / 1000
+		settings.Limit = x.Limits().QueuePerServer
+		settings.StepSeconds = s.StepMS / 1000
 	}
-	return set
+	return settings
 }
 
-// occupancy tells the owner what the dispatcher has on a server.
+// occupancy returns the dispatcher's load on a server.
 func (n *Node) occupancy(server string) (running, queued, slots int, waitMS int64) {
 	l, _ := n.dispatch.Load(server)
 	return l.Running, l.Queued, l.Slots, l.WaitMS
 }
 
-// viewed takes a view in that is newer than the known.
-func (n *Node) viewed(v view.Server) {
+// updateView stores a received view if it is newer than the current one.
+func (n *Node) updateView(v view.Server) {
 	if n.views.Put(v) {
 		n.router.Seen(v.Server)
 	}
 }
 
-// loaded takes the load of a server in that its owner spread.
-func (n *Node) loaded(server string, l forward.Load) {
+// updateLoad stores a server load that its owner published.
+func (n *Node) updateLoad(server string, l forward.Load) {
 	n.views.Heard(server, l)
 	n.router.Seen(server)
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -17,8 +17,8 @@
 )
 
 type (
-	// Settings are what a node learns from its settings file, the environment
-	// and the command line. Everything else is in the configuration document.
+	// Settings are read from the node's settings file, the environment and the
+	// command line. Everything else is in the configuration document.
 	Settings struct {
 		Name       string
 		DataCentre string
@@ -28,29 +28,29 @@
 		Table      string // IP:port of the table service
 		Objects    string // IP:port of the object store
 		VMList     string // IP:port of the VM list, empty for none
-		CA         string // file
-		Cert       string // file
-		Key        string // file
-		Seeds      string // IP:port of other nodes, separated by commas
-		Policy     string // of routing, see core/route
-		Planner    string // of placement, see core/place
-		Limit      string // of teams: cost, requests or none
+		CA         string // path of the CA certificates (PEM)
+		Cert       string // path of the node's certificate (PEM)
+		Key        string // path of the node's private key (PEM)
+		Seeds      string // comma-separated IP:port of other nodes
+		Policy     string // routing policy, see core/route
+		Planner    string // placement policy, see core/place
+		Limit      string // limit policy for teams: cost, requests or none
 		Notice     time.Duration
 		Seed       uint64
 		LogLevel   string
 	}
 
-	// SettingsError tells which setting can't be used and why.
+	// SettingsError describes an invalid setting.
 	SettingsError struct {
-		Name   string // of the flag
+		Name   string // name of the flag
 		Reason string
 	}
 )
 
-// Error names the setting.
+// Error returns the flag and the reason.
 func (e *SettingsError) Error() string { return fmt.Sprintf("-%s: %s", e.Name, e.Reason) }
 
-// Register declares the flags of all settings.
+// Register defines a flag for each setting.
 func (s *Settings) Register(f *flag.FlagSet) {
 	f.StringVar(&s.Name, "name", "", "name of the node; its certificate carries the same")
 	f.StringVar(&s.DataCentre, "data-centre", "", "data centre of the node")
@@ -72,7 +72,7 @@
 	f.StringVar(&s.LogLevel, "log-level", "info", "debug, info, warn or error")
 }
 
-// Check returns a *SettingsError for the first setting that can't be used.
+// Check returns a *SettingsError for the first invalid setting, or nil.
 func (s *Settings) Check() error {
 	for _, f := range []struct{ name, value string }{
 		{"name", s.Name}, {"data-centre", s.DataCentre}, {"table", s.Table}, {"objects", s.Objects},
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// seeds returns the addresses of the seeds.
+// seeds returns the addresses listed in Seeds.
 func (s *Settings) seeds() []string {
 	var out []string
 	for _, a := range strings.Split(s.Seeds, ",") {
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	publishPeriod = 50 * time.Millisecond
-	configPeriod  = 250 * time.Millisecond
-	loadPeriod    = 3 * time.Second        // between views that differ in load only, at least
-	loadShare     = 50 * time.Millisecond  // the same for each server that is known
-	vmPeriod      = time.Second            // between readings of the VM list, at least
-	vmShare       = 100 * time.Millisecond // the same for each VM that is listed beyond vmFew
-	vmFew         = 40
-	keysPeriod    = 10 * time.Second
-	drainPoll     = 20 * time.Millisecond
-	drainReport   = 5 * time.Second // between lines of what a shutdown waits for
-	flushTimeout  = 5 * time.Second
-	leaveTimeout  = time.Second
-	noRetries     = -1 // as a share: zero would be the default
-	roleNode      = "node"
+	publishPeriod       = 50 * time.Millisecond
+	configPeriod        = 250 * time.Millisecond
+	minLoadPeriod       = 3 * time.Second        // minimum time between views that differ only in load
+	loadPeriodPerServer = 50 * time.Millisecond  // added to that minimum per known server
+	minVMPeriod         = time.Second            // minimum time between reads of the VM list
+	vmPeriodPerVM       = 100 * time.Millisecond // time between reads per listed VM beyond vmFew
+	vmsAtMinPeriod      = 40
+	keysPeriod          = 10 * time.Second
+	drainPoll           = 20 * time.Millisecond
+	drainReport         = 5 * time.Second // between log lines about what a shutdown waits for
+	flushTimeout        = 5 * time.Second
+	leaveTimeout        = time.Second
+	noRetries           = -1 // retry share that disables retries; zero would select the default
+	roleNode            = "node"
 )
 
 type (
-	// publisher spreads the views of owned servers.
+	// publisher records the views of owned servers that were last published.
 	publisher struct {
 		last map[string]published
 	}
@@ -47,14 +47,14 @@
 		at   time.Time
 	}
 
-	// configPeer is another node that may have a configuration's body.
+	// configPeer is another node that may have the body of a configuration.
 	configPeer struct {
 		node *Node
 		name string
 	}
 )
 
-// housekeeping does what is due periodically until ctx ends.
+// housekeeping runs the periodic tasks until ctx ends.
 func (n *Node) housekeeping(ctx context.Context) {
 	t := time.NewTicker(publishPeriod)
 	defer t.Stop()
@@ -64,7 +64,7 @@
 		n.publishViews(now)
 		if now.Sub(configAt) >= configPeriod {
 			configAt = now
-			n.followConfig()
+			n.applyConfig()
 		}
 		if n.vms != nil && now.Sub(vmsAt) >= n.vmsPeriod() {
 			vmsAt = now
@@ -72,7 +72,7 @@
 		}
 		if now.Sub(marksAt) >= marksPeriod {
 			marksAt = now
-			n.tellMarks(ctx)
+			n.gossipMarks(ctx)
 		}
 		if now.Sub(keysAt) >= keysPeriod {
 			keysAt = now
@@ -86,30 +86,31 @@
 	}
 }
 
-// followConfig tells other parts and nodes what configuration is in force.
-func (n *Node) followConfig() {
+// applyConfig passes the configuration in force to the node's components and
+// announces it to the other nodes.
+func (n *Node) applyConfig() {
 	defer n.control.Time(metrics.Configuration)()
-	n.hint()
+	n.exchangeVersions()
 	n.configure()
-	n.notice()
+	n.applyLeaving()
 }
 
-// publishViews spreads what changed of the owned servers, and makes the
-// dispatcher serve just those.
+// publishViews publishes changed views of the owned servers, and makes the
+// dispatcher serve exactly the owned servers.
 func (n *Node) publishViews(now time.Time) {
 	defer n.control.Time(metrics.Views)()
 	if n.publish.last == nil {
 		n.publish.last = map[string]published{}
 	}
 	owned := map[string]bool{}
-	loadPeriod := n.loadsPeriod()
+	period := n.loadsPeriod()
 	for _, v := range n.owner.Views() {
 		owned[v.Server] = true
 		n.dispatch.Own(v.Server, n.slotsOf(v.Server))
 		last, ok := n.publish.last[v.Server]
 		publish := n.cluster.Publish
-		if ok && sameBut(last.view, v) {
-			if now.Sub(last.at) < loadPeriod || sameLoad(last.view, v) {
+		if ok && equalExceptLoad(last.view, v) {
+			if now.Sub(last.at) < period || sameLoad(last.view, v) {
 				continue
 			}
 			publish = n.cluster.PublishLoad
@@ -127,13 +128,14 @@
 	}
 }
 
-// sameBut tells whether two views differ in load and sequence at most.
-func sameBut(a, b view.Server) bool {
+// equalExceptLoad reports whether two views are equal apart from load and sequence.
+func equalExceptLoad(a, b view.Server) bool {
 	b.Sequence, b.Running, b.Queued, b.WaitMS = a.Sequence, a.Running, a.Queued, a.WaitMS
 	return reflect.DeepEqual(a, b)
 }
 
-// sameLoad tells whether two views show the same load.
+// sameLoad reports whether two views have the same numbers of running and queued
+// requests.
 func sameLoad(a, b view.Server) bool {
 	return a.Running == b.Running && a.Queued == b.Queued
 }
@@ -147,29 +149,29 @@
 	return 1
 }
 
-// configure tells the parts that need no event what the configuration and the
-// count of nodes mean for them.
+// configure updates the components that depend on the configuration or on the
+// number of nodes and don't need to react to each change.
 func (n *Node) configure() {
 	x := n.follower.Index()
 	if x == nil {
 		return
 	}
-	var all []config.BackendServer
+	var serviceServers []config.BackendServer
 	var addresses []string
 	for _, s := range x.Document().Servers {
 		if s.Type == config.Service {
-			all = append(all, s)
+			serviceServers = append(serviceServers, s)
 			addresses = append(addresses, s.Address)
 		}
 	}
 	n.limits.configure(x, len(n.cluster.Working()))
-	n.pool.Set(all, n.views.Leaving)
+	n.pool.Set(serviceServers, n.views.Leaving)
 	n.services.Keep(addresses)
 }
 
-// hint tells the follower which versions other nodes have, and the other nodes
-// which this one has.
-func (n *Node) hint() {
+// exchangeVersions passes the configuration versions of other nodes to the follower
+// and announces this node's version.
+func (n *Node) exchangeVersions() {
 	fresh := n.follower.Fresh()
 	ref := n.follower.InForce()
 	for _, m := range n.cluster.Nodes() {
@@ -184,8 +186,8 @@
 	}
 }
 
-// configured takes a new configuration into use.
-func (n *Node) configured(x *config.Index) {
+// onConfigChange puts a new configuration into use.
+func (n *Node) onConfigChange(x *config.Index) {
 	defer n.control.Time(metrics.Configuration)()
 	n.owner.SetDocument(*x.Document(), x.Version())
 	n.views.Keep(func(server string) bool { _, ok := x.Server(server); return ok })
@@ -198,11 +200,11 @@
 	n.log.Info("configuration in force", zap.Uint64("version", x.Version()), zap.String("hash", x.Hash()))
 }
 
-// readVMs reads the platform's list of VMs.
+// readVMs reads the platform's VM list.
 func (n *Node) readVMs(ctx context.Context) {
 	list, err := n.vms.List(ctx)
 	if err != nil {
-		return // it lags anyway; what is known stays
+		return // keep the previous list; the VM list lags anyway
 	}
 	n.mu.Lock()
 	n.vmSeeds, n.listedVMs = nil, len(list)
@@ -215,50 +217,51 @@
 		}
 	}
 	n.mu.Unlock()
-	n.noticeRead(leaving)
+	n.updateVMsLeaving(leaving)
 }
 
-// vmsPeriod is the time between readings of the VM list. It grows with the
-// list, so that a node reads no more bytes a second in a large system; the
-// first node to read of a VM that leaves tells the others.
+// vmsPeriod returns the time between reads of the VM list. It grows with the length
+// of the list, so that a node reads no more bytes per second in a large system. The
+// first node that reads of a leaving VM announces it to the others.
 func (n *Node) vmsPeriod() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return max(vmPeriod, time.Duration(n.listedVMs-vmFew)*vmShare)
+	return max(minVMPeriod, time.Duration(n.listedVMs-vmsAtMinPeriod)*vmPeriodPerVM)
 }
 
-// loadsPeriod is the time between views that differ in load only. It grows with
-// the count of servers, whose views all reach every node; answers tell the load
-// of the servers that a node uses in between.
+// loadsPeriod returns the time between views that differ only in load. It grows with
+// the number of servers, since every view reaches every node. In between, replies
+// carry the load of the servers that a node uses.
 func (n *Node) loadsPeriod() time.Duration {
-	return max(loadPeriod, time.Duration(n.views.Len())*loadShare)
+	return max(minLoadPeriod, time.Duration(n.views.Len())*loadPeriodPerServer)
 }
 
-// seeds returns the addresses of nodes from settings and VM list.
+// seeds returns the addresses of nodes from the settings and the VM list.
 func (n *Node) seeds() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append(n.settings.seeds(), n.vmSeeds...)
 }
 
-// reloadKeys reads keys and certificates again.
+// reloadKeys reloads the key and the certificates from their files.
 func (n *Node) reloadKeys() {
 	if err := n.keys.Load(); err != nil {
-		n.log.Warn("keys not loaded, the old ones stay in use", zap.Error(err))
+		n.log.Warn("cannot reload the keys; the previous keys stay in use", zap.Error(err))
 	}
 }
 
-// shutdown ends the node's work: readiness first, then new requests, ownership,
-// requests in flight, and last the claims that are still to be written.
+// shutdown stops the node in this order: it reports that it is not ready, refuses
+// new requests, releases its servers, waits for requests in flight, writes pending
+// claims and leaves the cluster.
 func (n *Node) shutdown(ctx context.Context, release func()) {
 	n.log.Info("shutdown begins")
 	n.leaving.Store(true)
 	n.cluster.Update(func(s *member.Node) { s.Leaving = true })
-	wait(ctx, n.settings.Notice)
+	sleep(ctx, n.settings.Notice)
 	n.draining.Store(true)
 	release()
 	n.publishViews(time.Now())
-	for last := time.Now(); n.callers.Open() > 0 || n.dispatch.Active() > 0; wait(ctx, drainPoll) {
+	for last := time.Now(); n.callers.Open() > 0 || n.dispatch.Active() > 0; sleep(ctx, drainPoll) {
 		if time.Since(last) >= drainReport {
 			last = time.Now()
 			n.log.Info("shutdown-waits", zap.Int("callers", n.callers.Open()), zap.Int("dispatched", n.dispatch.Active()))
@@ -275,7 +278,7 @@
 	n.log.Info("shutdown ends")
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -284,7 +287,8 @@
 	}
 }
 
-// configPeers returns the other nodes that may have a configuration's body.
+// configPeers returns the other active nodes, from which configuration bodies can be
+// fetched.
 func (n *Node) configPeers() []configsync.Peer {
 	var out []configsync.Peer
 	for _, name := range n.cluster.Working() {
@@ -333,8 +337,8 @@
 	return r
 }
 
-// note records an event of a request for explain.
-func (n *Node) note(id, event string, fields ...zap.Field) {
+// traceEvent records an event in the trace of a request.
+func (n *Node) traceEvent(id, event string, fields ...zap.Field) {
 	out := make([]status.Field, 0, len(fields))
 	for _, f := range fields {
 		out = append(out, status.Field{Name: f.Key, Value: text(f)})
