--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	demandHalf = 5 * time.Second // half-life of a demand estimate
-	leastRate  = 1e-3            // requests a second below which an item counts as unwanted
-	tookWeight = 8               // one service time counts as one of so many
+	demandHalf        = 5 * time.Second // half-life of a demand estimate
+	minRate           = 1e-3            // requests per second below which an item's estimate is dropped
+	serviceTimeWeight = 8               // a new service time has a weight of 1/8 in the moving average
 )
 
 type (
-	// Demand learns what callers of this node ask for. It is safe for
+	// Demand estimates the demand of this node's callers. It is safe for
 	// concurrent use.
 	Demand struct {
 		mu    sync.Mutex
-		names map[string]*asked
+		names map[string]*estimate
 	}
 
-	asked struct {
-		count, urgent int // since the last report
-		rate, share   float64
-		seconds       float64
-		waiting       int
+	estimate struct {
+		count, urgent    int     // since the last report
+		rate, urgentRate float64 // all and urgent requests per second
+		seconds          float64 // average service time
+		waiting          int     // requests that wait for a copy
 	}
 )
 
-// NewDemand returns a Demand that has learned nothing.
-func NewDemand() *Demand { return &Demand{names: map[string]*asked{}} }
+// NewDemand returns a Demand without observations.
+func NewDemand() *Demand { return &Demand{names: map[string]*estimate{}} }
 
-func (d *Demand) of(name string) *asked {
+func (d *Demand) estimateOf(name string) *estimate {
 	a := d.names[name]
 	if a == nil {
-		a = &asked{}
+		a = &estimate{}
 		d.names[name] = a
 	}
 	return a
@@ -47,7 +47,7 @@
 func (d *Demand) Asked(name string, u config.Urgency) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	a := d.of(name)
+	a := d.estimateOf(name)
 	a.count++
 	if u == config.Urgent {
 		a.urgent++
@@ -58,35 +58,36 @@
 func (d *Demand) Took(name string, seconds float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	a := d.of(name)
+	a := d.estimateOf(name)
 	if a.seconds == 0 {
 		a.seconds = seconds
 	}
-	a.seconds += (seconds - a.seconds) / tookWeight
+	a.seconds += (seconds - a.seconds) / serviceTimeWeight
 }
 
-// Wanted counts requests that wait for a copy of an item.
+// Wanted adds change to the number of requests that wait for a copy of an item.
 func (d *Demand) Wanted(i backend.Item, change int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.of(i.Name).waiting += change
+	d.estimateOf(i.Name).waiting += change
 }
 
-// report returns the demand since the last report, which was period ago.
+// report updates the estimates with the requests since the last report, which was
+// period ago, and returns them.
 func (d *Demand) report(period time.Duration) []view.Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	keep := 1 - period.Seconds()/(period.Seconds()+demandHalf.Seconds())
+	decay := 1 - period.Seconds()/(period.Seconds()+demandHalf.Seconds())
 	var out []view.Demand
 	for name, a := range d.names {
-		a.rate = keep*a.rate + (1-keep)*float64(a.count)/period.Seconds()
-		a.share = keep*a.share + (1-keep)*float64(a.urgent)/period.Seconds()
+		a.rate = decay*a.rate + (1-decay)*float64(a.count)/period.Seconds()
+		a.urgentRate = decay*a.urgentRate + (1-decay)*float64(a.urgent)/period.Seconds()
 		a.count, a.urgent = 0, 0
-		if a.rate < leastRate && a.waiting == 0 {
+		if a.rate < minRate && a.waiting == 0 {
 			delete(d.names, name)
 			continue
 		}
-		out = append(out, view.Demand{Name: name, Rate: a.rate, Urgent: a.share, Seconds: a.seconds, Waiting: a.waiting})
+		out = append(out, view.Demand{Name: name, Rate: a.rate, Urgent: a.urgentRate, Seconds: a.seconds, Waiting: a.waiting})
 	}
 	return out
 }
--- a/internal/planner/doc.go
+++ b/internal/planner/doc.go
@@ -1,14 +1,16 @@
-// Package planner learns the demand of a node's callers, reports it to the node
-// that plans, and plans while this node is the one.
+// Package planner estimates the demand of a node's callers, reports it to the
+// planning node, and plans the placement while this node is the planning node.
 //
 // # Method
 //
-// Every node reports its demand to the live node that rendezvous hashing
-// chooses. That node plans with core/place and tells each owner what its servers
-// should hold; only owners give orders. Two nodes that plan at once cost moves,
-// never safety. Reports grow rarer with the count of nodes, plans are told only
-// when they changed, are not followed yet, or were told long ago, and planning
-// takes a hundredth of a processor at most.
+// Rendezvous hashing selects the planning node among the live nodes. All nodes
+// report their demand to it. It plans with core/place and sends each owner the
+// planned items of its servers; only owners send orders to engines. If two nodes
+// plan at the same time, this causes unnecessary moves but never affects safety.
+//
+// The cost is bounded: the report interval grows with the number of nodes; a plan
+// is sent only if it changed, if the server does not follow it yet, or if it was
+// last sent long ago; and planning uses at most one hundredth of a processor.
 //
 // # Usage
 //
--- a/internal/planner/input.go
+++ b/internal/planner/input.go
@@ -8,9 +8,9 @@
 	"guavapaddle/core/place"
 )
 
-// input gathers what a plan depends on.
+// input collects the input of a plan. It drops outdated demand reports.
 func (p *Planner) input(now time.Time, x *config.Index) place.Input {
-	stale := demandLosses * p.demandPeriod()
+	stale := demandExpiryPeriods * p.demandPeriod()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	doc := x.Document()
@@ -31,7 +31,8 @@
 	return in
 }
 
-// server describes one engine to the planner.
+// server returns the planning input for one engine server, and records since when
+// its items have been resident.
 func (p *Planner) server(now time.Time, s config.BackendServer, bytes sizes) place.Server {
 	v, _ := p.Views.Get(s.Name)
 	out := place.Server{
@@ -43,21 +44,21 @@
 		Reachable:      v.Reachable,
 		Leaving:        v.Leaving || p.Views.Leaving(s.Name),
 	}
-	seen := map[backend.Item]time.Time{}
-	known, before := p.since[s.Name]
+	current := map[backend.Item]time.Time{}
+	previous, hasPrevious := p.residentSince[s.Name]
 	for _, i := range v.Resident {
-		since, ok := known[i]
-		if !ok && before {
-			since = now // what was there at the first look may be old
+		residentSince, ok := previous[i]
+		if !ok && hasPrevious {
+			residentSince = now // items present at the first view have an unknown age
 		}
-		seen[i] = since
-		out.Resident = append(out.Resident, place.Copy{Item: i, Bytes: bytes.of(i), ResidentSince: since, LastUsed: p.used[i.Name]})
+		current[i] = residentSince
+		out.Resident = append(out.Resident, place.Copy{Item: i, Bytes: bytes.of(i), ResidentSince: residentSince, LastUsed: p.lastUsed[i.Name]})
 	}
-	if p.since != nil && v.Server != "" {
-		p.since[s.Name] = seen
+	if p.residentSince != nil && v.Server != "" {
+		p.residentSince[s.Name] = current
 	}
 	for _, i := range v.Loading {
-		out.Loading = append(out.Loading, place.Copy{Item: i, Bytes: bytes.of(i), ResidentSince: now, LastUsed: p.used[i.Name]})
+		out.Loading = append(out.Loading, place.Copy{Item: i, Bytes: bytes.of(i), ResidentSince: now, LastUsed: p.lastUsed[i.Name]})
 	}
 	return out
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -20,57 +20,58 @@
 )
 
 const (
-	plannerKey    = "planner"
-	plannerTick   = time.Second
-	demandPeriod  = time.Second           // between reports of demand, at least
-	demandShare   = 20 * time.Millisecond // the same for each node
-	demandLosses  = 5                     // reports that may get lost before a node counts as without demand
-	defaultPeriod = time.Second
-	planTimeout   = time.Second
+	plannerKey          = "planner"
+	plannerTick         = time.Second
+	demandPeriod        = time.Second           // minimum time between demand reports
+	demandPeriodPerNode = 20 * time.Millisecond // time between demand reports per node
+	demandExpiryPeriods = 5                     // periods after which a node's demand expires, since reports may get lost
+	defaultPeriod       = time.Second
+	planTimeout         = time.Second
 
-	// planRest is how many times as long as a plan took the next one waits, so
-	// that planning takes a hundredth of a processor at most.
-	planRest       = 100
-	planRepeat     = time.Minute     // until an owner is told again what it follows
-	planUnfollowed = 2 * time.Second // until an owner is told again what it does not follow yet
+	// planRest is the minimum time between plans as a multiple of the duration of
+	// the last one. It limits planning to one hundredth of a processor.
+	planPauseRatio     = 100
+	planResendInterval = time.Minute     // resend interval of a plan that its owner follows
+	planRetryInterval  = 2 * time.Second // resend interval of a plan that is not followed yet
 )
 
 type (
-	// Views is what the node knows of backend servers.
+	// Views provides the node's views of backend servers.
 	Views interface {
 		All() []view.Server
 		Get(server string) (view.Server, bool)
 		Leaving(server string) bool
 	}
 
-	// Planner proposes the placement while this node is chosen for it. Its
-	// exported fields are set before Run.
+	// Planner reports demand, and plans the placement while this node is the
+	// planning node. Exported fields are set before Run.
 	Planner struct {
 		Self    string // name of this node
 		Policy  place.Planner
 		Demand  *Demand
-		Index   func() *config.Index // nil if there is no configuration
-		Working func() []string      // names of the live nodes that do not leave
+		Index   func() *config.Index // returns nil if there is no configuration
+		Working func() []string      // returns the names of the live nodes that are not leaving
 		Views   Views
-		// Tell sends a message to another node, best effort.
+		// Tell sends a message to another node. Delivery is best effort.
 		Tell func(ctx context.Context, node string, k peer.Kind, v any)
-		// Follow tells this node's owner what a server should hold.
+		// Follow passes the planned items of a server to this node's owner.
 		Follow func(server string, want []backend.Item)
-		// Time measures control work of a kind until what it returns is called.
+		// Time starts measuring control work of a kind and returns the function
+		// that ends the measurement.
 		Time func(w metrics.Work) func()
 		Log  *zap.Logger
 
-		mu      sync.Mutex
-		reports map[string]report
-		since   map[string]map[backend.Item]time.Time
-		used    map[string]time.Time // by name of model or adapter
+		mu            sync.Mutex
+		reports       map[string]report
+		residentSince map[string]map[backend.Item]time.Time // start of residence by server, zero if unknown
+		lastUsed      map[string]time.Time                  // last demand by model or adapter name
 
-		previous map[string][]backend.Item // the last plan, nil if another node made it
-		told     map[string]toldPlan       // by server
+		previous  map[string][]backend.Item // this node's last plan, nil while another node plans
+		sentPlans map[string]sentPlan       // by server
 	}
 
-	// toldPlan is what was told last of a server.
-	toldPlan struct {
+	// sentPlan is the plan last sent for a server.
+	sentPlan struct {
 		owner string
 		items []backend.Item
 		at    time.Time
@@ -81,23 +82,24 @@
 		at     time.Time
 	}
 
-	// demandMessage is what a node tells the planner.
+	// demandMessage is a node's demand report to the planning node.
 	demandMessage struct {
 		Demand []view.Demand `cbor:"1,keyasint"`
 	}
 
-	// message is what the planner tells an owner.
-	message struct {
+	// planMessage carries the planned items of an owner's servers.
+	planMessage struct {
 		Plan map[string][]backend.Item `cbor:"1,keyasint"`
 	}
 )
 
-// Run plans and reports demand until ctx ends.
+// Run reports demand, and plans while this node is the planning node, until ctx
+// ends.
 func (p *Planner) Run(ctx context.Context) {
 	t := time.NewTicker(plannerTick)
 	defer t.Stop()
 	var planned time.Time
-	var took time.Duration // by the last plan
+	var took time.Duration // duration of the last plan
 	reported := time.Now()
 	for {
 		select {
@@ -110,11 +112,11 @@
 			p.reportDemand(ctx, since)
 		}
 		x := p.Index()
-		if x == nil || p.chosen() != p.Self {
-			p.previous, p.told = nil, nil
+		if x == nil || p.planningNode() != p.Self {
+			p.previous, p.sentPlans = nil, nil
 			continue
 		}
-		if now := time.Now(); now.Sub(planned) >= max(period(x), took*planRest) {
+		if now := time.Now(); now.Sub(planned) >= max(period(x), took*planPauseRatio) {
 			planned = now
 			p.plan(ctx, now, x)
 			took = time.Since(now)
@@ -129,9 +131,9 @@
 	return defaultPeriod
 }
 
-// chosen returns the node that plans. Two nodes may differ about it for a
-// while; that costs moves, never safety.
-func (p *Planner) chosen() string {
+// planningNode returns the name of the node that plans. Nodes may temporarily
+// disagree; this causes unnecessary moves but never affects safety.
+func (p *Planner) planningNode() string {
 	names := p.Working()
 	if len(names) == 0 {
 		return p.Self
@@ -139,12 +141,12 @@
 	return rendezvous.New(names, xxhash.Sum64String).Lookup(plannerKey)
 }
 
-// reportDemand tells the planner what callers of this node asked for.
+// reportDemand sends this node's demand to the planning node.
 func (p *Planner) reportDemand(ctx context.Context, since time.Duration) {
 	d := p.Demand.report(since)
-	to := p.chosen()
+	to := p.planningNode()
 	if to == p.Self {
-		p.heard(to, d)
+		p.addReport(to, d)
 		return
 	}
 	if len(d) > 0 {
@@ -152,30 +154,30 @@
 	}
 }
 
-// demandPeriod is the time between reports. It grows with the count of nodes, all
-// of which report to one.
+// demandPeriod returns the time between reports. It grows with the number of nodes,
+// since all of them report to one.
 func (p *Planner) demandPeriod() time.Duration {
-	return max(demandPeriod, time.Duration(len(p.Working()))*demandShare)
+	return max(demandPeriod, time.Duration(len(p.Working()))*demandPeriodPerNode)
 }
 
-// heard takes in a node's demand.
-func (p *Planner) heard(from string, d []view.Demand) {
+// addReport stores a node's demand report.
+func (p *Planner) addReport(from string, d []view.Demand) {
 	defer p.Time(metrics.Demand)()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reports == nil {
 		p.reports = map[string]report{}
-		p.since = map[string]map[backend.Item]time.Time{}
-		p.used = map[string]time.Time{}
+		p.residentSince = map[string]map[backend.Item]time.Time{}
+		p.lastUsed = map[string]time.Time{}
 	}
 	now := time.Now()
 	p.reports[from] = report{demand: d, at: now}
-	for _, one := range d {
-		p.used[one.Name] = now
+	for _, item := range d {
+		p.lastUsed[item.Name] = now
 	}
 }
 
-// plan makes a plan and tells the owners.
+// plan computes a plan and sends it to the owners.
 func (p *Planner) plan(ctx context.Context, now time.Time, x *config.Index) {
 	defer p.Time(metrics.Plans)()
 	in := p.input(now, x)
@@ -186,10 +188,10 @@
 		p.Log.Debug("proposed move", zap.String("server", m.Server), zap.String("item", m.Item.String()),
 			zap.String("op", string(m.Op)), zap.String("reason", string(m.Reason)))
 	}
-	byOwner := map[string]message{}
+	byOwner := map[string]planMessage{}
 	for _, v := range p.Views.All() {
 		items, ok := out.Plan[v.Server]
-		if !ok || v.Owner == "" || !p.due(now, v, items) {
+		if !ok || v.Owner == "" || !p.shouldSend(now, v, items) {
 			continue
 		}
 		m := byOwner[v.Owner]
@@ -204,51 +206,52 @@
 			p.follow(m)
 			continue
 		}
-		tell, cancel := context.WithTimeout(ctx, planTimeout)
+		sendCtx, cancel := context.WithTimeout(ctx, planTimeout)
 		go func() {
 			defer cancel()
-			p.Tell(tell, owner, cluster.KindPlan, m)
+			p.Tell(sendCtx, owner, cluster.KindPlan, m)
 		}()
 	}
 }
 
-// due tells whether a server's owner is to be told its plan: one that differs
-// from what the owner was told last, or that the server does not yet follow, or
-// that was told long ago, since messages get lost.
-func (p *Planner) due(now time.Time, v view.Server, items []backend.Item) bool {
-	last, ok := p.told[v.Server]
-	repeat := planRepeat
+// shouldSend reports whether to send a server's plan to its owner, and if so, records
+// it as sent. A plan is sent if it differs from the one last sent to that owner. It
+// is resent, since messages may be lost, after planUnfollowed if the server does not
+// follow it yet and after planRepeat otherwise.
+func (p *Planner) shouldSend(now time.Time, v view.Server, items []backend.Item) bool {
+	last, ok := p.sentPlans[v.Server]
+	interval := planResendInterval
 	if slices.ContainsFunc(items, func(i backend.Item) bool { return !v.Holds(i) }) {
-		repeat = planUnfollowed
+		interval = planRetryInterval
 	}
-	if ok && last.owner == v.Owner && now.Sub(last.at) < repeat && slices.Equal(last.items, items) {
+	if ok && last.owner == v.Owner && now.Sub(last.at) < interval && slices.Equal(last.items, items) {
 		return false
 	}
-	if p.told == nil {
-		p.told = map[string]toldPlan{}
+	if p.sentPlans == nil {
+		p.sentPlans = map[string]sentPlan{}
 	}
-	p.told[v.Server] = toldPlan{owner: v.Owner, items: items, at: now}
+	p.sentPlans[v.Server] = sentPlan{owner: v.Owner, items: items, at: now}
 	return true
 }
 
-// follow passes a plan on to this node's owner.
-func (p *Planner) follow(m message) {
+// follow passes a plan to this node's owner.
+func (p *Planner) follow(m planMessage) {
 	for server, items := range m.Plan {
 		p.Follow(server, items)
 	}
 }
 
-// Receive takes in a message of kind KindDemand or KindPlan. One that does not
-// decode is passed over: the next one comes soon.
+// Receive handles a message of kind KindDemand or KindPlan. Messages that can't be
+// decoded are ignored, since the next one follows soon.
 func (p *Planner) Receive(from string, f peer.Frame) {
 	switch f.Kind {
 	case cluster.KindDemand:
 		var m demandMessage
 		if f.Decode(&m) == nil {
-			p.heard(from, m.Demand)
+			p.addReport(from, m.Demand)
 		}
 	case cluster.KindPlan:
-		var m message
+		var m planMessage
 		if f.Decode(&m) == nil {
 			p.follow(m)
 		}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -19,15 +19,15 @@
 	"guavapaddle/io/peer"
 )
 
-// told is a message to another node.
-type told struct {
+// sentMessage is a message sent to another node.
+type sentMessage struct {
 	node  string
 	frame peer.Frame
 }
 
-// newPlanner returns a planner of node self among nodes, with one engine that
-// n2 owns.
-func newPlanner(t *testing.T, self string, nodes []string, out chan<- told) *planner.Planner {
+// newPlanner returns the planner of node self among nodes, with one engine owned by
+// n2.
+func newPlanner(t *testing.T, self string, nodes []string, out chan<- sentMessage) *planner.Planner {
 	doc := &config.Document{
 		Models: []config.Model{{Name: "m", Version: "1", Bytes: 10, MinCopies: 1}},
 		Servers: []config.BackendServer{{
@@ -48,7 +48,7 @@
 		Tell: func(_ context.Context, node string, k peer.Kind, v any) {
 			f, err := peer.Encode(k, v)
 			if err == nil {
-				out <- told{node: node, frame: f}
+				out <- sentMessage{node: node, frame: f}
 			}
 		},
 		Follow: func(string, []backend.Item) {},
@@ -57,12 +57,13 @@
 	}
 }
 
-// TestOneNodePlans runs the planners of two nodes: one of them plans and tells
-// the owner, the other only reports its demand, and the owner takes the plan in.
+// TestOneNodePlans runs the planners of two nodes and checks that the owner receives
+// a plan. One node must plan and send the plan to the owner, while the other only
+// reports its demand.
 func TestOneNodePlans(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := []string{"n1", "n2"}
-		out := make(chan told, 100)
+		out := make(chan sentMessage, 100)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		planners := map[string]*planner.Planner{}
@@ -86,13 +87,13 @@
 	})
 }
 
-// TestReceiveForeign passes over a message that does not decode.
+// TestReceiveForeign checks that messages that can't be decoded are ignored.
 func TestReceiveForeign(t *testing.T) {
-	p := newPlanner(t, "n1", []string{"n1"}, make(chan told, 1))
-	followed := false
-	p.Follow = func(string, []backend.Item) { followed = true }
+	p := newPlanner(t, "n1", []string{"n1"}, make(chan sentMessage, 1))
+	hasFollowed := false
+	p.Follow = func(string, []backend.Item) { hasFollowed = true }
 	for kind := range peer.Kind(10) {
 		p.Receive("n2", peer.Frame{Kind: kind, Body: []byte{0xff, 0x00}})
 	}
-	require.False(t, followed)
+	require.False(t, hasFollowed)
 }
--- a/internal/planner/sizes.go
+++ b/internal/planner/sizes.go
@@ -5,8 +5,8 @@
 	"guavapaddle/core/config"
 )
 
-// sizes are the bytes of models and adapters by the configuration in force. A
-// version that is not declared any more counts as large as the one that is.
+// sizes holds the bytes of models and adapters by name. A version that is no longer
+// declared counts as the size of the declared one.
 type sizes struct{ models, adapters map[string]int64 }
 
 func sizesOf(d *config.Document) sizes {
@@ -20,7 +20,7 @@
 	return s
 }
 
-// of returns the bytes of an item, zero if it is not declared.
+// of returns the bytes of an item, or zero if its name is not declared.
 func (s sizes) of(i backend.Item) int64 {
 	if i.Base != "" {
 		return s.adapters[i.Name]
