--- a/internal/engines/client.go
+++ b/internal/engines/client.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	fullRetry    = 300 * time.Millisecond
-	leavingRetry = time.Second
+	refusedRetryDelay = 300 * time.Millisecond
+	leavingRetryDelay = time.Second
 )
 
-// Client is an Engine over io/engine.
+// Client implements Engine with the client of io/engine.
 type Client struct {
 	Engine  *engine.Client
 	Options engine.StreamOptions
@@ -25,30 +25,30 @@
 	return wrap(c.Engine.Generate(ctx, g, c.Options))
 }
 
-// Resume asks for the rest of a generation.
+// Resume resumes a generation from an offset.
 func (c *Client) Resume(ctx context.Context, r backend.Resume) (Stream, error) {
 	return wrap(c.Engine.Resume(ctx, r, c.Options))
 }
 
-// Cancel ends a generation.
+// Cancel cancels a generation.
 func (c *Client) Cancel(ctx context.Context, requestID string) error {
 	return c.Engine.Cancel(ctx, requestID)
 }
 
-// Fate tells what an error of the client means.
+// Fate implements Engine.
 func (c *Client) Fate(err error) (Fate, outcome.Reason, time.Duration) {
 	notRun := engine.NotRun(err)
 	switch kind := engine.KindOf(err); {
 	case kind == engine.NotSent:
-		return NotSent, outcome.BackendUnreachable, leavingRetry
+		return NotSent, outcome.BackendUnreachable, leavingRetryDelay
 	case kind == engine.NotResident && notRun:
-		return NotRun, outcome.NoCopy, fullRetry
+		return NotRun, outcome.NoCopy, refusedRetryDelay
 	case kind == engine.Full && notRun:
-		return NotRun, outcome.QueueFull, fullRetry
+		return NotRun, outcome.QueueFull, refusedRetryDelay
 	case kind == engine.Leaving && notRun:
-		return NotRun, outcome.ServerLeaving, leavingRetry
+		return NotRun, outcome.ServerLeaving, leavingRetryDelay
 	case notRun:
-		return NotRun, outcome.BackendRefused, fullRetry
+		return NotRun, outcome.BackendRefused, refusedRetryDelay
 	case kind == engine.UnknownRequest:
 		return Unknown, outcome.BackendLost, 0
 	case kind == engine.Lost, kind == engine.Silent, kind == engine.Cut, kind == engine.Duplicate:
@@ -60,7 +60,7 @@
 	}
 }
 
-// wrap keeps a nil stream from becoming a non-nil interface.
+// wrap prevents a nil *engine.Stream from becoming a non-nil Stream.
 func wrap(s *engine.Stream, err error) (Stream, error) {
 	if err != nil {
 		return nil, err
--- a/internal/engines/engines.go
+++ b/internal/engines/engines.go
@@ -1,21 +1,22 @@
-// Package engines runs one generation at one model engine and keeps it going
-// when connections break or go silent.
+// Package engines runs one generation on one model engine and resumes it when
+// connections break or stall.
 //
 // # Method
 //
-// The engine goes on with a generation when its connection breaks, so a broken
-// or silent stream is resumed over a new connection from the next offset, up to
-// MaxResumes times without progress. If the new connection can't be opened, or
-// the engine no longer knows the request, the generation is lost. Tokens reach
-// the sink in order, each once: an event whose offset is not the next ends the
-// stream as broken.
+// An engine continues a generation when its connection breaks. A broken or stalled
+// stream is therefore resumed over a new connection from the next offset, up to
+// MaxResumes times without progress. If the new connection can't be opened, or the
+// engine no longer knows the request, the generation is lost. The sink receives each
+// token once and in order: repeated tokens after a resumption are dropped, and any
+// other unexpected offset fails the generation.
 //
 // # Usage
 //
 //	err := engines.Run(ctx, engine, forward.Job{...}, priority, sink)
 //
-// The error is an *outcome.Error. RefusedNotRun is said only if the engine's
-// client affirms that nothing was sent, or the engine that it did not run.
+// The error is an *outcome.Error, or a *SinkError if the sink failed. The outcome is
+// RefusedNotRun only if the engine's client confirms that nothing was sent, or the
+// engine confirms that it did not run the request.
 package engines
 
 import (
@@ -30,36 +31,36 @@
 )
 
 const (
-	// MaxResumes is how often a stream is resumed without a token in between.
+	// MaxResumes is the maximum number of consecutive resumptions without a token.
 	MaxResumes = 2
-	// FinishCancelled is the finish of a generation that was cancelled.
+	// FinishCancelled is the finish reason of a cancelled generation.
 	FinishCancelled = "cancelled"
 
 	cancelTimeout = time.Second
 )
 
-// Fate tells what a failure of an engine call means for the request.
+// Fate classifies the failure of an engine call by its consequence for the request.
 type Fate int
 
 const (
-	// Broken means that the request may run on and can be resumed.
+	// Broken means that the request may still be running and can be resumed.
 	Broken Fate = iota
 	// NotSent means that no byte of the request was written.
 	NotSent
-	// NotRun means that the engine affirmed that it did not run the request.
+	// NotRun means that the engine confirmed that it did not run the request.
 	NotRun
-	// Failed means that the engine answered that the request failed.
+	// Failed means that the engine reported that the request failed.
 	Failed
 	// Unknown means that the engine does not know the request to resume.
 	Unknown
 )
 
 type (
-	// Stream gives the events of one answer.
+	// Stream returns the events of one generation.
 	Stream interface {
-		// Next returns the next event. An event with Finish is the last.
+		// Next returns the next event. The event with Finish set is the last.
 		Next() (backend.Event, error)
-		// Close closes the connection if the stream did not end.
+		// Close closes the connection if the stream has not ended.
 		Close()
 	}
 
@@ -68,25 +69,26 @@
 		Generate(ctx context.Context, g backend.Generate) (Stream, error)
 		Resume(ctx context.Context, r backend.Resume) (Stream, error)
 		Cancel(ctx context.Context, requestID string) error
-		// Fate tells what an error of Generate, Resume or Next means.
+		// Fate classifies an error of Generate, Resume or Next, and returns the
+		// reason to report and the delay before a retry.
 		Fate(err error) (Fate, outcome.Reason, time.Duration)
 	}
 
-	// Sink takes the tokens of an answer. An error ends the generation's
-	// delivery, not the generation.
+	// Sink receives the tokens of a generation. An error ends the delivery but not
+	// the generation.
 	Sink func(r forward.Reply) error
 
-	// SinkError is an error of the sink: who asked is gone.
+	// SinkError is an error of the sink: the requester is gone.
 	SinkError struct{ Err error }
 
-	// run is one generation.
+	// run is the state of one generation.
 	run struct {
 		engine  Engine
 		job     forward.Job
 		sink    Sink
 		offset  int
 		started bool // the engine has sent an event, or the job is a resumption
-		resumes int  // since the last token
+		resumes int  // resumptions since the last token
 	}
 )
 
@@ -96,9 +98,8 @@
 // Unwrap returns the sink's error.
 func (e *SinkError) Unwrap() error { return e.Err }
 
-// Run generates and delivers the answer of job. It returns nil after the
-// finish was delivered, a *SinkError if who asked is gone, and an
-// *outcome.Error otherwise.
+// Run runs job and delivers its tokens to sink. It returns nil after it delivered
+// the finish, a *SinkError if the sink failed, and an *outcome.Error otherwise.
 func Run(ctx context.Context, e Engine, job forward.Job, priority int, sink Sink) error {
 	r := &run{engine: e, job: job, sink: sink, offset: job.Offset, started: job.Resume}
 	var s Stream
@@ -114,22 +115,22 @@
 			s.Close()
 		}
 		if err == nil || ctx.Err() != nil {
-			return r.ended(ctx, err)
+			return r.result(ctx, err)
 		}
-		if s, err = r.again(ctx, err); err != nil {
+		if s, err = r.resumeAfter(ctx, err); err != nil {
 			return err
 		}
 	}
 }
 
-// Cancel ends a generation at the engine, best effort.
+// Cancel cancels a generation on the engine. It ignores errors.
 func Cancel(e Engine, engineID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	_ = e.Cancel(ctx, engineID)
 }
 
-// deliver passes events on until the finish.
+// deliver passes events to the sink until the finish.
 func (r *run) deliver(s Stream) error {
 	for {
 		ev, err := s.Next()
@@ -141,7 +142,7 @@
 			return outcome.Fail(outcome.BackendFailed, "cancelled at the engine")
 		}
 		if ev.Finish == "" && ev.Offset < r.offset {
-			continue // an overlap after a resumption
+			continue // repeated by the engine after a resumption
 		}
 		if ev.Offset != r.offset {
 			return outcome.Fail(outcome.BackendCut, fmt.Sprintf("offset %d, want %d", ev.Offset, r.offset))
@@ -158,8 +159,9 @@
 	}
 }
 
-// ended gives the error of a generation whose context ended, or of its end.
-func (r *run) ended(ctx context.Context, err error) error {
+// result returns the final error of a generation that finished or whose context
+// ended.
+func (r *run) result(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -172,8 +174,9 @@
 	return outcome.Fail(outcome.CallerGone, "")
 }
 
-// again resumes after err, or says how the generation ended.
-func (r *run) again(ctx context.Context, err error) (Stream, error) {
+// resumeAfter resumes the generation after err. If it can't be resumed, it returns
+// the final error.
+func (r *run) resumeAfter(ctx context.Context, err error) (Stream, error) {
 	if _, ok := errors.AsType[*SinkError](err); ok {
 		return nil, err
 	}
@@ -181,16 +184,16 @@
 		return nil, e
 	}
 	for {
-		fate, reason, after := r.engine.Fate(err)
+		class, reason, retryAfter := r.engine.Fate(err)
 		switch {
-		case !r.started && (fate == NotSent || fate == NotRun):
-			return nil, outcome.Refuse(reason, err.Error(), after)
-		case fate == Failed:
+		case !r.started && (class == NotSent || class == NotRun):
+			return nil, outcome.Refuse(reason, err.Error(), retryAfter)
+		case class == Failed:
 			return nil, outcome.Fail(reason, err.Error())
-		case fate != Broken || r.resumes >= MaxResumes:
+		case class != Broken || r.resumes >= MaxResumes:
 			return nil, outcome.Fail(outcome.BackendLost, err.Error())
 		}
-		r.started = true // from here on it may run
+		r.started = true // from here on the engine may be running the request
 		r.resumes++
 		var s Stream
 		s, err = r.engine.Resume(ctx, backend.Resume{RequestID: r.job.EngineID, Offset: r.offset})
@@ -198,7 +201,7 @@
 			return s, nil
 		}
 		if ctx.Err() != nil {
-			return nil, r.ended(ctx, err)
+			return nil, r.result(ctx, err)
 		}
 	}
 }
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -17,59 +17,59 @@
 )
 
 var (
-	errBroken  = errors.New("broken")
-	errNotSent = errors.New("not sent")
-	errNotRun  = errors.New("not run")
-	errFailed  = errors.New("failed")
-	errUnknown = errors.New("unknown request")
+	errInterrupted = errors.New("broken")
+	errNotSent     = errors.New("not sent")
+	errNotRun      = errors.New("not run")
+	errFailed      = errors.New("failed")
+	errUnknown     = errors.New("unknown request")
 )
 
 type (
-	// fake is an engine whose connections break as scripted: the n-th
-	// connection delivers breaks[n] events and then fails.
-	fake struct {
-		tokens  int
-		breaks  []int
-		overlap int   // tokens that a resumption repeats
-		open    error // of the first connection
-		resume  error // of every resumption
-		calls   int
+	// fakeEngine is an engine whose connections break as scripted: connection n delivers
+	// breaks[n] events and then fails.
+	fakeEngine struct {
+		tokens      int
+		breaks      []int
+		overlap     int   // number of tokens that a resumption repeats
+		generateErr error // error of Generate
+		resumeErr   error // error of Resume
+		connections int   // number of connections
 	}
 
-	stream struct {
-		f    *fake
-		next int
-		left int // events until the connection breaks, negative for never
-		err  error
+	fakeStream struct {
+		f         *fakeEngine
+		next      int
+		remaining int // events until the connection breaks; negative means never
+		err       error
 	}
 )
 
-func (f *fake) connect(offset int) (engines.Stream, error) {
-	left := -1
-	if f.calls < len(f.breaks) {
-		left = f.breaks[f.calls]
+func (f *fakeEngine) connect(offset int) (engines.Stream, error) {
+	remaining := -1
+	if f.connections < len(f.breaks) {
+		remaining = f.breaks[f.connections]
 	}
-	f.calls++
-	return &stream{f: f, next: offset, left: left, err: errBroken}, nil
+	f.connections++
+	return &fakeStream{f: f, next: offset, remaining: remaining, err: errInterrupted}, nil
 }
 
-func (f *fake) Generate(context.Context, backend.Generate) (engines.Stream, error) {
-	if f.open != nil {
-		return nil, f.open
+func (f *fakeEngine) Generate(context.Context, backend.Generate) (engines.Stream, error) {
+	if f.generateErr != nil {
+		return nil, f.generateErr
 	}
 	return f.connect(0)
 }
 
-func (f *fake) Resume(_ context.Context, r backend.Resume) (engines.Stream, error) {
-	if f.resume != nil {
-		return nil, f.resume
+func (f *fakeEngine) Resume(_ context.Context, r backend.Resume) (engines.Stream, error) {
+	if f.resumeErr != nil {
+		return nil, f.resumeErr
 	}
 	return f.connect(max(0, r.Offset-f.overlap))
 }
 
-func (f *fake) Cancel(context.Context, string) error { return nil }
+func (f *fakeEngine) Cancel(context.Context, string) error { return nil }
 
-func (f *fake) Fate(err error) (engines.Fate, outcome.Reason, time.Duration) {
+func (f *fakeEngine) Fate(err error) (engines.Fate, outcome.Reason, time.Duration) {
 	switch {
 	case errors.Is(err, errNotSent):
 		return engines.NotSent, outcome.BackendUnreachable, time.Second
@@ -83,11 +83,11 @@
 	return engines.Broken, outcome.BackendLost, 0
 }
 
-func (s *stream) Next() (backend.Event, error) {
-	if s.left == 0 {
+func (s *fakeStream) Next() (backend.Event, error) {
+	if s.remaining == 0 {
 		return backend.Event{}, s.err
 	}
-	s.left--
+	s.remaining--
 	e := backend.Event{Offset: s.next, Token: "t"}
 	if s.next == s.f.tokens {
 		e = backend.Event{Offset: s.next, Finish: "stop"}
@@ -96,10 +96,11 @@
 	return e, nil
 }
 
-func (*stream) Close() {}
+func (*fakeStream) Close() {}
 
-// run returns the offsets that came before the finish, and the error.
-func run(f *fake, job forward.Job) (offsets []int, finished bool, err error) {
+// run runs a job on f and returns the offsets of the delivered tokens, whether the
+// finish was delivered, and the error.
+func run(f *fakeEngine, job forward.Job) (offsets []int, finished bool, err error) {
 	err = engines.Run(context.Background(), f, job, 0, func(r forward.Reply) error {
 		if r.Finish != "" {
 			finished = true
@@ -113,32 +114,32 @@
 
 func TestRun(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		fake    fake
-		job     forward.Job
-		tokens  int
-		outcome outcome.Outcome // empty for done
-		reason  outcome.Reason
+		name       string
+		fakeEngine fakeEngine
+		job        forward.Job
+		tokens     int
+		outcome    outcome.Outcome // empty for success
+		reason     outcome.Reason
 	}{
-		{name: "whole", fake: fake{tokens: 5}, tokens: 5},
-		{name: "broken twice", fake: fake{tokens: 5, breaks: []int{2, 2}}, tokens: 5},
-		{name: "repeats after a resumption", fake: fake{tokens: 5, breaks: []int{3}, overlap: 2}, tokens: 5},
-		{name: "broken before the first token", fake: fake{tokens: 5, breaks: []int{0}}, tokens: 5},
-		{name: "resumed from the start", fake: fake{tokens: 5}, job: forward.Job{Resume: true, Offset: 3}, tokens: 2},
-		{name: "silent for good", fake: fake{tokens: 5, breaks: []int{2, 0, 0, 0, 0}}, tokens: 2,
+		{name: "whole", fakeEngine: fakeEngine{tokens: 5}, tokens: 5},
+		{name: "broken twice", fakeEngine: fakeEngine{tokens: 5, breaks: []int{2, 2}}, tokens: 5},
+		{name: "repeats after a resumption", fakeEngine: fakeEngine{tokens: 5, breaks: []int{3}, overlap: 2}, tokens: 5},
+		{name: "broken before the first token", fakeEngine: fakeEngine{tokens: 5, breaks: []int{0}}, tokens: 5},
+		{name: "resumed from the start", fakeEngine: fakeEngine{tokens: 5}, job: forward.Job{Resume: true, Offset: 3}, tokens: 2},
+		{name: "no progress after resumptions", fakeEngine: fakeEngine{tokens: 5, breaks: []int{2, 0, 0, 0, 0}}, tokens: 2,
 			outcome: outcome.FailedAfterStart, reason: outcome.BackendLost},
-		{name: "gone after a break", fake: fake{tokens: 5, breaks: []int{2}, resume: errNotSent}, tokens: 2,
+		{name: "unreachable after a break", fakeEngine: fakeEngine{tokens: 5, breaks: []int{2}, resumeErr: errNotSent}, tokens: 2,
 			outcome: outcome.FailedAfterStart, reason: outcome.BackendLost},
-		{name: "forgotten after a break", fake: fake{tokens: 5, breaks: []int{2}, resume: errUnknown}, tokens: 2,
+		{name: "request unknown after a break", fakeEngine: fakeEngine{tokens: 5, breaks: []int{2}, resumeErr: errUnknown}, tokens: 2,
 			outcome: outcome.FailedAfterStart, reason: outcome.BackendLost},
-		{name: "unreachable", fake: fake{open: errNotSent}, outcome: outcome.RefusedNotRun, reason: outcome.BackendUnreachable},
-		{name: "affirmed not run", fake: fake{open: errNotRun}, outcome: outcome.RefusedNotRun, reason: outcome.QueueFull},
-		{name: "failed", fake: fake{open: errFailed}, outcome: outcome.FailedAfterStart, reason: outcome.BackendFailed},
-		{name: "sent, then unreachable", fake: fake{open: errBroken, resume: errNotSent},
+		{name: "unreachable", fakeEngine: fakeEngine{generateErr: errNotSent}, outcome: outcome.RefusedNotRun, reason: outcome.BackendUnreachable},
+		{name: "confirmed not run", fakeEngine: fakeEngine{generateErr: errNotRun}, outcome: outcome.RefusedNotRun, reason: outcome.QueueFull},
+		{name: "failed", fakeEngine: fakeEngine{generateErr: errFailed}, outcome: outcome.FailedAfterStart, reason: outcome.BackendFailed},
+		{name: "sent, then unreachable", fakeEngine: fakeEngine{generateErr: errInterrupted, resumeErr: errNotSent},
 			outcome: outcome.FailedAfterStart, reason: outcome.BackendLost},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			offsets, finished, err := run(&test.fake, test.job)
+			offsets, finished, err := run(&test.fakeEngine, test.job)
 			require.Len(t, offsets, test.tokens)
 			for i, o := range offsets {
 				require.Equal(t, test.job.Offset+i, o)
@@ -155,11 +156,12 @@
 	}
 }
 
-// TestInvariantTokensOnce breaks streams anywhere and lets resumptions repeat
-// tokens: each token comes once and in order, and a finish only after all.
+// TestInvariantTokensOnce guards against lost, repeated or reordered tokens when
+// streams break at random points and resumptions repeat tokens. The finish must come
+// only after all tokens.
 func TestInvariantTokensOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		f := &fake{
+		f := &fakeEngine{
 			tokens:  rapid.IntRange(0, 30).Draw(r, "tokens"),
 			breaks:  rapid.SliceOfN(rapid.IntRange(0, 8), 0, 12).Draw(r, "breaks"),
 			overlap: rapid.IntRange(0, 5).Draw(r, "overlap"),
@@ -175,10 +177,10 @@
 	})
 }
 
-// TestSinkGone shows that an error of the sink ends the delivery and is told
-// apart from the engine's failures.
+// TestSinkGone checks that an error of the sink ends the delivery and is
+// distinguished from failures of the engine.
 func TestSinkGone(t *testing.T) {
-	err := engines.Run(context.Background(), &fake{tokens: 5}, forward.Job{}, 0, func(forward.Reply) error { return io.ErrClosedPipe })
+	err := engines.Run(context.Background(), &fakeEngine{tokens: 5}, forward.Job{}, 0, func(forward.Reply) error { return io.ErrClosedPipe })
 	var gone *engines.SinkError
 	require.ErrorAs(t, err, &gone)
 	require.ErrorIs(t, err, io.ErrClosedPipe)
