--- a/internal/views/bench_test.go
+++ b/internal/views/bench_test.go
@@ -13,21 +13,22 @@
 	"guavapaddle/internal/views"
 )
 
-const itemsEach = 12
+const itemsPerServer = 12
 
-var sizes = []int{20, 100, 300, 600}
+var serverCounts = []int{20, 100, 300, 600}
 
 func server(i int) view.Server {
 	v := view.Server{Server: fmt.Sprintf("engine-%03d", i), Owner: "node-001", Epoch: 1, BootID: "engine-1-1700000000000000000-1", Slots: 64, Reachable: true}
-	for j := range itemsEach {
+	for j := range itemsPerServer {
 		v.Resident = append(v.Resident, backend.Item{Name: fmt.Sprintf("model-%04d", j), Version: "1"})
 	}
 	return v
 }
 
-// BenchmarkPutAll takes a view in and lists all, as a request after a change does.
+// BenchmarkPutAll measures storing a view and listing all views, as happens when a
+// request follows a change.
 func BenchmarkPutAll(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range serverCounts {
 		b.Run(fmt.Sprint("servers=", n), func(b *testing.B) {
 			s := views.New()
 			for i := range n {
@@ -44,7 +45,7 @@
 	}
 }
 
-// BenchmarkEncode encodes and decodes a message with one view, or one load.
+// BenchmarkEncode measures encoding and decoding a message with one view or one load.
 func BenchmarkEncode(b *testing.B) {
 	view, _ := cbor.Marshal(server(1))
 	load, _ := cbor.Marshal(forward.Load{Running: 30, Queued: 3, Slots: 64, WaitMS: 120})
@@ -59,8 +60,8 @@
 					b.Fatal(err)
 				}
 				size = len(text)
-				var back member.Message
-				if err := cbor.Unmarshal(text, &back); err != nil {
+				var decoded member.Message
+				if err := cbor.Unmarshal(text, &decoded); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -1,12 +1,12 @@
-// Package views holds what a node knows of backend servers: the views that
-// owners spread, and the load that they tell with each answer.
+// Package views stores what a node knows of backend servers: the views that owners
+// publish, and the load that owners report with each reply.
 //
 // # Usage
 //
 //	s := views.New()
 //	s.Put(v)                     // from gossip
-//	s.Heard("gpu-1", load)       // from an answer
-//	for _, v := range s.All() {} // shared, not to be changed
+//	s.Heard("gpu-1", load)       // from a reply
+//	for _, v := range s.All() {} // shared slice, must not be modified
 package views
 
 import (
@@ -19,12 +19,12 @@
 	"guavapaddle/core/view"
 )
 
-// Store holds views. It is safe for concurrent use.
+// Store stores the newest view of each server. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	views   map[string]view.Server
-	heard   map[string]forward.Load // since the last view
-	leaving map[string]bool         // by other sources than the owner
+	loads   map[string]forward.Load // load reported since the last view
+	leaving map[string]bool         // reported by sources other than the owner
 	all     []view.Server           // cache, nil if stale
 	changed chan struct{}
 }
@@ -33,13 +33,14 @@
 func New() *Store {
 	return &Store{
 		views:   map[string]view.Server{},
-		heard:   map[string]forward.Load{},
+		loads:   map[string]forward.Load{},
 		leaving: map[string]bool{},
 		changed: make(chan struct{}),
 	}
 }
 
-// Put takes a view in if it is newer and tells whether it was.
+// Put stores a view if it is newer than the stored one. It reports whether it was
+// stored.
 func (s *Store) Put(v view.Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,25 +48,25 @@
 		return false
 	}
 	s.views[v.Server] = v
-	delete(s.heard, v.Server)
-	s.touch()
+	delete(s.loads, v.Server)
+	s.changedLocked()
 	return true
 }
 
-// Keep forgets the views of servers that are not declared.
+// Keep removes the views of servers that are not declared.
 func (s *Store) Keep(declared func(server string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name := range s.views {
 		if !declared(name) {
 			delete(s.views, name)
-			s.touch()
+			s.changedLocked()
 		}
 	}
 }
 
-// SetLeaving tells the names of all servers that leave by another source than
-// their owner, such as the VM list.
+// SetLeaving sets the names of all servers that are reported as leaving by a source
+// other than their owner, such as the VM list.
 func (s *Store) SetLeaving(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,27 +76,28 @@
 	}
 	if !maps.Equal(s.leaving, leaving) {
 		s.leaving = leaving
-		s.touch()
+		s.changedLocked()
 	}
 }
 
-// Leaving tells whether a server is known to leave by any source.
+// Leaving reports whether any source reports a server as leaving.
 func (s *Store) Leaving(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaving[server] || s.views[server].Leaving
 }
 
-// Heard notes the load of a server that its owner told with an answer. It does
+// Heard stores the load of a server that its owner reported with a reply. It does
 // not count as a change.
 func (s *Store) Heard(server string, l forward.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[server] = l
+	s.loads[server] = l
 	s.all = nil
 }
 
-// All returns the views by name with the latest load. The slice is shared.
+// All returns the views with the latest load, ordered by name. The slice is shared
+// and must not be modified.
 func (s *Store) All() []view.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +106,7 @@
 	}
 	all := make([]view.Server, 0, len(s.views))
 	for name, v := range s.views {
-		if l, ok := s.heard[name]; ok {
+		if l, ok := s.loads[name]; ok {
 			v.Running, v.Queued, v.WaitMS = l.Running, l.Queued, l.WaitMS
 		}
 		v.Leaving = v.Leaving || s.leaving[name]
@@ -115,14 +117,14 @@
 	return all
 }
 
-// Len returns how many servers are known.
+// Len returns the number of stored views.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.views)
 }
 
-// Get returns the view of a server.
+// Get returns the stored view of a server, without later load reports.
 func (s *Store) Get(server string) (view.Server, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,8 +139,8 @@
 	return s.changed
 }
 
-// touch tells of a change. The lock is held.
-func (s *Store) touch() {
+// changedLocked drops the cache and signals a change. The caller holds s.mu.
+func (s *Store) changedLocked() {
 	s.all = nil
 	close(s.changed)
 	s.changed = make(chan struct{})
