--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -23,7 +23,7 @@
 	publishPeriod       = 50 * time.Millisecond
 	configPeriod        = 250 * time.Millisecond
 	minLoadPeriod       = 3 * time.Second        // minimum time between views that differ only in load
-	loadPeriodPerServer = 50 * time.Millisecond  // added to that minimum per known server
+	loadPeriodPerServer = 50 * time.Millisecond  // minimum time between such views, per known server
 	minVMPeriod         = time.Second            // minimum time between reads of the VM list
 	vmPeriodPerVM       = 100 * time.Millisecond // time between reads per listed VM beyond vmFew
 	vmsAtMinPeriod      = 40
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -36,8 +36,8 @@
 	return []prometheus.Collector{m.Orders, m.Moves, m.Refused, m.Leases, m.Restarts, m.Memory}
 }
 
-// forget deletes the gauges of a server that is no longer owned.
-func (m *Metrics) forget(server string) {
+// deleteServer deletes the gauges of a server that is no longer owned.
+func (m *Metrics) deleteServer(server string) {
 	m.Memory.DeletePartialMatch(prometheus.Labels{"server": server})
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -270,7 +270,7 @@
 	}
 	delete(o.workers, server)
 	delete(o.views, server)
-	o.Metrics.forget(server)
+	o.Metrics.deleteServer(server)
 	return true
 }
 
