--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -187,7 +187,7 @@
 	var records []ledger.Record
 	if len(r.Orders) > 0 {
 		if err := json.Unmarshal(r.Orders, &records); err != nil {
-			w.log.Error("cannot decode the orders in the server's row; no orders are sent", zap.Error(err))
+			w.log.Error("orders in the server's row can't be read; no orders are sent", zap.Error(err))
 			return
 		}
 	}
