--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -28,20 +28,21 @@
 )
 
 type (
-	// service is a plain service of several servers with a journal.
+	// service simulates a plain service on several servers and records sends and
+	// runs.
 	service struct {
 		mu    sync.Mutex
-		fault func(server string, r call.Request) string // how a send ends
+		fault func(server string, r call.Request) string // returns the fault of a send, see Send
 		runs  []run
 		sends []run
 		down  map[string]bool
 	}
 
-	// run is one run of a call.
+	// run is one recorded run of a call.
 	run struct{ server, request, key, body string }
 )
 
-// Send implements call.Backend. The fault is "" for an answer, "unreachable",
+// Send implements call.Backend. The fault is "" for a response, "unreachable",
 // "refused", "lost before it ran", "lost", "silent" or "crash".
 func (s *service) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Answer, error) {
 	s.mu.Lock()
@@ -52,10 +53,10 @@
 	if s.down[b.Name] {
 		fault = "unreachable"
 	}
-	me := run{server: b.Name, request: r.RequestID, key: r.IdempotencyKey, body: string(r.Body)}
-	s.sends = append(s.sends, me)
+	sent := run{server: b.Name, request: r.RequestID, key: r.IdempotencyKey, body: string(r.Body)}
+	s.sends = append(s.sends, sent)
 	if !slices.Contains([]string{"unreachable", "refused", "lost before it ran"}, fault) {
-		s.runs = append(s.runs, me)
+		s.runs = append(s.runs, sent)
 	}
 	if fault == "crash" {
 		s.down[b.Name] = true
@@ -83,11 +84,12 @@
 	return !s.down[b.Name]
 }
 
-// answer is what a server answers to r.
+// answer returns the response body for r.
 func answer(r call.Request) []byte { return []byte("answer to " + string(r.Body)) }
 
-// node returns a Caller with its store on table and servers of the service.
-func node(t *testing.T, name string, s *service, table claims.Table, servers int) *call.Caller {
+// newNode returns a Caller with a claim store on table and the given number of
+// servers.
+func newNode(t *testing.T, name string, s *service, table claims.Table, servers int) *call.Caller {
 	if s.down == nil {
 		s.down = map[string]bool{}
 	}
@@ -95,7 +97,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { store.Run(ctx); close(done) }()
-	t.Cleanup(func() { cancel(); await.Value(t, done, "the store's end") })
+	t.Cleanup(func() { cancel(); await.Value(t, done, "end of the store") })
 	var list []config.BackendServer
 	for i := range servers {
 		list = append(list, config.BackendServer{Name: fmt.Sprint("s", i), Type: config.Service, Service: "bookings"})
@@ -105,7 +107,7 @@
 	return &call.Caller{Servers: pool, Backend: s, Claims: store, Prober: s, Seed: 1}
 }
 
-// request returns a request.
+// request returns a call of the simulated service.
 func request(kind config.Kind, id, key, body string) call.Request {
 	return call.Request{
 		Team: "corella", Kind: kind, Service: "bookings", Method: "POST", Path: "/bookings/confirm",
@@ -113,21 +115,22 @@
 	}
 }
 
-// always returns a fault function that ends every send in the same way.
-func always(fault string) func(string, call.Request) string {
+// alwaysFault returns a fault function that returns the same fault for every
+// send.
+func alwaysFault(fault string) func(string, call.Request) string {
 	return func(string, call.Request) string { return fault }
 }
 
-// ends demands that err has the outcome and the reason.
-func ends(t *testing.T, err error, o outcome.Outcome, r outcome.Reason) {
+// requireOutcome requires that err has the outcome and the reason.
+func requireOutcome(t *testing.T, err error, o outcome.Outcome, r outcome.Reason) {
 	t.Helper()
 	require.Error(t, err)
 	require.Equal(t, o, outcome.From(err).Outcome)
 	require.Equal(t, r, outcome.From(err).Reason)
 }
 
-// TestInvariantRefusedNotRunReasons: for each reason for which a call of a plain
-// service is refused as not run, the journal shows that it did not run.
+// TestInvariantRefusedNotRunReasons guards against a call that is refused as not
+// run, for any reason, although it ran or runs later.
 func TestInvariantRefusedNotRunReasons(t *testing.T) {
 	past := request(book, "r1", "k1", "b")
 	past.Deadline = time.UnixMilli(1)
@@ -151,17 +154,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &service{fault: always(c.fault)}
+				s := &service{fault: alwaysFault(c.fault)}
 				table := tabletest.New()
 				table.SetFault(func(tabletest.Call) tabletest.Fault { return c.table })
-				n := node(t, "n1", s, table, c.servers)
+				n := newNode(t, "n1", s, table, c.servers)
 				_, err := n.Do(t.Context(), c.request)
-				ends(t, err, outcome.RefusedNotRun, c.reason)
+				requireOutcome(t, err, outcome.RefusedNotRun, c.reason)
 				require.Empty(t, s.runs)
 				table.SetFault(nil)
 				s.fault = nil
 				time.Sleep(30 * time.Second)
-				require.Empty(t, s.runs, "nor does it run later")
+				require.Empty(t, s.runs, "it does not run later either")
 				if c.servers > 0 && c.reason != outcome.DeadlinePassed {
 					_, err = n.Do(t.Context(), c.request)
 					require.NoError(t, err, "a repeat runs")
@@ -171,8 +174,9 @@
 	}
 }
 
-// TestInvariantAtMostOnceSend: how a call that may not be repeated ends when its
-// one send fails, and what repeats are told, also through another node.
+// TestInvariantAtMostOnceSend guards against a second send of a call that is not
+// repeatable after its only send failed. A repeat, also through another node,
+// gets the outcome unknown.
 func TestInvariantAtMostOnceSend(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault, key string
@@ -188,11 +192,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &service{fault: always(c.fault)}
+				s := &service{fault: alwaysFault(c.fault)}
 				table := tabletest.New()
-				n := node(t, "n1", s, table, 3)
+				n := newNode(t, "n1", s, table, 3)
 				_, err := n.Do(t.Context(), request(book, "r1", c.key, "b"))
-				ends(t, err, outcome.Unknown, outcome.BackendLost)
+				requireOutcome(t, err, outcome.Unknown, outcome.BackendLost)
 				require.Len(t, s.runs, c.ran)
 				require.Len(t, s.sends, 1, "sent once")
 				if c.key == "" {
@@ -200,15 +204,15 @@
 				}
 				s.fault = nil
 				time.Sleep(time.Second)
-				_, err = node(t, "n2", s, table, 3).Do(t.Context(), request(book, "r2", c.key, "b"))
-				ends(t, err, outcome.Unknown, outcome.BackendLost)
+				_, err = newNode(t, "n2", s, table, 3).Do(t.Context(), request(book, "r2", c.key, "b"))
+				requireOutcome(t, err, outcome.Unknown, outcome.BackendLost)
 				require.Len(t, s.sends, 1)
 			})
 		})
 	}
 }
 
-func TestKeyedCallGoesToAnotherServerWhenItDidNotRun(t *testing.T) {
+func TestKeyedCallRetriesOnAnotherServerIfNotRun(t *testing.T) {
 	for _, fault := range []string{"unreachable", "refused"} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &service{}
@@ -220,7 +224,7 @@
 				}
 				return ""
 			}
-			n := node(t, "n1", s, tabletest.New(), 2)
+			n := newNode(t, "n1", s, tabletest.New(), 2)
 			a, err := n.Do(t.Context(), request(book, "r1", "k1", "b"))
 			require.NoError(t, err)
 			require.NotEqual(t, first, a.Server)
@@ -229,23 +233,23 @@
 	}
 }
 
-func TestRepeatGetsTheStoredAnswer(t *testing.T) {
+func TestRepeatReturnsStoredAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &service{}
 		table := tabletest.New()
 		r := request(book, "r1", "k1", "b")
-		a, err := node(t, "n1", s, table, 2).Do(t.Context(), r)
+		a, err := newNode(t, "n1", s, table, 2).Do(t.Context(), r)
 		require.NoError(t, err)
 		require.False(t, a.Stored)
 		time.Sleep(100 * time.Millisecond)
-		other := node(t, "n2", s, table, 2)
+		other := newNode(t, "n2", s, table, 2)
 		again, err := other.Do(t.Context(), r)
 		require.NoError(t, err)
 		require.True(t, again.Stored)
 		require.Equal(t, a.Body, again.Body)
 		r.Body = []byte("other")
 		_, err = other.Do(t.Context(), r)
-		ends(t, err, outcome.RefusedNotRun, outcome.KeyReused)
+		requireOutcome(t, err, outcome.RefusedNotRun, outcome.KeyReused)
 		r.Team = "kabinaki"
 		b, err := other.Do(t.Context(), r)
 		require.NoError(t, err)
@@ -254,11 +258,12 @@
 	})
 }
 
-// TestCallerGoneDoesNotCutABooking: the call goes on and its answer is stored.
-func TestCallerGoneDoesNotCutABooking(t *testing.T) {
+// TestCallContinuesAfterCallerDisconnects guards against cancelling a call that
+// is not repeatable when its caller disconnects: it runs to its end.
+func TestCallContinuesAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &service{}
-		n := node(t, "n1", s, tabletest.New(), 2)
+		n := newNode(t, "n1", s, tabletest.New(), 2)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, err := n.Do(ctx, request(book, "r1", "k1", "b"))
@@ -267,20 +272,21 @@
 	})
 }
 
-// TestLookupsAreRetriedElsewhere: the second attempt of a repeatable call goes
-// to another server, also if the pool has learnt nothing from the first.
-func TestLookupsAreRetriedElsewhere(t *testing.T) {
+// TestRepeatableCallRetriesOnAnotherServer checks that the second attempt of a
+// repeatable call goes to another server even if the pool's cooldown does not
+// exclude the first.
+func TestRepeatableCallRetriesOnAnotherServer(t *testing.T) {
 	for _, fault := range []string{"lost", "unreachable", "refused", "silent", "crash"} {
 		t.Run(fault, func(t *testing.T) {
 			for range 8 {
-				synctest.Test(t, func(t *testing.T) { retriedElsewhere(t, fault) })
+				synctest.Test(t, func(t *testing.T) { checkRetryOnAnotherServer(t, fault) })
 			}
 		})
 	}
 }
 
-// retriedElsewhere lets the server that is picked first fail.
-func retriedElsewhere(t *testing.T, fault string) {
+// checkRetryOnAnotherServer makes the server that is picked first fail.
+func checkRetryOnAnotherServer(t *testing.T, fault string) {
 	s := &service{}
 	first := ""
 	s.fault = func(server string, _ call.Request) string {
@@ -290,19 +296,19 @@
 		}
 		return ""
 	}
-	n := node(t, "n1", s, tabletest.New(), 2)
+	n := newNode(t, "n1", s, tabletest.New(), 2)
 	n.Servers.(*call.Pool).Cooldown = time.Nanosecond
-	begin := time.Now()
+	start := time.Now()
 	a, err := n.Do(t.Context(), request(lookup, "r1", "", "b"))
 	require.NoError(t, err)
 	require.NotEqual(t, first, a.Server)
-	require.Len(t, s.sends, 2, "not the same server first")
-	require.Less(t, time.Since(begin), 4*time.Second)
+	require.Len(t, s.sends, 2, "the second attempt goes to the other server")
+	require.Less(t, time.Since(start), 4*time.Second)
 }
 
-// TestUnsureAttemptIsNotForgotten: a call is not called not-run because its last
-// attempt did not run.
-func TestUnsureAttemptIsNotForgotten(t *testing.T) {
+// TestUnconfirmedAttemptDecidesOutcome guards against reporting a call as not
+// run because its last attempt did not run, although an earlier one may have.
+func TestUnconfirmedAttemptDecidesOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &service{}
 		n := 0
@@ -310,14 +316,14 @@
 			n++
 			return []string{"lost", "unreachable", "unreachable"}[n-1]
 		}
-		_, err := node(t, "n1", s, tabletest.New(), 3).Do(t.Context(), request(lookup, "r1", "", "b"))
-		ends(t, err, outcome.Unknown, outcome.BackendLost)
+		_, err := newNode(t, "n1", s, tabletest.New(), 3).Do(t.Context(), request(lookup, "r1", "", "b"))
+		requireOutcome(t, err, outcome.Unknown, outcome.BackendLost)
 		require.Equal(t, 3, n)
 	})
 }
 
-// TestInvariantRetryBudgetOfCalls: with half of the servers lost and nothing
-// told of it, sends stay under 1.2 times the calls.
+// TestInvariantRetryBudgetOfCalls guards against a retry storm: with half of the
+// servers losing calls and no cooldown, sends stay below 1.2 times the calls.
 func TestInvariantRetryBudgetOfCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &service{}
@@ -327,8 +333,8 @@
 			}
 			return ""
 		}
-		n := node(t, "n1", s, tabletest.New(), 4)
-		n.Servers.(*call.Pool).Cooldown = time.Nanosecond // the pool learns nothing
+		n := newNode(t, "n1", s, tabletest.New(), 4)
+		n.Servers.(*call.Pool).Cooldown = time.Nanosecond // disables the cooldown
 		n.Budget = retry.Budget{}
 		const calls = 2000
 		var wg sync.WaitGroup
@@ -342,8 +348,9 @@
 	})
 }
 
-// TestInvariantCrashingRequestOfAPlainService: a call that crashes each server,
-// sent again and again through nodes that share their marks, takes two.
+// TestInvariantCrashingRequestOfAPlainService checks that a call that crashes
+// every server it reaches, sent repeatedly through nodes that share their
+// suspicion marks, crashes no more than two servers.
 func TestInvariantCrashingRequestOfAPlainService(t *testing.T) {
 	for _, kind := range []config.Kind{lookup, book} {
 		t.Run(kind.Name, func(t *testing.T) {
@@ -355,7 +362,7 @@
 					}
 					return ""
 				}
-				nodes := guarded(t, s, tabletest.New(), 8, 6)
+				nodes := newGuardedNodes(t, s, tabletest.New(), 8, 6)
 				for i := range 40 {
 					_, err := nodes[i%8].Do(t.Context(), request(kind, fmt.Sprint("r", i), fmt.Sprint("k", i), "poison"))
 					require.Error(t, err)
@@ -363,7 +370,7 @@
 				}
 				require.Len(t, s.down, 2)
 				_, err := nodes[0].Do(t.Context(), request(kind, "x", "kx", "poison"))
-				ends(t, err, outcome.RefusedNotRun, outcome.CrashSuspect)
+				requireOutcome(t, err, outcome.RefusedNotRun, outcome.CrashSuspect)
 				_, err = nodes[3].Do(t.Context(), request(kind, "y", "ky", "innocent"))
 				require.NoError(t, err)
 			})
@@ -371,25 +378,25 @@
 	}
 }
 
-// guarded returns nodes that share a table and their marks.
-func guarded(t *testing.T, s *service, table *tabletest.Table, count, servers int) []*call.Caller {
+// newGuardedNodes returns nodes that share a table and their suspicion marks.
+func newGuardedNodes(t *testing.T, s *service, table *tabletest.Table, count, servers int) []*call.Caller {
 	var nodes []*call.Caller
 	var guards []*suspects.Guard
 	for i := range count {
-		n := node(t, fmt.Sprint("n", i), s, table, servers)
+		n := newNode(t, fmt.Sprint("n", i), s, table, servers)
 		g := &suspects.Guard{Table: table}
 		n.Suspects = g
 		nodes, guards = append(nodes, n), append(guards, g)
 	}
 	for _, g := range guards {
-		g.Spread = spread(guards)
+		g.Spread = mergeInto(guards)
 		t.Cleanup(g.Wait)
 	}
 	return nodes
 }
 
-// spread returns a function that hands marks to every guard.
-func spread(guards []*suspects.Guard) func(context.Context, []suspect.Mark) {
+// mergeInto returns a function that merges marks into every guard.
+func mergeInto(guards []*suspects.Guard) func(context.Context, []suspect.Mark) {
 	return func(_ context.Context, marks []suspect.Mark) {
 		for _, g := range guards {
 			g.Merge(marks)
--- a/internal/call/caller.go
+++ b/internal/call/caller.go
@@ -17,27 +17,29 @@
 )
 
 const (
-	// DefaultDeadline is used if neither the request nor its kind has one.
+	// DefaultDeadline applies if neither the request nor its kind has a
+	// deadline.
 	DefaultDeadline = 30 * time.Second
-	// retryAfterNoServer is when a caller may come back if no server is there.
+	// retryAfterNoServer is the retry delay given to callers when no server is
+	// available.
 	retryAfterNoServer = time.Second
 )
 
 type (
-	// Caller carries out calls. Its exported fields are set before the first
-	// call. It is safe for concurrent use.
+	// Caller executes calls. Its exported fields are set before the first call.
+	// It is safe for concurrent use.
 	Caller struct {
 		Servers  Servers
 		Backend  Backend
 		Claims   Claims
-		Suspects Suspects // may be nil: no request is suspected
-		Prober   Prober   // must be set if Suspects is
+		Suspects Suspects // nil disables the handling of crash suspects
+		Prober   Prober   // required if Suspects is set
 		Retry    retry.Policy
 		Budget   retry.Budget // set before the first call, then guarded by the Caller
-		Seed     uint64       // of the jitter between attempts
+		Seed     uint64       // seeds the jitter between attempts
 		Log      *zap.Logger  // may be nil
 		Metrics  *Metrics     // may be nil
-		// Note is told what decided about a call, for explain; it may be nil.
+		// Note receives the trace events of a call for explain; it may be nil.
 		Note func(requestID, event string, fields ...zap.Field)
 
 		once sync.Once
@@ -46,10 +48,10 @@
 	}
 )
 
-// Do carries out r and returns the whole answer of the backend server, or the
-// stored one of an earlier call with the same key. Every error is an
-// *outcome.Error. A call that is not repeatable goes on after ctx has ended, so
-// that its answer is there when its caller asks again.
+// Do executes r and returns the whole response of the backend server, or the
+// stored response of an earlier call with the same key. Every error is an
+// *outcome.Error. A call that is not repeatable continues after ctx has ended,
+// so that its response is stored when the caller retries.
 func (c *Caller) Do(ctx context.Context, r Request) (Answer, error) {
 	c.once.Do(c.init)
 	now := time.Now()
@@ -61,16 +63,16 @@
 	}
 	a, err := c.do(ctx, r)
 	e := outcome.From(err)
-	c.Metrics.call(r, e)
+	c.Metrics.countCall(r, e)
 	if e == nil {
 		return a, nil
 	}
-	c.Log.Info("call not done", zap.String("request-id", r.RequestID), zap.String("service", r.Service),
+	c.Log.Info("call failed", zap.String("request-id", r.RequestID), zap.String("service", r.Service),
 		zap.String("outcome", string(e.Outcome)), zap.String("reason", string(e.Reason)), zap.String("detail", e.Detail))
 	return Answer{}, e
 }
 
-// do treats r as its kind demands.
+// do executes r as its kind requires.
 func (c *Caller) do(ctx context.Context, r Request) (Answer, error) {
 	if !time.Now().Before(r.Deadline) {
 		return Answer{}, outcome.Refuse(outcome.DeadlinePassed, "", 0)
@@ -81,16 +83,16 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	t := &try{c: c, r: r, sole: !r.Kind.Repeatable && !keyed,
+	t := &execution{c: c, r: r, sendOnce: !r.Kind.Repeatable && !keyed,
 		fp: suspect.FingerprintOf(r.Team, r.Service+" "+r.Method+" "+r.Path, r.Body)}
 	if keyed {
-		return c.claimed(ctx, t)
+		return c.runClaimed(ctx, t)
 	}
 	return t.run(ctx)
 }
 
-// claimed carries out a call that runs at most once under its key.
-func (c *Caller) claimed(ctx context.Context, t *try) (Answer, error) {
+// runClaimed executes a call that runs at most once per key.
+func (c *Caller) runClaimed(ctx context.Context, t *execution) (Answer, error) {
 	r := t.r
 	row := claim.Key(r.Team, r.IdempotencyKey)
 	g, err := c.Claims.Claim(ctx, claims.Call{
@@ -126,7 +128,7 @@
 	return a, err
 }
 
-// init puts the defaults in place.
+// init sets defaults.
 func (c *Caller) init() {
 	if c.Log == nil {
 		c.Log = zap.NewNop()
@@ -137,28 +139,28 @@
 	c.rand = rand.New(rand.NewPCG(c.Seed, c.Seed))
 }
 
-// SetRetryShare sets how many retries each first attempt that succeeded allows.
+// SetRetryShare sets how many retries each successful first attempt allows.
 func (c *Caller) SetRetryShare(share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Budget.PerSuccess = share
 }
 
-// succeeded tells the budget of a first attempt that was answered.
-func (c *Caller) succeeded() {
+// recordSuccess adds a successful first attempt to the retry budget.
+func (c *Caller) recordSuccess() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Budget.Success()
 }
 
-// take takes a retry from the budget.
-func (c *Caller) take() bool {
+// takeRetry takes a retry from the budget and reports whether one was left.
+func (c *Caller) takeRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Budget.Take(time.Now())
 }
 
-// backoff returns the wait before an attempt.
+// backoff returns the delay before an attempt.
 func (c *Caller) backoff(attempt int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/call/chaos_test.go
+++ b/internal/call/chaos_test.go
@@ -28,29 +28,30 @@
 )
 
 type (
-	// mortal is a node's way to the table and the service. When the node has
-	// died nothing leaves it any more and no answer comes in.
-	mortal struct {
+	// crashableNode connects a node to the table and the service. Once the node
+	// is dead, nothing it sends arrives and it receives no responses.
+	crashableNode struct {
 		table *tabletest.Table
 		svc   *service
 		dead  atomic.Bool
 	}
 
-	// told is what a caller was told of one try.
-	told struct {
+	// callRecord is the result of one call as its caller saw it.
+	callRecord struct {
 		request, key, body string
 		answer             call.Answer
 		err                *outcome.Error
-		died               bool // the node died: the connection broke
-		node               *mortal
+		died               bool // the node died, which broke the connection
+		node               *crashableNode
 	}
 )
 
-// errDead is what a dead node's calls end with; nobody sees it.
+// errDead ends the calls of a dead node; no caller sees it.
 var errDead = &table.Error{Kind: table.Uncertain, Call: "dead"}
 
-// gone blocks until ctx ends if the node is dead.
-func (m *mortal) gone(ctx context.Context) bool {
+// blockIfDead blocks until ctx ends if the node is dead, and reports whether it
+// is.
+func (m *crashableNode) blockIfDead(ctx context.Context) bool {
 	if m.dead.Load() {
 		<-ctx.Done()
 		return true
@@ -58,52 +59,52 @@
 	return false
 }
 
-func (m *mortal) Transact(ctx context.Context, tx row.Tx) (row.Result, error) {
-	if m.gone(ctx) {
+func (m *crashableNode) Transact(ctx context.Context, tx row.Tx) (row.Result, error) {
+	if m.blockIfDead(ctx) {
 		return row.Result{}, errDead
 	}
 	res, err := m.table.Transact(ctx, tx)
-	if m.gone(ctx) {
+	if m.blockIfDead(ctx) {
 		return row.Result{}, errDead
 	}
 	return res, err
 }
 
-func (m *mortal) Read(ctx context.Context, keys ...string) ([]row.Row, error) {
-	if m.gone(ctx) {
+func (m *crashableNode) Read(ctx context.Context, keys ...string) ([]row.Row, error) {
+	if m.blockIfDead(ctx) {
 		return nil, errDead
 	}
 	rows, err := m.table.Read(ctx, keys...)
-	if m.gone(ctx) {
+	if m.blockIfDead(ctx) {
 		return nil, errDead
 	}
 	return rows, err
 }
 
-func (m *mortal) Scan(ctx context.Context, prefix string) ([]row.Row, error) {
+func (m *crashableNode) Scan(ctx context.Context, prefix string) ([]row.Row, error) {
 	return m.table.Scan(ctx, prefix)
 }
 
-func (m *mortal) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Answer, error) {
-	if m.gone(ctx) {
+func (m *crashableNode) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Answer, error) {
+	if m.blockIfDead(ctx) {
 		return call.Answer{}, outcome.Unconfirmed(outcome.Internal, "dead")
 	}
 	a, err := m.svc.Send(ctx, b, r)
-	if m.gone(ctx) {
+	if m.blockIfDead(ctx) {
 		return call.Answer{}, outcome.Unconfirmed(outcome.Internal, "dead")
 	}
 	return a, err
 }
 
-// chaos draws how calls to table and service fail.
+// chaos draws random faults of calls to the table and the service.
 type chaos struct {
 	mu     sync.Mutex
 	rand   *rand.Rand
 	calm   bool
-	outage time.Time // the table is down until then
+	outage time.Time // end of the table's outage
 }
 
-// table draws the fault of a call to the table.
+// table returns the fault of a call to the table.
 func (c *chaos) table(call tabletest.Call) tabletest.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +132,7 @@
 	return tabletest.Fault{Delay: delay}
 }
 
-// send draws how a send ends.
+// send returns the fault of a send.
 func (c *chaos) send(string, call.Request) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,61 +142,62 @@
 	return []string{"", "", "", "", "", "unreachable", "refused", "lost", "lost before it ran", "silent"}[c.rand.IntN(10)]
 }
 
-// draw draws a number below n.
+// draw returns a random number below n.
 func (c *chaos) draw(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rand.IntN(n)
 }
 
-// TestInvariantAtMostOnceWholePath: bookings whose callers repeat them through
-// all nodes, some at the same time, while nodes die, the table loses answers,
-// is late, slow or down, and sends fail in every way. Each runs at most once,
-// no try that was refused as not run ran, and every answer is the right one.
+// TestInvariantAtMostOnceWholePath repeats bookings through all nodes, partly
+// concurrently, while nodes die, the table drops replies, applies writes late,
+// is slow or is down, and sends fail in every way. Each booking runs at most
+// once, no call that was refused as not run has run, and every response is the
+// right one.
 func TestInvariantAtMostOnceWholePath(t *testing.T) {
 	for seed := range uint64(chaosSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { wholePath(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runChaos(t, seed) })
 		})
 	}
 }
 
-// wholePath runs one seed.
-func wholePath(t *testing.T, seed uint64) {
+// runChaos runs the test with one seed.
+func runChaos(t *testing.T, seed uint64) {
 	c := &chaos{rand: rand.New(rand.NewPCG(seed, 7))}
 	tb := tabletest.New()
 	tb.SetFault(c.table)
 	s := &service{fault: c.send}
 	var nodes [chaosNodes]*call.Caller
-	var lives [chaosNodes]*mortal
+	var conns [chaosNodes]*crashableNode
 	var mu sync.Mutex
-	born := 0
-	birth := func(i int) {
-		born++
-		lives[i] = &mortal{table: tb, svc: s}
-		nodes[i] = node(t, fmt.Sprint("n", i, "-", born), s, lives[i], 4)
-		nodes[i].Backend = lives[i]
+	started := 0
+	startNode := func(i int) {
+		started++
+		conns[i] = &crashableNode{table: tb, svc: s}
+		nodes[i] = newNode(t, fmt.Sprint("n", i, "-", started), s, conns[i], 4)
+		nodes[i].Backend = conns[i]
 	}
 	for i := range chaosNodes {
-		birth(i)
+		startNode(i)
 	}
-	var all []told
+	var results []callRecord
 	var wg sync.WaitGroup
 	for k := range chaosCalls {
-		for double := range 1 + c.draw(3) {
+		for caller := range 1 + c.draw(3) {
 			wg.Go(func() {
 				time.Sleep(time.Duration(c.draw(20000)) * time.Millisecond)
 				for i := range chaosRepeats {
 					at := c.draw(chaosNodes)
 					mu.Lock()
-					n, life := nodes[at], lives[at]
+					n, conn := nodes[at], conns[at]
 					mu.Unlock()
-					r := request(book, fmt.Sprint("r", k, "-", double, "-", i), fmt.Sprint("k", k), fmt.Sprint("b", k))
+					r := request(book, fmt.Sprint("r", k, "-", caller, "-", i), fmt.Sprint("k", k), fmt.Sprint("b", k))
 					a, err := n.Do(t.Context(), r)
 					mu.Lock()
-					all = append(all, told{r.RequestID, r.IdempotencyKey, string(r.Body), a, outcome.From(err), life.dead.Load(), life})
+					results = append(results, callRecord{r.RequestID, r.IdempotencyKey, string(r.Body), a, outcome.From(err), conn.dead.Load(), conn})
 					mu.Unlock()
-					if err == nil && !life.dead.Load() {
+					if err == nil && !conn.dead.Load() {
 						return
 					}
 					time.Sleep(time.Duration(c.draw(800)) * time.Millisecond)
@@ -208,8 +210,8 @@
 			time.Sleep(time.Second)
 			mu.Lock()
 			if i := c.draw(chaosNodes); c.draw(2) == 0 {
-				lives[i].dead.Store(true)
-				birth(i)
+				conns[i].dead.Store(true)
+				startNode(i)
 			}
 			mu.Unlock()
 			if c.draw(5) == 0 {
@@ -224,12 +226,12 @@
 	c.calm = true
 	c.mu.Unlock()
 	time.Sleep(2 * time.Minute)
-	checkTold(t, s, all)
-	checkRepeats(t, s, nodes[0], all)
+	checkResults(t, s, results)
+	checkRepeats(t, s, nodes[0], results)
 }
 
-// checkTold compares what callers were told with the journal.
-func checkTold(t *testing.T, s *service, all []told) {
+// checkResults compares the results that callers got with the recorded runs.
+func checkResults(t *testing.T, s *service, all []callRecord) {
 	runs, ran := map[string]int{}, map[string]bool{}
 	for _, r := range s.runs {
 		runs[r.key]++
@@ -253,16 +255,17 @@
 			require.Equal(t, outcome.Unknown, c.err.Outcome)
 		}
 	}
-	require.Greater(t, done, chaosCalls/4, "most bookings get somewhere")
+	require.Greater(t, done, chaosCalls/4, "more than a quarter of the bookings complete")
 	require.Greater(t, refused, 0)
 }
 
-// checkRepeats demands that, with all faults gone, a call of which every try was
-// refused as not run now runs, and that every other has a final answer. Calls
-// with a try at a node that has died since are left out: a node that refuses a
-// claim of unknown fate, and dies before it has settled it, leaves a claim of
-// which nobody can know that it was not sent.
-func checkRepeats(t *testing.T, s *service, n *call.Caller, all []told) {
+// checkRepeats requires that, without faults, a booking whose calls were all
+// refused as not run now runs, and that every other one has a final outcome.
+// Bookings with a call at a node that has since died are exempt: if a node
+// refuses a call because the write of its claim has an unknown outcome, and dies
+// before it has resolved that, no other node can know that the claimed call was
+// not sent.
+func checkRepeats(t *testing.T, s *service, n *call.Caller, all []callRecord) {
 	open, bodies := map[string]bool{}, map[string]string{}
 	for _, c := range all {
 		if _, seen := open[c.key]; !seen {
@@ -280,11 +283,11 @@
 		}
 		require.Equal(t, "answer to "+body, string(a.Body))
 	}
-	checkJournal(t, s)
+	checkRuns(t, s)
 }
 
-// checkJournal demands that no key ran twice.
-func checkJournal(t *testing.T, s *service) {
+// checkRuns requires that no key ran twice.
+func checkRuns(t *testing.T, s *service) {
 	runs := map[string]int{}
 	for _, r := range s.runs {
 		runs[r.key]++
--- a/internal/call/metrics.go
+++ b/internal/call/metrics.go
@@ -13,7 +13,7 @@
 	verdicts *prometheus.CounterVec
 }
 
-// NewMetrics returns counters that are registered with r.
+// NewMetrics returns counters registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -29,8 +29,8 @@
 	return m
 }
 
-// call counts a call that ended with e, nil if it was done.
-func (m *Metrics) call(r Request, e *outcome.Error) {
+// countCall counts a call that ended with e; nil means done.
+func (m *Metrics) countCall(r Request, e *outcome.Error) {
 	switch {
 	case m == nil:
 	case e == nil:
@@ -40,8 +40,8 @@
 	}
 }
 
-// verdict counts what was done after a failed attempt.
-func (m *Metrics) verdict(v retry.Verdict) {
+// countVerdict counts the decision taken after a failed attempt.
+func (m *Metrics) countVerdict(v retry.Verdict) {
 	if m != nil {
 		m.verdicts.WithLabelValues(string(v.Action), string(v.Reason)).Inc()
 	}
--- a/internal/call/pool.go
+++ b/internal/call/pool.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// DefaultCooldown is how long a server that could not be reached, lost a
-	// call or refused one is picked only if there is no other.
+	// DefaultCooldown is how long a server that was unreachable, lost a call or
+	// refused one is picked only if there is no other.
 	DefaultCooldown = 2 * time.Second
 )
 
 type (
-	// Pool picks servers of plain services: of two drawn at random the one with
-	// fewer calls in flight from this node. The zero value has no servers; it
-	// is safe for concurrent use.
+	// Pool picks servers of plain services. Of two servers drawn at random it
+	// picks the one with fewer calls in flight from this node. The zero value
+	// has no servers. Pool is safe for concurrent use.
 	Pool struct {
 		Cooldown time.Duration
 
@@ -29,15 +29,15 @@
 
 	// member is one server of a service.
 	member struct {
-		server   config.BackendServer
-		leaving  bool
-		inflight int
-		cool     time.Time // not picked before, if there is another
+		server    config.BackendServer
+		leaving   bool
+		inflight  int
+		coolUntil time.Time // end of the cooldown; until then other servers are preferred
 	}
 )
 
-// Set puts the servers of a configuration in place, with those that are leaving,
-// which get no new calls. What is known of servers that stay is kept.
+// Set replaces the servers by those of a configuration. Leaving servers get no
+// new calls. The state of servers that remain at the same address is kept.
 func (p *Pool) Set(servers []config.BackendServer, leaving func(name string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,41 +65,43 @@
 func (p *Pool) Pick(service string, avoid []string) (config.BackendServer, func(*outcome.Error), bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.best(service, avoid)
+	m := p.selectMember(service, avoid)
 	if m == nil {
 		return config.BackendServer{}, nil, false
 	}
 	m.inflight++
 	var once sync.Once
-	return m.server, func(e *outcome.Error) { once.Do(func() { p.ended(m, e) }) }, true
+	return m.server, func(e *outcome.Error) { once.Do(func() { p.callEnded(m, e) }) }, true
 }
 
-// best returns the member to use: not avoided and not cooling if there is one,
-// else not avoided, else any.
-func (p *Pool) best(service string, avoid []string) *member {
+// selectMember returns a member that is neither avoided nor in cooldown if there
+// is one, else one that is not avoided, else any. Leaving members are never
+// returned.
+func (p *Pool) selectMember(service string, avoid []string) *member {
 	now := time.Now()
-	var good, cooling, avoided []*member
+	var available, cooling, avoided []*member
 	for _, m := range p.members[service] {
 		switch {
 		case m.leaving:
 		case slices.Contains(avoid, m.server.Name):
 			avoided = append(avoided, m)
-		case now.Before(m.cool):
+		case now.Before(m.coolUntil):
 			cooling = append(cooling, m)
 		default:
-			good = append(good, m)
+			available = append(available, m)
 		}
 	}
-	for _, set := range [][]*member{good, cooling, avoided} {
+	for _, set := range [][]*member{available, cooling, avoided} {
 		if len(set) > 0 {
-			return lesser(set)
+			return lessLoaded(set)
 		}
 	}
 	return nil
 }
 
-// lesser returns the member with fewer calls in flight of two drawn at random.
-func lesser(set []*member) *member {
+// lessLoaded draws two members at random and returns the one with fewer calls in
+// flight.
+func lessLoaded(set []*member) *member {
 	a, b := set[rand.IntN(len(set))], set[rand.IntN(len(set))]
 	if b.inflight < a.inflight {
 		return b
@@ -107,8 +109,9 @@
 	return a
 }
 
-// ended notes the end of a call.
-func (p *Pool) ended(m *member, e *outcome.Error) {
+// callEnded records the end of a call and starts the cooldown of a server that
+// failed.
+func (p *Pool) callEnded(m *member, e *outcome.Error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m.inflight--
@@ -117,11 +120,11 @@
 	}
 	switch e.Reason {
 	case outcome.BackendUnreachable, outcome.BackendLost, outcome.BackendRefused:
-		m.cool = time.Now().Add(p.cooldown())
+		m.coolUntil = time.Now().Add(p.cooldown())
 	}
 }
 
-// cooldown returns the setting or its default.
+// cooldown returns the configured cooldown or its default.
 func (p *Pool) cooldown() time.Duration {
 	if p.Cooldown == 0 {
 		return DefaultCooldown
--- a/internal/call/service.go
+++ b/internal/call/service.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// noTimeout leaves the bound of a call to its context.
+	// noTimeout is longer than any call, so that only the context bounds a call.
 	noTimeout = 24 * time.Hour
-	// retryAfterRefused is when a caller may come back whose call the servers
-	// did not take.
+	// retryAfterRefused is the retry delay given to a caller whose call no
+	// server accepted.
 	retryAfterRefused = time.Second
 )
 
-// dropped are the headers that concern one connection or the caller's key and
-// are not passed on.
-var dropped = []string{
+// unforwardedHeaders are the headers that concern one connection or hold the
+// caller's key.
+var unforwardedHeaders = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// Services is the Backend and Prober that speaks io/service. The zero value is
-// ready; it is safe for concurrent use.
+// Services implements Backend and Prober over io/service. The zero value is
+// ready to use. Services is safe for concurrent use.
 type Services struct {
 	mu      sync.Mutex
 	clients map[string]*service.Client
@@ -39,15 +39,15 @@
 func (s *Services) Send(ctx context.Context, b config.BackendServer, r Request) (Answer, error) {
 	resp, err := s.client(b.Address).Do(ctx, service.Request{
 		Method: r.Method, Path: r.Path, RequestID: r.RequestID, IdempotencyKey: r.IdempotencyKey,
-		Header: passed(r.Header), Body: r.Body, Repeatable: r.Kind.Repeatable,
+		Header: forwardedHeaders(r.Header), Body: r.Body, Repeatable: r.Kind.Repeatable,
 	})
 	if err != nil {
-		return Answer{}, judge(ctx, err)
+		return Answer{}, classify(ctx, err)
 	}
 	if r.Kind.Repeatable && overloaded(resp.Status) {
 		return Answer{}, outcome.Fail(outcome.BackendFailed, http.StatusText(resp.Status))
 	}
-	return Answer{Status: resp.Status, Header: passed(resp.Header), Body: resp.Body}, nil
+	return Answer{Status: resp.Status, Header: forwardedHeaders(resp.Header), Body: resp.Body}, nil
 }
 
 // Alive implements Prober.
@@ -60,7 +60,7 @@
 	return c.Close() == nil
 }
 
-// Keep closes the clients of all other addresses than those given.
+// Keep closes the clients of all addresses that are not given.
 func (s *Services) Keep(addresses []string) {
 	keep := map[string]bool{}
 	for _, a := range addresses {
@@ -76,7 +76,7 @@
 	}
 }
 
-// client returns the client of an address.
+// client returns the client of an address, which it creates if necessary.
 func (s *Services) client(address string) *service.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,9 +91,9 @@
 	return c
 }
 
-// judge returns what a failure of io/service means for the caller. Only what is
-// proven not to have run is called so.
-func judge(ctx context.Context, err error) *outcome.Error {
+// classify maps a failure of io/service to the error returned to the caller.
+// Only a call that provably did not run is reported as not run.
+func classify(ctx context.Context, err error) *outcome.Error {
 	switch service.KindOf(err) {
 	case service.NotSent:
 		return outcome.Refuse(outcome.BackendUnreachable, err.Error(), retryAfterRefused)
@@ -111,15 +111,15 @@
 	return outcome.Unconfirmed(outcome.BackendLost, err.Error())
 }
 
-// overloaded tells whether another server may answer better.
+// overloaded reports whether a status suggests that another server may succeed.
 func overloaded(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// passed returns the headers that are passed on.
-func passed(h http.Header) http.Header {
+// forwardedHeaders returns h without the headers that are not forwarded.
+func forwardedHeaders(h http.Header) http.Header {
 	out := h.Clone()
-	for _, name := range dropped {
+	for _, name := range unforwardedHeaders {
 		out.Del(name)
 	}
 	return out
--- a/internal/call/service_test.go
+++ b/internal/call/service_test.go
@@ -16,9 +16,9 @@
 	svc "guavapaddle/io/service"
 )
 
-// TestSendTellsHowFarItGot: what a real connection that fails in some way means,
-// for kinds that may and may not be repeated.
-func TestSendTellsHowFarItGot(t *testing.T) {
+// TestSendClassifiesFailures checks the outcome of failures on a real
+// connection, for repeatable and other kinds.
+func TestSendClassifiesFailures(t *testing.T) {
 	seen := make(chan http.Header, 8)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header.Clone()
@@ -54,7 +54,7 @@
 		"breaks":                 {server.URL, "/breaks", book, outcome.Unknown, outcome.BackendLost},
 		"breaks, repeatable":     {server.URL, "/breaks", lookup, outcome.Unknown, outcome.BackendLost},
 		"cut":                    {server.URL, "/cut", book, outcome.Unknown, outcome.BackendLost},
-		"another's answer":       {server.URL, "/foreign", book, outcome.Unknown, outcome.BackendFailed},
+		"another request's id":   {server.URL, "/foreign", book, outcome.Unknown, outcome.BackendFailed},
 		"overloaded, repeatable": {server.URL, "/overloaded", lookup, outcome.FailedAfterStart, outcome.BackendFailed},
 		"overloaded, once":       {server.URL, "/overloaded", book, outcome.Done, ""},
 		"sound":                  {server.URL, "/", book, outcome.Done, ""},
@@ -69,7 +69,7 @@
 			a, err := s.Send(t.Context(), to, r)
 			require.Equal(t, c.url == server.URL, s.Alive(t.Context(), to))
 			if c.reason != "" {
-				ends(t, err, c.outcome, c.reason)
+				requireOutcome(t, err, c.outcome, c.reason)
 			} else {
 				require.NoError(t, err)
 				require.Empty(t, a.Header.Get("Keep-Alive"))
@@ -77,7 +77,7 @@
 			if c.url == server.URL {
 				header := <-seen
 				require.Empty(t, seen, "sent once")
-				require.Empty(t, header.Get("Authorization"), "the caller's key stays here")
+				require.Empty(t, header.Get("Authorization"), "the caller's key is not forwarded")
 				require.Equal(t, "7", header.Get("X-Trace"))
 				require.Equal(t, "k1", header.Get(svc.KeyHeader))
 			}
@@ -85,8 +85,9 @@
 	}
 }
 
-// TestPoolPicks: leaving servers get nothing, those that failed and those to be
-// avoided only what nobody else can take, the idle one more than the busy one.
+// TestPoolPicks checks that leaving servers get no calls, that failed and
+// avoided servers get calls only if no other server is left, and that idle
+// servers get more calls than busy ones.
 func TestPoolPicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p call.Pool
@@ -119,14 +120,14 @@
 		done(outcome.Unconfirmed(outcome.BackendLost, ""))
 		for range 20 {
 			name, done = pick()
-			require.Equal(t, "a", name, "b failed just now")
+			require.Equal(t, "a", name, "b is in cooldown")
 			done(nil)
 		}
 		leaving["a"] = true
 		set("a", "b", "c")
 		for range 20 {
 			name, done = pick("c")
-			require.Equal(t, "b", name, "cooling goes before avoided, leaving never")
+			require.Equal(t, "b", name, "servers in cooldown come before avoided ones, leaving ones are never picked")
 			done(nil)
 		}
 		leaving["b"], leaving["c"] = true, true
@@ -140,7 +141,7 @@
 		for range 4000 {
 			name, _ = pick()
 			count[name]++
-			require.InDelta(t, count["a"], count["b"], 20, "by calls in flight")
+			require.InDelta(t, count["a"], count["b"], 20, "balanced by calls in flight")
 		}
 	})
 }
