--- a/internal/generate/doc.go
+++ b/internal/generate/doc.go
@@ -1,19 +1,19 @@
-// Package generate is the entry node's side of a generation: it picks a
-// backend server, forwards the request to the server's owner, passes the
-// tokens on, and retries or resumes when something breaks.
+// Package generate implements the entry node's side of a generation. It picks a
+// backend server, forwards the request to the node that owns the server, emits
+// the tokens, and retries or resumes after a failure.
 //
 // # Method
 //
-// Candidates are the servers that hold the item by the views that nodes share.
-// The request goes to the owner of the picked server, which has the deadline
-// queue and the exact count in flight; if the owner can't be reached it goes to
-// the engine directly. A request that finds no copy waits for one, within its
-// deadline.
+// The candidates are the servers that hold the item according to the views that
+// nodes share. The request goes to the owner of the picked server, which keeps
+// the deadline queue and the exact number of requests in flight. If the owner
+// can't be reached, the request goes directly to the engine. A request for an
+// item without a copy waits for one within its deadline.
 //
 // A failure before the first token is retried on another server if the retry
-// policy and the budget allow. After the first token only the same generation
-// can go on: it is resumed at the engine from the next offset, through the
-// owner or directly. The caller sees each token once and in order, or an error.
+// policy and the budget allow it. After the first token only the same generation
+// can continue: it is resumed at the engine from the next offset, through the
+// owner or directly. The caller gets each token once and in order, or an error.
 //
 // # Usage
 //
--- a/internal/generate/guard.go
+++ b/internal/generate/guard.go
@@ -12,12 +12,16 @@
 )
 
 const (
+	// probeTimeout bounds the query of a server's boot id after a broken
+	// connection.
 	probeTimeout = 300 * time.Millisecond
-	busyRetry    = time.Second
+	// busyRetryAfter is the retry delay given to a marked request that found no
+	// server free for a trial.
+	busyRetryAfter = time.Second
 )
 
-// Guard decides which requests that may crash servers run; *suspects.Guard is
-// one.
+// Guard decides whether a request that may crash servers runs; *suspects.Guard
+// implements it.
 type Guard interface {
 	Begin(ctx context.Context, fp suspect.Fingerprint, server string, own bool) (suspects.Run, error)
 	Succeeded(r suspects.Run)
@@ -25,9 +29,9 @@
 	Crashed(ctx context.Context, r suspects.Run, bootID string)
 }
 
-// guarded sends the request if the guard allows it, and tells the guard how it
-// ended.
-func (a *attempt) guarded(ctx context.Context) error {
+// sendGuarded sends the request if the guard allows it, and reports the outcome
+// to the guard.
+func (a *attempt) sendGuarded(ctx context.Context) error {
 	g := a.r.Guard
 	run, err := g.Begin(ctx, a.q.Fingerprint, a.server, a.crashed)
 	if err != nil {
@@ -35,7 +39,7 @@
 	}
 	a.q.Isolated = run.OnTrial()
 	if a.q.Isolated {
-		a.note("trial", string(outcome.CrashSuspect))
+		a.trace("trial", string(outcome.CrashSuspect))
 	}
 	v, _ := a.r.Views.Get(a.server)
 	boot := v.BootID
@@ -44,20 +48,20 @@
 		g.Succeeded(run)
 		return nil
 	}
-	if a.lives(ctx, err, boot) {
+	if a.serverSurvived(ctx, err, boot) {
 		g.NotRun(run)
 		return err
 	}
 	a.crashed = true
-	a.note("crash", string(outcome.From(err).Reason))
+	a.trace("crash", string(outcome.From(err).Reason))
 	g.Crashed(context.WithoutCancel(ctx), run, boot)
 	return err
 }
 
-// lives tells whether the server outlived a failed attempt. Whether it did
-// after its connection broke is found out by asking it.
-func (a *attempt) lives(ctx context.Context, err error, boot string) bool {
-	if _, gone := errors.AsType[*engines.SinkError](err); gone {
+// serverSurvived reports whether the server survived a failed attempt. After a
+// broken connection it asks the server for its boot id.
+func (a *attempt) serverSurvived(ctx context.Context, err error, boot string) bool {
+	if _, isSinkError := errors.AsType[*engines.SinkError](err); isSinkError {
 		return true
 	}
 	e := outcome.From(err)
@@ -66,18 +70,19 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	now, err := a.r.Boot(ctx, a.server)
+	bootNow, err := a.r.Boot(ctx, a.server)
 	if err != nil {
-		a.r.lost(a.server)
+		a.r.unresponsive(a.server)
 	}
-	return err == nil && (boot == "" || now == boot)
+	return err == nil && (boot == "" || bootNow == boot)
 }
 
-// busy refuses a marked request that finds no server free of others.
-func (a *attempt) busy(ctx context.Context) (bool, error) {
+// retryBusy excludes a server on which another trial runs, and refuses a marked
+// request after maxBusyAttempts such servers.
+func (a *attempt) retryBusy(ctx context.Context) (bool, error) {
 	a.exclude[a.server] = true
-	if a.free++; a.free > busyAttempts {
-		return false, a.failed(outcome.Refuse(outcome.CrashSuspect, "no server is free for a trial", busyRetry))
+	if a.freeAttempts++; a.freeAttempts > maxBusyAttempts {
+		return false, a.callerError(outcome.Refuse(outcome.CrashSuspect, "no server is free for a trial", busyRetryAfter))
 	}
-	return true, a.pause(ctx, a.free+1)
+	return true, a.pause(ctx, a.freeAttempts+1)
 }
--- a/internal/generate/lost_test.go
+++ b/internal/generate/lost_test.go
@@ -19,7 +19,7 @@
 	"guavapaddle/internal/suspects"
 )
 
-// noGuard lets every request run and counts crashes.
+// noGuard allows every request and counts crashes.
 type noGuard struct{ crashes int }
 
 func (g *noGuard) Begin(context.Context, suspect.Fingerprint, string, bool) (suspects.Run, error) {
@@ -29,7 +29,7 @@
 func (g *noGuard) NotRun(suspects.Run)                           {}
 func (g *noGuard) Crashed(context.Context, suspects.Run, string) { g.crashes++ }
 
-// brokenOwner loses the engine in the middle of every job.
+// brokenOwner fails every job with a lost engine.
 type brokenOwner struct{ jobs int }
 
 func (o *brokenOwner) Do(context.Context, string, forward.Job, engines.Sink) error {
@@ -37,10 +37,10 @@
 	return outcome.Fail(outcome.BackendLost, "EOF")
 }
 
-// TestLostServerIsPassedOver shows that a server that broke a connection off
-// and does not answer gets no further request for a while, and that requests
-// sent after its loss are not taken for its cause.
-func TestLostServerIsPassedOver(t *testing.T) {
+// TestLostServerIsSkipped checks that a server that broke a connection and does
+// not respond gets no further request during its cooldown, and that requests
+// which arrive after its crash are not blamed for it.
+func TestLostServerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner, guard := &brokenOwner{}, &noGuard{}
 		r := newRouter(owner, "s1")
--- a/internal/generate/outcome_test.go
+++ b/internal/generate/outcome_test.go
@@ -22,7 +22,8 @@
 
 var item = backend.Item{Name: "m", Version: "1"}
 
-// newRouter returns a router to servers that hold the item, all of one owner.
+// newRouter returns a router to servers that hold the item and have the same
+// owner.
 func newRouter(owner generate.Owners, servers ...string) *generate.Router {
 	known := views.New()
 	for _, s := range servers {
@@ -38,19 +39,20 @@
 	}
 }
 
-// failing fails every job in the same way.
-type failing struct {
+// failingOwner fails every job with the same error.
+type failingOwner struct {
 	err  *outcome.Error
 	jobs int
 }
 
-func (f *failing) Do(context.Context, string, forward.Job, engines.Sink) error {
+func (f *failingOwner) Do(context.Context, string, forward.Job, engines.Sink) error {
 	f.jobs++
 	return f.err
 }
 
-// TestInvariantTrueOutcome holds the outcome that a caller is told against what
-// is known of the attempts.
+// TestInvariantTrueOutcome guards against an outcome that contradicts the
+// attempts: the caller is told that a request did not run although it may have,
+// or a request that may not be repeated is sent again.
 func TestInvariantTrueOutcome(t *testing.T) {
 	lost := outcome.Fail(outcome.PeerLost, "")
 	broke := outcome.Fail(outcome.BackendLost, "")
@@ -61,7 +63,7 @@
 		err        *outcome.Error
 		repeatable bool
 		want       outcome.Outcome
-		most       int // jobs
+		maxJobs    int // jobs
 	}{
 		{"owner lost, may be repeated", lost, true, outcome.FailedAfterStart, 3},
 		{"owner lost, may not be repeated", lost, false, outcome.Unknown, 1},
@@ -71,7 +73,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				owner := &failing{err: test.err}
+				owner := &failingOwner{err: test.err}
 				r := newRouter(owner, "s1", "s2", "s3")
 				r.Init(1, &retry.Budget{})
 				err := r.Do(t.Context(), generate.Request{
@@ -81,16 +83,16 @@
 				e := outcome.From(err)
 				require.NotNil(t, e)
 				require.Equal(t, test.want, e.Outcome, e.Error())
-				require.LessOrEqual(t, owner.jobs, test.most)
+				require.LessOrEqual(t, owner.jobs, test.maxJobs)
 			})
 		})
 	}
 }
 
-// flaky fails every second job after it started and ends the others well.
-type flaky struct{ jobs int }
+// flakyOwner fails every second job after its start; the others succeed.
+type flakyOwner struct{ jobs int }
 
-func (f *flaky) Do(_ context.Context, _ string, _ forward.Job, sink engines.Sink) error {
+func (f *flakyOwner) Do(_ context.Context, _ string, _ forward.Job, sink engines.Sink) error {
 	f.jobs++
 	if f.jobs%2 == 1 {
 		return outcome.Fail(outcome.BackendFailed, "")
@@ -98,15 +100,15 @@
 	return sink(forward.Reply{Finish: "stop"})
 }
 
-// TestRetryShare shows that the configured share bounds retries once the burst
-// is spent.
+// TestRetryShare checks that the configured share bounds retries after the burst
+// is used up.
 func TestRetryShare(t *testing.T) {
 	for _, test := range []struct {
-		share       float64
-		least, most int // retries in 200 requests
+		share                  float64
+		minRetries, maxRetries int // retries in 200 requests
 	}{{-1, 0, 15}, {1, 60, 200}} {
 		synctest.Test(t, func(t *testing.T) {
-			owner := &flaky{}
+			owner := &flakyOwner{}
 			r := newRouter(owner, "s1")
 			r.Init(1, &retry.Budget{PerSecond: -1})
 			r.SetRetryShare(test.share)
@@ -117,8 +119,8 @@
 				}, func(forward.Reply, forward.ResumeToken) error { return nil })
 			}
 			retries := owner.jobs - 200
-			require.GreaterOrEqual(t, retries, test.least, "share %v", test.share)
-			require.LessOrEqual(t, retries, test.most, "share %v", test.share)
+			require.GreaterOrEqual(t, retries, test.minRetries, "share %v", test.share)
+			require.LessOrEqual(t, retries, test.maxRetries, "share %v", test.share)
 		})
 	}
 }
--- a/internal/generate/pick.go
+++ b/internal/generate/pick.go
@@ -10,7 +10,7 @@
 	"guavapaddle/core/view"
 )
 
-// pick chooses server and owner, or waits for a copy.
+// pick selects a server and its owner, or waits for a copy of the item.
 func (a *attempt) pick(ctx context.Context) error {
 	waiting := false
 	defer func() {
@@ -20,51 +20,52 @@
 	}()
 	for {
 		changed := a.r.Views.Changed()
-		if s, ok := a.choose(); ok {
+		if s, ok := a.selectServer(); ok {
 			a.server, a.owner, a.epoch = s.Server, s.Owner, s.Epoch
-			a.note("pick", a.why)
+			a.trace("pick", a.reason)
 			return nil
 		}
-		if len(a.exclude) > 0 { // all others failed; the first may do by now
+		if len(a.exclude) > 0 { // all candidates failed; earlier ones may have recovered
 			clear(a.exclude)
 			continue
 		}
 		if !waiting {
 			waiting = true
 			a.r.Wanted(a.q.Item, 1)
-			a.note("wait", string(outcome.NoCopy))
+			a.trace("wait", string(outcome.NoCopy))
 		}
-		if err := a.await(ctx, changed); err != nil {
+		if err := a.awaitView(ctx, changed); err != nil {
 			return err
 		}
 	}
 }
 
-// await waits until the views change.
-func (a *attempt) await(ctx context.Context, changed <-chan struct{}) error {
+// awaitView waits until the views change.
+func (a *attempt) awaitView(ctx context.Context, changed <-chan struct{}) error {
 	t := time.NewTimer(time.Until(a.q.Deadline))
 	defer t.Stop()
 	select {
 	case <-changed:
 		return nil
 	case <-ctx.Done():
-		return a.failed(outcome.Refuse(outcome.CallerGone, "while it waited for a copy", 0))
+		return a.callerError(outcome.Refuse(outcome.CallerGone, "while it waited for a copy", 0))
 	case <-t.C:
-		return a.failed(outcome.Refuse(outcome.NoCopy, a.q.Item.String(), copyRetry))
+		return a.callerError(outcome.Refuse(outcome.NoCopy, a.q.Item.String(), noCopyRetryAfter))
 	}
 }
 
-// choose applies the policy to the servers that hold the item, and to those
-// that hold another version of it if none does.
-func (a *attempt) choose() (view.Server, bool) {
+// selectServer applies the routing policy to the servers that hold the item. If
+// there are none, it applies the policy to those that hold another version of
+// it.
+func (a *attempt) selectServer() (view.Server, bool) {
 	all := a.r.Views.All()
-	if s, ok := a.chooseOf(all, a.q.Item); ok {
+	if s, ok := a.selectServerFor(all, a.q.Item); ok {
 		return s, true
 	}
 	for _, v := range all {
 		for _, i := range v.Resident {
 			if i.Name == a.q.Item.Name && i.Base == a.q.Item.Base && i.Version != a.q.Item.Version {
-				if s, ok := a.chooseOf(all, i); ok {
+				if s, ok := a.selectServerFor(all, i); ok {
 					a.q.Item = i
 					return s, true
 				}
@@ -74,7 +75,9 @@
 	return view.Server{}, false
 }
 
-func (a *attempt) chooseOf(all []view.Server, item backend.Item) (view.Server, bool) {
+// selectServerFor applies the routing policy to the servers that hold item.
+// Servers in cooldown are used only if no other candidate can be picked.
+func (a *attempt) selectServerFor(all []view.Server, item backend.Item) (view.Server, bool) {
 	r := a.r
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +94,7 @@
 		})
 	}
 	now := time.Now()
-	rested := r.passOver(now, cs)
+	cooling := r.skipCooling(now, cs)
 	q := route.Request{
 		Item:       item,
 		Urgency:    a.q.Kind.Urgency,
@@ -100,8 +103,8 @@
 		Exclude:    a.exclude,
 	}
 	c, ok := r.Policy.Pick(now, q, cs, r.random)
-	if !ok && len(rested) > 0 {
-		for _, i := range rested {
+	if !ok && len(cooling) > 0 {
+		for _, i := range cooling {
 			cs[i].Reachable = true
 		}
 		c, ok = r.Policy.Pick(now, q, cs, r.random)
@@ -109,6 +112,6 @@
 	if !ok {
 		return view.Server{}, false
 	}
-	a.why = string(c.Reason)
+	a.reason = string(c.Reason)
 	return cs[c.Index].Server, true
 }
--- a/internal/generate/resume.go
+++ b/internal/generate/resume.go
@@ -9,16 +9,17 @@
 	"guavapaddle/internal/engines"
 )
 
-// resume continues the generation at its server: through the owner, or
-// directly if the owner is lost. why is the failure so far.
-func (a *attempt) resume(ctx context.Context, why *outcome.Error) error {
+// resume continues the generation at its server, through the owner or, if the
+// owner is lost, directly. The parameter cause is the failure that interrupted the
+// generation.
+func (a *attempt) resume(ctx context.Context, cause *outcome.Error) error {
 	v, _ := a.r.Views.Get(a.server)
 	a.owner, a.epoch = v.Owner, v.Epoch
 	for range maxResumes {
-		if why.Reason == outcome.PeerLost || why.Reason == outcome.NoServer {
+		if cause.Reason == outcome.PeerLost || cause.Reason == outcome.NoServer {
 			a.owner = ""
 		}
-		a.note("resume", string(why.Reason))
+		a.trace("resume", string(cause.Reason))
 		before := a.offset
 		err := a.send(ctx, true)
 		if err == nil {
@@ -29,17 +30,17 @@
 		}
 		e := outcome.From(err)
 		if e.Outcome == outcome.RefusedNotRun {
-			e.Outcome = outcome.FailedAfterStart // the first part ran
+			e.Outcome = outcome.FailedAfterStart // tokens were generated before
 		}
 		if e.Reason != outcome.PeerLost && e.Reason != outcome.NoServer && a.offset == before {
 			return e
 		}
-		why = e
+		cause = e
 	}
-	return why
+	return cause
 }
 
-// pause waits before an attempt.
+// pause waits for the backoff before an attempt.
 func (a *attempt) pause(ctx context.Context, attempt int) error {
 	a.r.mu.Lock()
 	d := a.r.Retry.Backoff(attempt, a.r.random)
--- a/internal/generate/router.go
+++ b/internal/generate/router.go
@@ -19,25 +19,30 @@
 )
 
 const (
-	// copyRetry is what a caller is told when a model has no copy.
-	copyRetry = 2 * time.Second
-	// freeAttempts bounds attempts that reached no server, because it is gone
-	// or its owner changed: they cost no server anything.
-	freeAttempts = 8
-	// unreachableRest is how long a server that could not be reached is passed
-	// over unless no other holds the item. Its owner notices within that time.
-	unreachableRest = time.Second
-	// lostRest is how long nothing is sent to a server that broke a
-	// connection off and did not answer: its owner notices meanwhile.
-	lostRest = time.Second
-	// busyAttempts bounds the search for a server to run a marked request on.
-	busyAttempts = 20
-	// maxResumes bounds the resumptions in a row.
+	// noCopyRetryAfter is the retry delay given to callers if the model has no
+	// copy.
+	noCopyRetryAfter = 2 * time.Second
+	// maxFreeAttempts bounds the attempts that reached no server because it is
+	// down or its owner changed. Such attempts load no server, so they don't
+	// count against the retry policy.
+	maxFreeAttempts = 8
+	// unreachableCooldown is how long an unreachable server is skipped unless no
+	// other server holds the item. The server's owner detects the failure within
+	// that time.
+	unreachableCooldown = time.Second
+	// lostCooldown is how long nothing is sent to a server that broke a
+	// connection and did not respond. The server's owner detects the failure in
+	// the meantime.
+	lostCooldown = time.Second
+	// maxBusyAttempts bounds the search for a server on which a marked request
+	// can run.
+	maxBusyAttempts = 20
+	// maxResumes bounds the consecutive resumptions.
 	maxResumes = 3
 )
 
 type (
-	// Request is one generation that a caller asked this node for.
+	// Request is one generation requested by a caller of this node.
 	Request struct {
 		ID          string
 		Team        string
@@ -49,28 +54,29 @@
 		PrefixHash  uint64
 		Fingerprint suspect.Fingerprint
 		Isolated    bool
-		Started     func()               // called at the first token, may be nil
-		Buffered    bool                 // the caller sees nothing before the finish
-		Resume      *forward.ResumeToken // continue an earlier answer, nil for a new one
+		Started     func()               // called at the first token; may be nil
+		Buffered    bool                 // the caller gets the whole response after the finish
+		Resume      *forward.ResumeToken // continues an earlier response; nil for a new one
 	}
 
-	// Views is what the node knows of backend servers.
+	// Views holds the node's knowledge of backend servers.
 	Views interface {
-		// All returns the servers that are known. It is not to be changed.
+		// All returns the known servers. The caller must not modify the slice.
 		All() []view.Server
-		// Get returns the view of one server, false if it is not known.
+		// Get returns the view of one server, or false if the server is not
+		// known.
 		Get(server string) (view.Server, bool)
 		// Changed returns a channel that is closed at the next change.
 		Changed() <-chan struct{}
-		// Heard notes the load that an owner told with an answer.
+		// Heard updates the load of a server from an owner's reply.
 		Heard(server string, l forward.Load)
 	}
 
-	// Owners reaches the owner of a server on another node.
+	// Owners runs jobs at the owners of servers on other nodes.
 	Owners interface {
-		// Do runs job at the owner. The error is nil, a *engines.SinkError or
-		// an *outcome.Error; reason peer-unreachable stands for a job that
-		// was not sent, peer-lost for one whose connection broke.
+		// Do runs job at the owner. The error is nil, an *engines.SinkError or
+		// an *outcome.Error. The reason peer-unreachable means that the job was
+		// not sent, peer-lost that the connection broke after it was.
 		Do(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error
 	}
 
@@ -79,13 +85,14 @@
 		Do(ctx context.Context, job forward.Job, sink engines.Sink) error
 	}
 
-	// Event tells of one decision about a request, for logs and explain.
+	// Event is a trace event: one decision about a request, for logs and
+	// explain.
 	Event struct {
 		RequestID string
 		Event     string // "pick", "retry", "resume", "wait", "end"
 		Server    string
 		Owner     string
-		Epoch     uint64 // of the owner's lease by the view that was used, zero if unknown
+		Epoch     uint64 // epoch of the owner's lease in the view that was used, zero if unknown
 		Reason    string
 	}
 
@@ -104,51 +111,51 @@
 		Guard      Guard
 		Boot       func(ctx context.Context, server string) (string, error) // boot id of a server's engine
 		Note       func(Event)
-		Wanted     func(item backend.Item, waiting int) // change in requests waiting for a copy
+		Wanted     func(item backend.Item, waiting int) // receives the change in the number of requests that wait for a copy
 
-		mu     sync.Mutex
-		random *rand.Rand
-		budget *retry.Budget
-		sent   route.Tracker
-		rest   map[string]rest // servers that are passed over for a while
+		mu       sync.Mutex
+		random   *rand.Rand
+		budget   *retry.Budget
+		sent     route.Tracker
+		cooldown map[string]cooldown // by server
 	}
 
-	// rest is how long a server is passed over.
-	rest struct {
-		until time.Time
-		lost  bool // it does not answer, so that nothing is sent there
+	// cooldown is a period in which a server is skipped.
+	cooldown struct {
+		until        time.Time
+		unresponsive bool // the server does not respond; nothing is sent to it
 	}
 
 	// attempt is the state of one request in Do.
 	attempt struct {
-		r       *Router
-		q       Request
-		emit    forward.Emit
-		offset  int
-		exclude map[string]bool
-		count   int // attempts that cost a server something
-		free    int // attempts that did not
-		server  string
-		owner   string
-		epoch   uint64          // of the owner's lease
-		why     string          // reason of the last choice
-		held    []forward.Reply // replies that a caller who waits for the whole will get
-		ran     bool            // an attempt may have run
-		lost    bool            // the connection of an attempt was lost
-		crashed bool            // an attempt of this node crashed its server
-		bypass  bool            // the owner is not known for sure: go to the engine
-		began   bool            // a first token has come
+		r             *Router
+		q             Request
+		emit          forward.Emit
+		offset        int
+		exclude       map[string]bool
+		attempts      int // attempts that loaded a server
+		freeAttempts  int // attempts that reached no server
+		server        string
+		owner         string
+		epoch         uint64          // epoch of the owner's lease
+		reason        string          // reason of the last selection
+		buffered      []forward.Reply // replies kept until the finish of a buffered response
+		maybeRan      bool            // an attempt may have run
+		connLost      bool            // the connection of an attempt was lost
+		crashed       bool            // an attempt of this node crashed its server
+		bypassOwner   bool            // the owner is uncertain: send directly to the engine
+		gotFirstToken bool            // the first token was received
 	}
 )
 
-// Init prepares the router; seed makes its choices repeatable.
+// Init prepares the router. The seed makes its selections reproducible.
 func (r *Router) Init(seed uint64, budget *retry.Budget) {
 	r.random = rand.New(rand.NewPCG(seed, 0))
 	r.budget = budget
-	r.rest = map[string]rest{}
+	r.cooldown = map[string]cooldown{}
 }
 
-// Do generates the answer to q and passes it to emit.
+// Do generates the response to q and passes it to emit.
 func (r *Router) Do(ctx context.Context, q Request, emit forward.Emit) error {
 	a := &attempt{r: r, q: q, emit: emit, exclude: map[string]bool{}}
 	if q.Resume != nil {
@@ -159,41 +166,42 @@
 		if err := a.pick(ctx); err != nil {
 			return err
 		}
-		err := a.guarded(ctx)
+		err := a.sendGuarded(ctx)
 		if err == nil {
-			r.success(a.count)
+			r.recordSuccess(a.attempts)
 			return nil
 		}
-		a.ran = a.ran || mayHaveRun(err)
-		a.lost = a.lost || connectionLost(err)
-		if again, err := a.judge(ctx, err); !again && err != nil {
-			return a.failed(outcome.From(err))
+		a.maybeRan = a.maybeRan || mayHaveRun(err)
+		a.connLost = a.connLost || connectionLost(err)
+		if again, err := a.decide(ctx, err); !again && err != nil {
+			return a.callerError(outcome.From(err))
 		} else if !again {
 			return nil
 		}
 	}
 }
 
-// mayHaveRun tells whether a failed attempt may have run.
+// mayHaveRun reports whether a failed attempt may have run.
 func mayHaveRun(err error) bool {
 	return !suspects.IsBusy(err) && outcome.From(err).Outcome != outcome.RefusedNotRun
 }
 
-// failed returns what the caller is told of the last failure e: not a refusal
-// if an earlier attempt may have run, and unknown if a request that may not be
-// repeated was lost, since it may run to its end.
-func (a *attempt) failed(e *outcome.Error) *outcome.Error {
-	told := *e
-	if a.ran && told.Outcome == outcome.RefusedNotRun {
-		told.Outcome = outcome.FailedAfterStart
+// callerError returns the error for the caller after the last failure e. It is
+// not a refusal if an earlier attempt may have run. It is unknown if a request
+// that may not be repeated was lost, since that request may still run to its
+// end.
+func (a *attempt) callerError(e *outcome.Error) *outcome.Error {
+	result := *e
+	if a.maybeRan && result.Outcome == outcome.RefusedNotRun {
+		result.Outcome = outcome.FailedAfterStart
 	}
-	if a.lost && !a.q.Kind.Repeatable && told.Outcome == outcome.FailedAfterStart {
-		told.Outcome = outcome.Unknown
+	if a.connLost && !a.q.Kind.Repeatable && result.Outcome == outcome.FailedAfterStart {
+		result.Outcome = outcome.Unknown
 	}
-	return &told
+	return &result
 }
 
-// connectionLost tells whether an attempt was lost without a word of its end.
+// connectionLost reports whether an attempt was lost without a final reply.
 func connectionLost(err error) bool {
 	if suspects.IsBusy(err) {
 		return false
@@ -202,38 +210,38 @@
 	return r == outcome.PeerLost || r == outcome.BackendLost
 }
 
-func (a *attempt) note(event, reason string) {
+func (a *attempt) trace(event, reason string) {
 	a.r.Note(Event{RequestID: a.q.ID, Event: event, Server: a.server, Owner: a.owner, Epoch: a.epoch, Reason: reason})
 }
 
-// Seen notes that a newer view or load of a server arrived.
+// Seen records that a newer view or load of a server was received.
 func (r *Router) Seen(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent.ViewUpdated(server, time.Now())
 }
 
-func (r *Router) begin(server string) {
+func (r *Router) recordSent(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent.Sent(server, time.Now())
 }
 
-func (r *Router) end(server string) {
+func (r *Router) recordEnded(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent.Ended(server)
 }
 
-// SetRetryShare sets how many retries each first attempt that succeeded allows.
+// SetRetryShare sets how many retries each successful first attempt allows.
 func (r *Router) SetRetryShare(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.PerSuccess = share
 }
 
-// success fills the retry budget; only first attempts count.
-func (r *Router) success(failures int) {
+// recordSuccess adds a success to the retry budget. Only first attempts count.
+func (r *Router) recordSuccess(failures int) {
 	if failures > 0 {
 		return
 	}
@@ -242,7 +250,8 @@
 	r.budget.Success()
 }
 
-func (r *Router) take() bool {
+// takeRetry takes a retry from the budget and reports whether one was left.
+func (r *Router) takeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget.Take(time.Now())
--- a/internal/generate/send.go
+++ b/internal/generate/send.go
@@ -11,12 +11,13 @@
 	"guavapaddle/internal/engines"
 )
 
-// send runs the request at the picked server, through its owner if it can.
+// send runs the request at the picked server, through the server's owner if
+// possible.
 func (a *attempt) send(ctx context.Context, resume bool) error {
 	r := a.r
 	job := a.job(resume)
-	r.begin(a.server)
-	defer r.end(a.server)
+	r.recordSent(a.server)
+	defer r.recordEnded(a.server)
 	sink := func(reply forward.Reply) error {
 		if reply.Load != nil {
 			r.Views.Heard(a.server, *reply.Load)
@@ -25,40 +26,40 @@
 		if reply.Token == "" && reply.Finish == "" {
 			return nil
 		}
-		if !a.began && a.q.Started != nil {
+		if !a.gotFirstToken && a.q.Started != nil {
 			a.q.Started()
 		}
-		a.began = true
+		a.gotFirstToken = true
 		if reply.Finish == "" {
 			a.offset = reply.Offset + 1
 		}
-		return a.pass(reply)
+		return a.deliver(reply)
 	}
 	switch {
-	case r.Forward && a.owner == r.Self && !a.bypass:
+	case r.Forward && a.owner == r.Self && !a.bypassOwner:
 		return r.Local.Do(ctx, job, sink)
-	case r.Forward && a.owner != "" && !a.bypass:
+	case r.Forward && a.owner != "" && !a.bypassOwner:
 		err := r.Owners.Do(ctx, a.owner, job, sink)
 		if e := outcome.From(err); e == nil || e.Reason != outcome.PeerUnreachable {
 			return err
 		}
-		a.note("direct", string(outcome.PeerUnreachable))
+		a.trace("direct", string(outcome.PeerUnreachable))
 	}
-	return a.direct(ctx, job, sink)
+	return a.sendDirect(ctx, job, sink)
 }
 
-// pass gives a reply to the caller, or holds it until the finish if the caller
-// sees nothing before: a generation that fails halfway can then begin anew.
-func (a *attempt) pass(reply forward.Reply) error {
-	at := forward.ResumeToken{RequestID: a.engineRequest(), Offset: a.offset, Server: a.server}
+// deliver passes a reply to the caller. For a buffered request it keeps the
+// replies until the finish, so that a generation that fails halfway can restart.
+func (a *attempt) deliver(reply forward.Reply) error {
+	at := forward.ResumeToken{RequestID: a.engineRequestID(), Offset: a.offset, Server: a.server}
 	if !a.q.Buffered {
 		return a.emit(reply, at)
 	}
-	a.held = append(a.held, reply)
+	a.buffered = append(a.buffered, reply)
 	if reply.Finish == "" {
 		return nil
 	}
-	for _, r := range a.held {
+	for _, r := range a.buffered {
 		if err := a.emit(r, at); err != nil {
 			return err
 		}
@@ -66,11 +67,11 @@
 	return nil
 }
 
-// direct runs a job at the engine without its owner.
-func (a *attempt) direct(ctx context.Context, job forward.Job, sink engines.Sink) error {
+// sendDirect runs a job at the engine without its owner.
+func (a *attempt) sendDirect(ctx context.Context, job forward.Job, sink engines.Sink) error {
 	e := a.r.Engine(a.server)
 	if e == nil {
-		return outcome.Refuse(outcome.NoServer, a.server, copyRetry)
+		return outcome.Refuse(outcome.NoServer, a.server, noCopyRetryAfter)
 	}
 	return engines.Run(ctx, e, job, queue.Priority(job.Urgency), sink)
 }
@@ -80,7 +81,7 @@
 	return forward.Job{
 		Server:      a.server,
 		RequestID:   a.q.ID,
-		EngineID:    forward.EngineID(a.q.Team, a.engineRequest()),
+		EngineID:    forward.EngineID(a.q.Team, a.engineRequestID()),
 		Team:        a.q.Team,
 		Kind:        a.q.Kind.Name,
 		Urgency:     a.q.Kind.Urgency,
@@ -96,14 +97,14 @@
 	}
 }
 
-// engineRequest returns the request id that the engine knows. A request that
-// is continued keeps the id of its first part; each new attempt has its own.
-func (a *attempt) engineRequest() string {
+// engineRequestID returns the request id used at the engine. A resumed request
+// keeps the id of its first part; each new attempt has its own.
+func (a *attempt) engineRequestID() string {
 	switch {
 	case a.q.Resume != nil:
 		return a.q.Resume.RequestID
-	case a.count > 0:
-		return a.q.ID + "-" + strconv.Itoa(a.count)
+	case a.attempts > 0:
+		return a.q.ID + "-" + strconv.Itoa(a.attempts)
 	}
 	return a.q.ID
 }
