--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -16,18 +16,18 @@
 )
 
 type (
-	// answering writes the replies of one job to the node that forwarded it.
-	answering struct {
-		stream *peer.Stream
-		read   chan struct{} // closed when the asker has closed its side
-		mu     sync.Mutex
-		last   time.Time
-		ended  bool
+	// replyWriter writes the replies of one job to the node that forwarded it.
+	replyWriter struct {
+		stream   *peer.Stream
+		readDone chan struct{} // closed when the requester has closed its side
+		mu       sync.Mutex
+		last     time.Time
+		ended    bool
 	}
 )
 
-// call serves one call of another node.
-func (c *Cluster) call(ctx context.Context, from string, f peer.Frame, s *peer.Stream) {
+// serveCall serves one call of another node.
+func (c *Cluster) serveCall(ctx context.Context, from string, f peer.Frame, s *peer.Stream) {
 	defer s.Cancel()
 	switch f.Kind {
 	case KindJob:
@@ -49,22 +49,23 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := &answering{stream: s, read: make(chan struct{}), last: time.Now()}
-	go a.watch(cancel)
+	a := &replyWriter{stream: s, readDone: make(chan struct{}), last: time.Now()}
+	go a.watchCancel(cancel)
 	if load, ok := c.Local.Load(job.Server); ok {
-		_ = a.write(forward.Reply{Load: &load}) // the job has arrived
+		_ = a.write(forward.Reply{Load: &load}) // acknowledges the job
 	}
 	go a.heartbeat(ctx, c.Local, job.Server)
 	err := c.Local.Do(ctx, job, a.write)
 	if _, gone := errors.AsType[*engines.SinkError](err); gone {
 		return
 	}
-	a.end(c.Local, job.Server, err)
+	a.finish(c.Local, job.Server, err)
 }
 
-// watch ends the job when the asker cancels it. It alone reads the stream.
-func (a *answering) watch(cancel context.CancelCauseFunc) {
-	defer close(a.read)
+// watchCancel ends the job when the requester cancels it. It is the only reader
+// of the stream.
+func (a *replyWriter) watchCancel(cancel context.CancelCauseFunc) {
+	defer close(a.readDone)
 	for {
 		f, err := a.stream.Read()
 		switch {
@@ -79,8 +80,9 @@
 	}
 }
 
-// heartbeat tells the asker that the job waits on.
-func (a *answering) heartbeat(ctx context.Context, l Local, server string) {
+// heartbeat sends the load of the server to the requester while the job waits,
+// so that the requester does not consider the call lost.
+func (a *replyWriter) heartbeat(ctx context.Context, l Local, server string) {
 	t := time.NewTicker(HeartbeatPeriod / 2)
 	defer t.Stop()
 	for {
@@ -91,15 +93,15 @@
 		}
 		load, _ := l.Load(server)
 		a.mu.Lock()
-		quiet := time.Since(a.last) >= HeartbeatPeriod/2 && !a.ended
+		idle := time.Since(a.last) >= HeartbeatPeriod/2 && !a.ended
 		a.mu.Unlock()
-		if quiet && a.write(forward.Reply{Load: &load}) != nil {
+		if idle && a.write(forward.Reply{Load: &load}) != nil {
 			return
 		}
 	}
 }
 
-func (a *answering) write(r forward.Reply) error {
+func (a *replyWriter) write(r forward.Reply) error {
 	f, err := peer.Encode(KindReply, r)
 	if err != nil {
 		return err
@@ -110,8 +112,9 @@
 	return a.stream.Write(f)
 }
 
-// end writes the last reply and waits for the asker to have it.
-func (a *answering) end(l Local, server string, err error) {
+// finish writes the last reply and waits until the requester has closed its side
+// or sendTimeout has passed.
+func (a *replyWriter) finish(l Local, server string, err error) {
 	a.mu.Lock()
 	a.ended = true
 	a.mu.Unlock()
@@ -122,7 +125,7 @@
 	if a.write(last) == nil {
 		_ = a.stream.Close()
 		a.stream.ReadBy(time.Now().Add(sendTimeout))
-		<-a.read
+		<-a.readDone
 	}
 }
 
@@ -138,38 +141,38 @@
 	}
 	s, err := c.Endpoint.Open(ctx, n.Address, f)
 	if err != nil {
-		return c.notOpened(owner, err)
+		return c.openError(owner, err)
 	}
-	return follow(ctx, s, sink, func() {
-		c.suspect(owner)
+	return forwardReplies(ctx, s, sink, func() {
+		c.markUnreachable(owner)
 		c.Endpoint.Renew(n.Address)
 	})
 }
 
-// suspect tells the membership that a node makes no sign of life.
-func (c *Cluster) suspect(name string) {
+// markUnreachable reports to the membership state that a node does not respond.
+func (c *Cluster) markUnreachable(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.Unreachable(time.Now(), name)
 }
 
-// notOpened judges a call that could not be opened.
-func (c *Cluster) notOpened(owner string, err error) error {
-	c.suspect(owner)
+// openError returns the error of a call that could not be opened.
+func (c *Cluster) openError(owner string, err error) error {
+	c.markUnreachable(owner)
 	if e, ok := errors.AsType[*peer.Error](err); ok && e.Kind == peer.Unreachable {
 		return outcome.Refuse(outcome.PeerUnreachable, owner, 0)
 	}
 	return outcome.Fail(outcome.PeerLost, err.Error())
 }
 
-// follow passes the replies of a call to sink. A call that makes no sign of
-// life for ArrivalTimeout at first, or for ProgressTimeout later, is lost, and
-// silent is called.
-func follow(ctx context.Context, s *peer.Stream, sink engines.Sink, silent func()) error {
-	unwatch := context.AfterFunc(ctx, func() { abandon(ctx, s) })
-	defer unwatch()
+// forwardReplies passes the replies of a call to sink. A call without any reply
+// for ArrivalTimeout at first, or for ProgressTimeout later, is lost, and
+// onTimeout is called.
+func forwardReplies(ctx context.Context, s *peer.Stream, sink engines.Sink, onTimeout func()) error {
+	stop := context.AfterFunc(ctx, func() { abandon(ctx, s) })
+	defer stop()
 	alive := time.AfterFunc(ArrivalTimeout, func() {
-		silent()
+		onTimeout()
 		s.Cancel()
 	})
 	defer alive.Stop()
@@ -202,8 +205,9 @@
 	}
 }
 
-// abandon ends a call whose asker is gone. An asker that will not come back
-// says so; a broken stream alone leaves the generation running for a while.
+// abandon ends a call whose requester is gone. A requester that will not return
+// cancels the job; a broken stream alone leaves the generation running for a
+// while, so that it can be resumed.
 func abandon(ctx context.Context, s *peer.Stream) {
 	if context.Cause(ctx) == dispatch.ErrCancelled {
 		_ = s.Write(peer.Frame{Kind: KindCancel})
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,14 +1,14 @@
-// Package cluster joins this node with the others: it carries the digests of
-// core/member over io/peer, runs jobs that other nodes forward, and reaches the
-// owners of backend servers on other nodes.
+// Package cluster connects this node with the other nodes. It exchanges the
+// gossip digests of core/member over io/peer, runs jobs that other nodes
+// forward, and reaches the owners of backend servers on other nodes.
 //
 // # Method
 //
-// One goroutine drives the membership state under a lock; messages are sent by
-// goroutines of their own, so that a silent peer delays nobody. A call tells
-// that it is alive every HeartbeatPeriod while it waits, so connections need no
-// keep-alive of their own and a call whose owner is silent for ProgressTimeout
-// is lost.
+// One goroutine advances the membership state under a lock. Messages are sent by
+// separate goroutines, so that an unresponsive peer delays no other. A waiting
+// call sends a heartbeat at least every HeartbeatPeriod. Connections therefore
+// need no keep-alive of their own, and a call whose owner is silent for
+// ProgressTimeout is lost.
 //
 // # Usage
 //
@@ -48,10 +48,10 @@
 )
 
 const (
-	// ArrivalTimeout is the longest silence of a call that was just sent: the
-	// owner answers at once that it has it.
+	// ArrivalTimeout is the longest silence of a new call: the owner
+	// acknowledges a job at once.
 	ArrivalTimeout = 500 * time.Millisecond
-	// HeartbeatPeriod is the longest silence of a call that waits.
+	// HeartbeatPeriod is the longest silence of a waiting call.
 	HeartbeatPeriod = time.Second
 	// ProgressTimeout is the silence after which a call is lost.
 	ProgressTimeout = 3 * time.Second
@@ -70,37 +70,38 @@
 		Load(server string) (forward.Load, bool)
 	}
 
-	// Cluster is this node's part in the whole. Its fields are set before
+	// Cluster connects this node with the others. Its fields are set before
 	// Listen.
 	Cluster struct {
-		Self     member.Node // Address is filled in by Listen if its port is zero
+		Self     member.Node // Listen sets the port of Address if it is zero
 		Endpoint *peer.Endpoint
 		Settings member.Settings
-		Seeds    func() []string // addresses of nodes, from settings and VM list
+		Seeds    func() []string // returns addresses of nodes from the settings and the VM list
 		Local    Local
-		// OnView is told each newer view of a server.
+		// OnView receives each newer view of a server.
 		OnView func(v view.Server)
-		// OnLoad is told each newer load of a server that its owner spread
+		// OnLoad receives each newer load of a server that its owner published
 		// without a view.
 		OnLoad func(server string, l forward.Load)
-		// OnMessage is told the messages that are not the cluster's own.
+		// OnMessage receives the messages of kinds that the cluster does not
+		// handle.
 		OnMessage func(from string, f peer.Frame)
 		// Config returns the body of the configuration with a hash.
 		Config func(hash string) ([]byte, bool)
 		// ConfigHead returns the configuration in force, and whether this node
-		// is sure that there is none newer.
+		// is certain that none is newer.
 		ConfigHead func() (ref head.Ref, fresh bool)
-		// Spent returns a function that counts the time since as control
-		// work of a kind; may be nil.
+		// Spent starts the measurement of control work of a kind and returns the
+		// function that ends it; may be nil.
 		Spent func(w metrics.Work) func()
 		Log   *zap.Logger
 		Seed  uint64
 
 		viewsOut, viewsIn atomic.Uint64 // bytes of views in messages
 
-		mu    sync.Mutex
-		state *member.State
-		known map[string]uint64 // incarnation of each node when last seen
+		mu           sync.Mutex
+		state        *member.State
+		incarnations map[string]uint64 // last seen incarnation by node name
 	}
 )
 
@@ -111,14 +112,14 @@
 		return "", err
 	}
 	c.Self.Address = address
-	c.Endpoint.OnMessage = c.message
-	c.Endpoint.OnCall = c.call
+	c.Endpoint.OnMessage = c.handleMessage
+	c.Endpoint.OnCall = c.serveCall
 	c.state = member.New(c.Self, c.Settings, rand.New(rand.NewPCG(c.Seed, c.Self.Incarnation)))
-	c.known = map[string]uint64{}
+	c.incarnations = map[string]uint64{}
 	return address, nil
 }
 
-// Run takes part until ctx ends.
+// Run runs the endpoint and the membership protocol until ctx ends.
 func (c *Cluster) Run(ctx context.Context) error {
 	done := make(chan error, 1)
 	go func() { done <- c.Endpoint.Run(ctx) }()
@@ -137,9 +138,9 @@
 	}
 }
 
-// step advances the membership state.
+// step advances the membership state and returns the messages to send.
 func (c *Cluster) step(now time.Time, joined *time.Time) []member.Envelope {
-	defer c.spent(metrics.Membership)()
+	defer c.timeWork(metrics.Membership)()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []member.Envelope
@@ -163,15 +164,15 @@
 	}
 }
 
-// sendMember gives one message of the membership to its address.
+// sendMember sends one membership message to its address.
 func (c *Cluster) sendMember(ctx context.Context, s member.Envelope) {
 	if c.send(ctx, s.Address, KindMember, s.Message) {
 		c.viewsOut.Add(entryBytes(s.Message.Entries))
 	}
 }
 
-// send gives one message to an address, best effort, and tells whether it was
-// given to a connection.
+// send sends one message to an address, best effort, and reports whether a
+// connection accepted it.
 func (c *Cluster) send(ctx context.Context, address string, k peer.Kind, v any) bool {
 	f, err := peer.Encode(k, v)
 	if err != nil {
@@ -180,11 +181,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	return c.Endpoint.Send(ctx, address, f) == nil // probes find out who is unreachable
+	return c.Endpoint.Send(ctx, address, f) == nil // the membership probes detect unreachable nodes
 }
 
-// spent is Spent, or does nothing.
-func (c *Cluster) spent(w metrics.Work) func() {
+// timeWork calls Spent, or does nothing if it is nil.
+func (c *Cluster) timeWork(w metrics.Work) func() {
 	if c.Spent == nil {
 		return func() {}
 	}
@@ -198,7 +199,7 @@
 	c.state.Update(f)
 }
 
-// Nodes returns all nodes that are known.
+// Nodes returns all known nodes.
 func (c *Cluster) Nodes() []member.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,7 +213,7 @@
 	return c.state.Node(name)
 }
 
-// Working returns the names of live nodes that do not leave, sorted.
+// Working returns the sorted names of live nodes that are not leaving.
 func (c *Cluster) Working() []string {
 	var names []string
 	for _, n := range c.Nodes() {
@@ -223,7 +224,7 @@
 	return names
 }
 
-// Leave tells the others that this node stops.
+// Leave announces to the other nodes that this node stops.
 func (c *Cluster) Leave(ctx context.Context) {
 	c.mu.Lock()
 	out := c.state.Leave()
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -8,21 +8,21 @@
 )
 
 type (
-	// configRequest asks for the body with a hash, or, if the hash is empty,
-	// for the head only.
+	// configRequest requests the body with a hash or, if the hash is empty, only
+	// the head.
 	configRequest struct {
 		Hash string `cbor:"1,keyasint"`
 	}
 
 	configReply struct {
 		Body    []byte `cbor:"1,keyasint,omitempty"`
-		Version uint64 `cbor:"2,keyasint,omitempty"` // in force at the node that answers
+		Version uint64 `cbor:"2,keyasint,omitempty"` // in force at the replying node
 		Hash    string `cbor:"3,keyasint,omitempty"`
 		Fresh   bool   `cbor:"4,keyasint,omitempty"`
 	}
 )
 
-// serveConfig gives another node the body of a configuration, or the head.
+// serveConfig sends another node the body of a configuration, or the head.
 func (c *Cluster) serveConfig(f peer.Frame, s *peer.Stream) {
 	var q configRequest
 	if f.Decode(&q) != nil {
@@ -46,21 +46,21 @@
 	}
 }
 
-// FetchConfig asks a node for the body of a configuration.
+// FetchConfig requests the body of a configuration from a node.
 func (c *Cluster) FetchConfig(ctx context.Context, node, hash string) ([]byte, error) {
-	r, err := c.askConfig(ctx, node, configRequest{Hash: hash})
+	r, err := c.queryConfig(ctx, node, configRequest{Hash: hash})
 	return r.Body, err
 }
 
-// AskConfigHead asks a node which configuration it has in force, and whether
-// it is sure that there is none newer. The answer is given after the question,
-// never before.
+// AskConfigHead queries a node for its configuration in force, and whether it is
+// certain that none is newer. The reply reflects a time after the query was
+// sent, never before.
 func (c *Cluster) AskConfigHead(ctx context.Context, node string) (ref head.Ref, fresh bool, err error) {
-	r, err := c.askConfig(ctx, node, configRequest{})
+	r, err := c.queryConfig(ctx, node, configRequest{})
 	return head.Ref{Version: r.Version, Hash: r.Hash}, r.Fresh, err
 }
 
-func (c *Cluster) askConfig(ctx context.Context, node string, q configRequest) (configReply, error) {
+func (c *Cluster) queryConfig(ctx context.Context, node string, q configRequest) (configReply, error) {
 	var r configReply
 	n, ok := c.Node(node)
 	if !ok {
--- a/internal/cluster/publish.go
+++ b/internal/cluster/publish.go
@@ -8,7 +8,7 @@
 	"guavapaddle/core/view"
 )
 
-// entryBytes returns the bytes of keys and values of entries.
+// entryBytes returns the total size of the keys and values of entries.
 func entryBytes(all []member.Entry) uint64 {
 	n := 0
 	for _, e := range all {
@@ -21,7 +21,7 @@
 // start. They are part of the traffic of KindMember.
 func (c *Cluster) ViewBytes() (sent, received uint64) { return c.viewsOut.Load(), c.viewsIn.Load() }
 
-// Publish spreads the view of a server that this node owns.
+// Publish gossips the view of a server that this node owns.
 func (c *Cluster) Publish(v view.Server) error {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -34,8 +34,9 @@
 	return nil
 }
 
-// PublishLoad spreads the load of a server that this node owns, where the rest
-// of its view is unchanged. The order of loads is that of views.
+// PublishLoad gossips the load of a server that this node owns while the rest of
+// its view is unchanged. Loads and views share one order of epochs and sequence
+// numbers.
 func (c *Cluster) PublishLoad(v view.Server) error {
 	l := forward.Load{Running: v.Running, Queued: v.Queued, Slots: v.Slots, WaitMS: v.WaitMS}
 	b, err := cbor.Marshal(l)
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -15,27 +15,27 @@
 	"guavapaddle/io/peer"
 )
 
-// message takes one message in.
-func (c *Cluster) message(from string, f peer.Frame) {
+// handleMessage handles one received message.
+func (c *Cluster) handleMessage(from string, f peer.Frame) {
 	if f.Kind != KindMember {
 		c.OnMessage(from, f)
 		return
 	}
-	m, fresh, out, ok := c.receive(from, f)
+	m, newer, out, ok := c.receive(from, f)
 	if !ok {
 		return
 	}
-	c.views(fresh)
-	c.restarted(m)
+	c.handleViews(newer)
+	c.closeRestarted(m)
 	c.sendAll(context.Background(), out)
 }
 
-// receive decodes a message of the membership and takes it in. It returns the
-// entries that are newer than the known, and the messages that answer it.
-func (c *Cluster) receive(from string, f peer.Frame) (m member.Message, fresh []member.Entry, out []member.Envelope, ok bool) {
-	defer c.spent(metrics.Membership)()
+// receive decodes a membership message and applies it. It returns the entries
+// that are newer than the known ones, and the messages to send in reply.
+func (c *Cluster) receive(from string, f peer.Frame) (m member.Message, newer []member.Entry, out []member.Envelope, ok bool) {
+	defer c.timeWork(metrics.Membership)()
 	if err := f.Decode(&m); err != nil {
-		c.Log.Warn("message refused", zap.String("from", from), zap.Error(err))
+		c.Log.Warn("cannot decode message", zap.String("from", from), zap.Error(err))
 		return m, nil, nil, false
 	}
 	c.viewsIn.Add(entryBytes(m.Entries))
@@ -43,18 +43,18 @@
 	defer c.mu.Unlock()
 	for _, e := range m.Entries {
 		if known, ok := c.state.Entry(e.Key); !ok || e.Newer(known) {
-			fresh = append(fresh, e)
+			newer = append(newer, e)
 		}
 	}
-	return m, fresh, c.state.Receive(time.Now(), m), true
+	return m, newer, c.state.Receive(time.Now(), m), true
 }
 
-// views passes on the views and loads in entries that are new here.
-func (c *Cluster) views(entries []member.Entry) {
-	defer c.spent(metrics.Views)()
+// handleViews passes the views and loads in new entries to OnView and OnLoad.
+func (c *Cluster) handleViews(entries []member.Entry) {
+	defer c.timeWork(metrics.Views)()
 	for _, e := range entries {
 		if server, ok := strings.CutPrefix(e.Key, loadPrefix); ok {
-			c.load(server, e)
+			c.handleLoad(server, e)
 			continue
 		}
 		var v view.Server
@@ -64,22 +64,22 @@
 	}
 }
 
-// load passes on a load that was received.
-func (c *Cluster) load(server string, e member.Entry) {
+// handleLoad passes a received load to OnLoad.
+func (c *Cluster) handleLoad(server string, e member.Entry) {
 	var l forward.Load
 	if cbor.Unmarshal(e.Value, &l) == nil {
 		c.OnLoad(server, l)
 	}
 }
 
-// restarted drops connections to nodes that began anew.
-func (c *Cluster) restarted(m member.Message) {
+// closeRestarted closes the connections to nodes that have restarted.
+func (c *Cluster) closeRestarted(m member.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range append(m.Nodes, m.From) {
-		old, ok := c.known[n.Name]
+		old, ok := c.incarnations[n.Name]
 		if n.Incarnation > old {
-			c.known[n.Name] = n.Incarnation
+			c.incarnations[n.Name] = n.Incarnation
 		}
 		if ok && n.Incarnation > old {
 			go c.Endpoint.Forget(n.Address)
--- a/internal/cluster/tell.go
+++ b/internal/cluster/send.go
@@ -18,30 +18,30 @@
 	}
 }
 
-// TellSome sends v to k random other live nodes, best effort.
+// TellSome gossips v to k random other live nodes, best effort.
 func (c *Cluster) TellSome(ctx context.Context, k int, kind peer.Kind, v any) {
-	for _, n := range c.others(k) {
+	for _, n := range c.randomPeers(k) {
 		go c.send(ctx, n.Address, kind, v)
 	}
 }
 
-// AskAll sends v as a call to up to most other live nodes and returns when each
-// has taken it in or ctx ends.
-func (c *Cluster) AskAll(ctx context.Context, most int, kind peer.Kind, v any) {
+// AskAll sends v as a call to at most limit other live nodes and returns when
+// each has processed it or ctx ends.
+func (c *Cluster) AskAll(ctx context.Context, limit int, kind peer.Kind, v any) {
 	f, err := peer.Encode(kind, v)
 	if err != nil {
 		c.Log.Error("encode", zap.Error(err))
 		return
 	}
 	var wg sync.WaitGroup
-	for _, n := range c.others(most) {
-		wg.Go(func() { c.ask(ctx, n.Address, f) })
+	for _, n := range c.randomPeers(limit) {
+		wg.Go(func() { c.callNode(ctx, n.Address, f) })
 	}
 	wg.Wait()
 }
 
-// ask sends one call and waits until the other node closes it.
-func (c *Cluster) ask(ctx context.Context, address string, f peer.Frame) {
+// callNode sends one call and waits until the other node closes it.
+func (c *Cluster) callNode(ctx context.Context, address string, f peer.Frame) {
 	s, err := c.Endpoint.Open(ctx, address, f)
 	if err != nil {
 		return
@@ -49,11 +49,11 @@
 	stop := context.AfterFunc(ctx, s.Cancel)
 	defer stop()
 	_ = s.Close()
-	_, _ = s.Read() // ends when the other node has taken it in
+	_, _ = s.Read() // returns when the other node has processed the call
 }
 
-// others returns up to most random other live nodes.
-func (c *Cluster) others(most int) []member.Node {
+// randomPeers returns at most limit random other live nodes.
+func (c *Cluster) randomPeers(limit int) []member.Node {
 	var out []member.Node
 	for _, n := range c.Nodes() {
 		if n.Name != c.Self.Name && n.Status <= member.Suspect {
@@ -61,5 +61,5 @@
 		}
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
