--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// DefaultResumeGrace is how long a generation goes on that nobody reads.
+	// DefaultResumeGrace is how long a generation continues without a reader.
 	DefaultResumeGrace = 10 * time.Second
 
 	notOwnedRetry = 200 * time.Millisecond
@@ -25,13 +25,14 @@
 	Dispatcher struct {
 		// Engine returns the client of a server's engine, nil if unknown.
 		Engine func(server string) engines.Engine
-		// Settings returns the queue settings of a server, may be nil.
+		// Settings returns the queue settings of a server; may be nil.
 		Settings func(server string) queue.Settings
-		// OnLost is told that a server's engine broke off requests, with the
-		// fingerprints of those that ran. The request that was broken off is
-		// answered when it returns. It may be nil.
+		// OnLost is called when a server's engine breaks a request's connection,
+		// with the fingerprints of the requests that were running. The failed
+		// request is answered only after OnLost returns. It may be nil.
 		OnLost func(server string, running []string)
-		// ResumeGrace is how long a generation goes on that nobody reads.
+		// ResumeGrace is how long a generation continues without a reader; zero
+		// means DefaultResumeGrace.
 		ResumeGrace time.Duration
 
 		active  atomic.Int64
@@ -51,7 +52,7 @@
 		closed  bool
 	}
 
-	// verdict is what the queue decided about a waiting request.
+	// verdict is the queue's decision on a waiting request.
 	verdict struct {
 		priority int
 		err      error
@@ -60,11 +61,12 @@
 	// running is a request that was sent to the engine.
 	running struct {
 		fingerprint string
-		adopted     chan struct{} // closed when another asker resumes it
+		resumed     chan struct{} // closed when another requester resumes it
 	}
 )
 
-// Own makes the node dispatch for a server with so many slots.
+// Own makes the node dispatch for a server with the given number of slots. For a
+// server that it already owns it only sets the slots.
 func (d *Dispatcher) Own(name string, slots int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,21 +77,21 @@
 		s.setSlots(slots)
 		return
 	}
-	var set queue.Settings
+	var settings queue.Settings
 	if d.Settings != nil {
-		set = d.Settings(name)
+		settings = d.Settings(name)
 	}
-	set.Slots = slots
+	settings.Slots = slots
 	d.servers[name] = &server{
 		name:    name,
-		queue:   queue.New(set),
+		queue:   queue.New(settings),
 		waiting: map[string]chan verdict{},
 		running: map[string]*running{},
 	}
 }
 
-// Disown gives a server up: waiting requests are refused as not run, so that
-// they go to the next owner; running ones end as they are.
+// Disown releases a server. Waiting requests are refused as not run, so that
+// they go to the next owner; running ones continue to their end.
 func (d *Dispatcher) Disown(name string) {
 	d.mu.Lock()
 	s := d.servers[name]
@@ -133,12 +135,12 @@
 	return n
 }
 
-// Active returns how many generations run or linger, those of servers that the
-// node gave up included.
+// Active returns how many generations are queued, running or waiting for a
+// resumption, including those on servers that the node has released.
 func (d *Dispatcher) Active() int { return int(d.active.Load()) }
 
-// Do runs a job on a server that this node owns and passes the answer to sink.
-// The error is nil, a *engines.SinkError or an *outcome.Error.
+// Do runs a job on a server that this node owns and passes the replies to sink.
+// The error is nil, an *engines.SinkError or an *outcome.Error.
 func (d *Dispatcher) Do(ctx context.Context, job forward.Job, sink engines.Sink) error {
 	s := d.server(job.Server)
 	engine := d.Engine(job.Server)
@@ -148,7 +150,7 @@
 	d.active.Add(1)
 	defer d.active.Add(-1)
 	if job.Resume {
-		s.adopt(job.EngineID)
+		s.signalResumed(job.EngineID)
 		return d.run(ctx, s, engine, job, 0, sink)
 	}
 	priority, err := s.wait(ctx, job)
@@ -161,39 +163,40 @@
 	return err
 }
 
-// run sends a job to the engine. A streamed generation outlives its asker.
+// run sends a job to the engine. A streamed generation continues after its
+// requester is gone.
 func (d *Dispatcher) run(ctx context.Context, s *server, e engines.Engine, job forward.Job, priority int, sink engines.Sink) error {
-	work, stop := context.WithCancelCause(context.WithoutCancel(ctx))
-	defer stop(nil)
-	unwatch := context.AfterFunc(ctx, func() { d.linger(ctx, s, e, job, stop) })
-	defer unwatch()
-	r := s.start(job)
-	defer s.end(job.EngineID, r)
-	gone := false
-	guarded := func(reply forward.Reply) error {
-		if gone || ctx.Err() != nil {
-			gone = true // keep reading to hold the slot until the engine is done
+	runCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	defer cancel(nil)
+	stopWatch := context.AfterFunc(ctx, func() { d.awaitResume(ctx, s, e, job, cancel) })
+	defer stopWatch()
+	r := s.addRunning(job)
+	defer s.removeRunning(job.EngineID, r)
+	sinkClosed := false
+	forwardReply := func(reply forward.Reply) error {
+		if sinkClosed || ctx.Err() != nil {
+			sinkClosed = true // keep reading, which holds the slot until the engine is done
 			return nil
 		}
 		if err := sink(reply); err != nil {
-			gone = true
-			go d.linger(ctx, s, e, job, stop)
+			sinkClosed = true
+			go d.awaitResume(ctx, s, e, job, cancel)
 		}
 		return nil
 	}
-	err := engines.Run(work, e, job, priority, guarded)
+	err := engines.Run(runCtx, e, job, priority, forwardReply)
 	switch {
-	case gone:
+	case sinkClosed:
 		return &engines.SinkError{Err: context.Canceled}
 	case err != nil:
-		d.lost(s, err)
+		d.reportLost(s, err)
 	}
 	return err
 }
 
-// linger waits for somebody to resume a generation and cancels it if none
-// does.
-func (d *Dispatcher) linger(ctx context.Context, s *server, e engines.Engine, job forward.Job, stop context.CancelCauseFunc) {
+// awaitResume waits for another requester to resume a generation, and cancels it
+// if none does within the grace period.
+func (d *Dispatcher) awaitResume(ctx context.Context, s *server, e engines.Engine, job forward.Job, cancel context.CancelCauseFunc) {
 	grace := d.ResumeGrace
 	if grace == 0 {
 		grace = DefaultResumeGrace
@@ -201,20 +204,21 @@
 	if context.Cause(ctx) == ErrCancelled {
 		grace = 0
 	}
-	adopted := s.adoption(job.EngineID)
+	resumed := s.resumption(job.EngineID)
 	t := time.NewTimer(grace)
 	defer t.Stop()
 	select {
-	case <-adopted:
+	case <-resumed:
 		return
 	case <-t.C:
 	}
 	engines.Cancel(e, job.EngineID)
-	stop(ErrCancelled)
+	cancel(ErrCancelled)
 }
 
-// lost tells what a broken generation may have been: the crash of a server.
-func (d *Dispatcher) lost(s *server, err error) {
+// reportLost calls OnLost after a broken connection to an engine, which may mean
+// that the server crashed.
+func (d *Dispatcher) reportLost(s *server, err error) {
 	e, ok := errors.AsType[*outcome.Error](err)
 	if !ok || d.OnLost == nil || e.Reason != outcome.BackendLost {
 		return
@@ -228,8 +232,8 @@
 	return d.servers[name]
 }
 
-// entry returns the queue's entry of a job.
-func entry(job forward.Job, now time.Time) queue.Entry {
+// queueEntry returns the queue entry of a job.
+func queueEntry(job forward.Job, now time.Time) queue.Entry {
 	return queue.Entry{
 		ID:       job.EngineID,
 		Team:     job.Team,
@@ -243,12 +247,12 @@
 	}
 }
 
-// cancelled is the cause of a context whose asker cancelled.
-type cancelled struct{}
+// cancelledError is the type of ErrCancelled.
+type cancelledError struct{}
 
-// ErrCancelled is the cause of a context whose asker does not want the answer
-// any more and will not come back for it.
-var ErrCancelled error = cancelled{}
+// ErrCancelled is the cause of a context whose requester no longer wants the
+// response and will not return for it.
+var ErrCancelled error = cancelledError{}
 
-// Error returns the text of the cause.
-func (cancelled) Error() string { return "cancelled by the asker" }
+// Error returns the error text.
+func (cancelledError) Error() string { return "cancelled by the asker" }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -21,52 +21,54 @@
 const step = 10 * time.Millisecond
 
 type (
-	// fake is an engine that gives a token each step until it is cancelled.
-	fake struct {
-		mu        sync.Mutex
-		running   int
-		most      int
-		cancelled map[string]bool
-		resumed   map[string]bool
+	// fakeEngine emits one token per step until it is cancelled.
+	fakeEngine struct {
+		mu         sync.Mutex
+		running    int
+		maxRunning int
+		cancelled  map[string]bool
+		resumed    map[string]bool
 	}
 
 	stream struct {
-		f    *fake
+		f    *fakeEngine
 		id   string
 		next int
 		last int
 	}
 )
 
-func newFake() *fake { return &fake{cancelled: map[string]bool{}, resumed: map[string]bool{}} }
+func newFakeEngine() *fakeEngine {
+	return &fakeEngine{cancelled: map[string]bool{}, resumed: map[string]bool{}}
+}
 
-func (f *fake) Generate(_ context.Context, g backend.Generate) (engines.Stream, error) {
+func (f *fakeEngine) Generate(_ context.Context, g backend.Generate) (engines.Stream, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.running++
-	f.most = max(f.most, f.running)
+	f.maxRunning = max(f.maxRunning, f.running)
 	return &stream{f: f, id: g.RequestID, last: g.MaxTokens}, nil
 }
 
-func (f *fake) Resume(_ context.Context, r backend.Resume) (engines.Stream, error) {
+func (f *fakeEngine) Resume(_ context.Context, r backend.Resume) (engines.Stream, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.resumed[r.RequestID] = true
 	return &stream{f: f, id: r.RequestID, next: r.Offset, last: r.Offset + 3}, nil
 }
 
-func (f *fake) Cancel(_ context.Context, id string) error {
+func (f *fakeEngine) Cancel(_ context.Context, id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancelled[id] = true
 	return nil
 }
 
-func (f *fake) Fate(error) (engines.Fate, outcome.Reason, time.Duration) {
+func (f *fakeEngine) Fate(error) (engines.Fate, outcome.Reason, time.Duration) {
 	return engines.Unknown, outcome.BackendLost, 0
 }
 
-func (f *fake) isCancelled(id string) bool {
+func (f *fakeEngine) isCancelled(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cancelled[id]
@@ -90,7 +92,7 @@
 
 func (*stream) Close() {}
 
-func newDispatcher(f *fake, slots int) *dispatch.Dispatcher {
+func newDispatcher(f *fakeEngine, slots int) *dispatch.Dispatcher {
 	d := &dispatch.Dispatcher{Engine: func(string) engines.Engine { return f }, ResumeGrace: time.Second}
 	d.Own("gpu-1", slots)
 	return d
@@ -105,25 +107,27 @@
 
 func discard(forward.Reply) error { return nil }
 
-// TestSlots shows that no more requests run at the engine than it has slots.
+// TestSlots guards against running more requests at the engine than it has
+// slots.
 func TestSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeEngine()
 		d := newDispatcher(f, 3)
 		var wg sync.WaitGroup
 		for i := range 20 {
 			wg.Go(func() { require.NoError(t, d.Do(context.Background(), job(fmt.Sprint(i), 5), discard)) })
 		}
 		wg.Wait()
-		require.Equal(t, 3, f.most)
+		require.Equal(t, 3, f.maxRunning)
 		require.Zero(t, d.Busy())
 		require.Zero(t, d.Active())
 	})
 }
 
-// TestNotOwned refuses a job for a server of another node, as not run.
+// TestNotOwned checks that a job for a server of another node is refused as not
+// run.
 func TestNotOwned(t *testing.T) {
-	f := newFake()
+	f := newFakeEngine()
 	d := newDispatcher(f, 1)
 	other := job("r", 1)
 	other.Server = "gpu-2"
@@ -133,11 +137,12 @@
 	require.Positive(t, e.RetryAfter)
 }
 
-// TestInvariantDisownRefusesAsNotRun gives a server up while requests wait:
-// those that wait are refused as not run and did not run, the running one ends.
+// TestInvariantDisownRefusesAsNotRun guards against losing or running requests
+// that wait when their server is released: they are refused as not run and don't
+// run, while the running one ends normally.
 func TestInvariantDisownRefusesAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeEngine()
 		d := newDispatcher(f, 1)
 		errs := make([]error, 4)
 		var wg sync.WaitGroup
@@ -153,17 +158,17 @@
 			require.Equal(t, outcome.RefusedNotRun, e.Outcome)
 			require.Equal(t, outcome.NoServer, e.Reason)
 		}
-		require.Equal(t, 1, f.most)
+		require.Equal(t, 1, f.maxRunning)
 	})
 }
 
-// TestLinger leaves a generation without its asker: it goes on for the grace
-// and is cancelled then, unless another asker resumes it.
-func TestLinger(t *testing.T) {
+// TestResumeGrace checks that a generation whose requester is gone continues for
+// the grace period and is then cancelled, unless another requester resumes it.
+func TestResumeGrace(t *testing.T) {
 	for _, resumed := range []bool{false, true} {
 		t.Run(fmt.Sprint("resumed ", resumed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFake()
+				f := newFakeEngine()
 				d := newDispatcher(f, 1)
 				ctx, cancel := context.WithCancel(context.Background())
 				done := make(chan error, 1)
@@ -173,9 +178,9 @@
 				time.Sleep(500 * time.Millisecond)
 				require.False(t, f.isCancelled("r"))
 				if resumed {
-					again := job("r", 400)
-					again.Resume, again.Offset = true, 20
-					require.NoError(t, d.Do(context.Background(), again, discard))
+					resume := job("r", 400)
+					resume.Resume, resume.Offset = true, 20
+					require.NoError(t, d.Do(context.Background(), resume, discard))
 				}
 				time.Sleep(time.Second)
 				require.Equal(t, !resumed, f.isCancelled("r"))
@@ -186,10 +191,11 @@
 	}
 }
 
-// TestCancelled ends a generation at once whose asker will not come back.
+// TestCancelled checks that a generation ends at once if its requester cancels
+// it explicitly.
 func TestCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeEngine()
 		d := newDispatcher(f, 1)
 		ctx, cancel := context.WithCancelCause(context.Background())
 		done := make(chan error, 1)
@@ -201,11 +207,11 @@
 	})
 }
 
-// TestGoneWhileWaiting takes a waiting request out whose asker is gone; it
-// never runs.
-func TestGoneWhileWaiting(t *testing.T) {
+// TestRequesterGoneWhileWaiting guards against running a waiting request whose
+// requester is gone: it is removed from the queue.
+func TestRequesterGoneWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeEngine()
 		d := newDispatcher(f, 1)
 		go func() { _ = d.Do(context.Background(), job("first", 50), discard) }()
 		synctest.Wait()
@@ -217,27 +223,27 @@
 		e := outcome.From(<-done)
 		require.Equal(t, outcome.RefusedNotRun, e.Outcome)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, 1, f.most)
+		require.Equal(t, 1, f.maxRunning)
 		require.Zero(t, d.Busy())
 	})
 }
 
-// TestDeadline refuses a waiting request when it can't end in time any more,
-// at once and not at its deadline.
+// TestDeadline checks that a waiting request that can no longer meet its
+// deadline is refused at once, not at its deadline.
 func TestDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFake()
+		f := newFakeEngine()
 		d := newDispatcher(f, 1)
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = d.Do(context.Background(), job("long", 1000), discard) })
 		defer wg.Wait()
 		synctest.Wait()
-		late := job("late", 50)
-		late.RemainingMS = 2000
-		began := time.Now()
-		e := outcome.From(d.Do(context.Background(), late, discard))
+		shortDeadline := job("late", 50)
+		shortDeadline.RemainingMS = 2000
+		start := time.Now()
+		e := outcome.From(d.Do(context.Background(), shortDeadline, discard))
 		require.Equal(t, outcome.RefusedNotRun, e.Outcome)
-		require.Less(t, time.Since(began), 2*time.Second)
+		require.Less(t, time.Since(start), 2*time.Second)
 		require.Positive(t, e.RetryAfter)
 	})
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,18 +1,18 @@
-// Package dispatch is the owner's side of the request path: it holds the
+// Package dispatch implements the owner's side of the request path. It holds the
 // deadline queue of each backend server that this node owns, sends requests to
-// the engine when a slot is free, and passes the answers on.
+// the engine when a slot is free, and returns the replies.
 //
 // # Method
 //
-// One core/queue.Queue a server decides what runs next and what is refused. A
-// request waits in its own goroutine for the queue's verdict; whoever changes
-// the queue also delivers the verdicts that follow from the change, under the
-// server's lock.
+// One core/queue.Queue per server decides which request runs next and which are
+// refused. Each request waits in its own goroutine for the queue's verdict.
+// Every change of a queue also delivers the verdicts that follow from it, under
+// the server's lock.
 //
-// When who asked for a streamed answer is gone, the engine goes on for
-// ResumeGrace, so that the caller can come back through any node and get the
-// rest; then the generation is cancelled. An asker that says it cancels ends
-// the generation at once.
+// When the requester of a streamed response is gone, the engine continues for
+// ResumeGrace, so that the caller can return through any node and get the rest
+// of the response. After that the generation is cancelled. A requester that
+// cancels explicitly ends the generation at once.
 //
 // # Usage
 //
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -10,10 +10,10 @@
 	"guavapaddle/core/queue"
 )
 
-// wait offers a job to the queue and returns its priority at the engine once
-// a slot is free. The error is an *outcome.Error with outcome RefusedNotRun.
+// wait enqueues a job and returns its priority at the engine once a slot is
+// free. The error is an *outcome.Error with outcome RefusedNotRun.
 func (s *server) wait(ctx context.Context, job forward.Job) (int, error) {
-	verdicts, err := s.offer(job)
+	verdicts, err := s.enqueue(job)
 	if err != nil {
 		return 0, err
 	}
@@ -25,15 +25,15 @@
 	if s.cancel(job.EngineID) {
 		return 0, outcome.Refuse(outcome.CallerGone, "while it waited", 0)
 	}
-	v := <-verdicts // a verdict came first
+	v := <-verdicts // the verdict was delivered before the cancellation
 	if v.err == nil {
 		s.done(job, time.Time{}, false)
 	}
 	return 0, outcome.Refuse(outcome.CallerGone, "while it waited", 0)
 }
 
-// offer puts a job into the queue.
-func (s *server) offer(job forward.Job) (chan verdict, error) {
+// enqueue adds a job to the queue and returns the channel of its verdict.
+func (s *server) enqueue(job forward.Job) (chan verdict, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -41,7 +41,7 @@
 		return nil, outcome.Refuse(outcome.NoServer, s.name, notOwnedRetry)
 	}
 	verdicts := make(chan verdict, 1)
-	r := s.queue.Enqueue(now, entry(job, now))
+	r := s.queue.Enqueue(now, queueEntry(job, now))
 	if !r.Admitted {
 		return nil, outcome.Refuse(r.Reason, s.name, r.RetryAfter)
 	}
@@ -49,12 +49,13 @@
 	if r.Evicted != nil {
 		s.refuse(*r.Evicted)
 	}
-	s.pump(now)
+	s.deliverVerdicts(now)
 	return verdicts, nil
 }
 
-// pump delivers what the queue decides now. The lock is held.
-func (s *server) pump(now time.Time) {
+// deliverVerdicts delivers the verdicts that the queue has at now. The lock is
+// held.
+func (s *server) deliverVerdicts(now time.Time) {
 	for _, e := range s.queue.Expire(now) {
 		s.refuse(e)
 	}
@@ -64,7 +65,7 @@
 	s.schedule(now)
 }
 
-// schedule arranges for the next expiry. The lock is held.
+// schedule sets the timer for the next expiry. The lock is held.
 func (s *server) schedule(now time.Time) {
 	at, ok := s.queue.NextExpiry()
 	if s.timer != nil {
@@ -76,14 +77,16 @@
 	s.timer = time.AfterFunc(max(at.Sub(now), time.Millisecond), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.pump(time.Now())
+		s.deliverVerdicts(time.Now())
 	})
 }
 
+// refuse delivers a rejection by the queue to the waiting job. The lock is held.
 func (s *server) refuse(e queue.Rejection) {
 	s.verdict(e.ID, verdict{err: outcome.Refuse(e.Reason, s.name, e.RetryAfter)})
 }
 
+// verdict delivers v to a waiting job. The lock is held.
 func (s *server) verdict(id string, v verdict) {
 	if c, ok := s.waiting[id]; ok {
 		delete(s.waiting, id)
@@ -91,7 +94,7 @@
 	}
 }
 
-// cancel takes a waiting job out and tells whether it was waiting.
+// cancel removes a waiting job and reports whether it was waiting.
 func (s *server) cancel(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,24 +103,25 @@
 	}
 	delete(s.waiting, id)
 	s.queue.Cancel(id)
-	s.pump(time.Now())
+	s.deliverVerdicts(time.Now())
 	return true
 }
 
-// done frees a job's slot; a good end teaches the queue its service time.
-func (s *server) done(job forward.Job, started time.Time, good bool) {
+// done frees a job's slot. A successful job updates the queue's estimate of the
+// service time.
+func (s *server) done(job forward.Job, started time.Time, succeeded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	seconds := 0.0
-	if good {
+	if succeeded {
 		seconds = now.Sub(started).Seconds()
 	}
 	s.queue.Done(job.EngineID, now, seconds)
-	s.pump(now)
+	s.deliverVerdicts(now)
 }
 
-// close refuses all that wait.
+// close refuses all waiting jobs.
 func (s *server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +138,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queue.SetSlots(n)
-	s.pump(time.Now())
+	s.deliverVerdicts(time.Now())
 }
 
 // load returns the server's load. The lock is held.
@@ -148,17 +152,18 @@
 	}
 }
 
-// start notes a job as running at the engine.
-func (s *server) start(job forward.Job) *running {
+// addRunning records a job as running at the engine.
+func (s *server) addRunning(job forward.Job) *running {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &running{fingerprint: job.Fingerprint, adopted: make(chan struct{})}
+	r := &running{fingerprint: job.Fingerprint, resumed: make(chan struct{})}
 	s.running[job.EngineID] = r
 	return r
 }
 
-// end forgets a running job, unless another asker has taken it over.
-func (s *server) end(id string, r *running) {
+// removeRunning removes a running job, unless another requester has taken it
+// over.
+func (s *server) removeRunning(id string, r *running) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[id] == r {
@@ -166,31 +171,32 @@
 	}
 }
 
-// adopt tells who lingers on a generation that another asker resumes it.
-func (s *server) adopt(id string) {
+// signalResumed ends the wait for a resumption of a generation that another
+// requester resumes.
+func (s *server) signalResumed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.running[id]; r != nil {
 		select {
-		case <-r.adopted:
+		case <-r.resumed:
 		default:
-			close(r.adopted)
+			close(r.resumed)
 		}
 	}
 }
 
-// adoption returns a channel that is closed when a generation is resumed by
-// another asker.
-func (s *server) adoption(id string) <-chan struct{} {
+// resumption returns a channel that is closed when another requester resumes a
+// generation.
+func (s *server) resumption(id string) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.running[id]; r != nil {
-		return r.adopted
+		return r.resumed
 	}
 	return nil
 }
 
-// fingerprints returns those of all running jobs.
+// fingerprints returns the fingerprints of all running jobs.
 func (s *server) fingerprints() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
