--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is what a node does for callers: it finds out who calls and
-// what for, applies limits, and passes the request on to the router of
-// generations or to the plain services.
+// Package entry handles the requests of callers at a node. It authenticates the
+// caller, resolves the model or service, applies limits, and passes the request
+// to the router of generations or to the plain services.
 //
 // # Usage
 //
@@ -30,8 +30,11 @@
 )
 
 const (
+	// noConfigRetry is the retry delay given to callers while the node has no
+	// configuration that it may rely on.
 	noConfigRetry = time.Second
-	// prefixBytes is how much of a prompt decides which cache it may hit.
+	// prefixBytes is the length of the prompt's prefix that is hashed to find
+	// servers with a matching cache.
 	prefixBytes = 256
 )
 
@@ -46,24 +49,24 @@
 		Do(ctx context.Context, r call.Request) (call.Answer, error)
 	}
 
-	// Limits takes requests on or refuses them.
+	// Limits admits or refuses requests.
 	Limits interface {
-		// Admit returns a function that settles what the request used, or
-		// false and when to come back.
+		// Admit returns a function that settles the actual usage of the request,
+		// or false and the retry delay.
 		Admit(c config.Team, k config.Kind, estimate float64) (settle func(actual float64), after time.Duration, ok bool)
 	}
 
-	// Demand learns what callers ask for.
+	// Demand records the demand of callers.
 	Demand interface {
 		Asked(name string, u config.Urgency)
 		Took(name string, seconds float64)
 	}
 
-	// Entry handles the requests of callers. Its fields are set before the
-	// first request.
+	// Entry handles the requests of callers. Its fields are set before the first
+	// request.
 	Entry struct {
 		Index   func() *config.Index // nil if there is no configuration
-		Fresh   func() bool          // whether the configuration may be relied on
+		Fresh   func() bool          // reports whether the configuration may be relied on
 		Router  Router
 		Calls   Calls
 		Claims  Claims
@@ -71,10 +74,10 @@
 		Demand  Demand
 		Metrics *metrics.Requests
 		Log     *zap.Logger
-		Note    func(requestID, event string, fields ...zap.Field) // for explain
+		Note    func(requestID, event string, fields ...zap.Field) // records a trace event for explain
 	}
 
-	// request is what is known of one request while it runs.
+	// request is the state of a running request.
 	request struct {
 		team     config.Team
 		kind     config.Kind
@@ -85,7 +88,7 @@
 
 // Models implements caller.Handler.
 func (e *Entry) Models(bearer string) ([]string, error) {
-	x, c, err := e.who(bearer)
+	x, c, err := e.authenticate(bearer)
 	if err != nil {
 		return nil, err
 	}
@@ -98,8 +101,8 @@
 	return names, nil
 }
 
-// who returns the configuration in force and the team of a key.
-func (e *Entry) who(bearer string) (*config.Index, config.Team, error) {
+// authenticate returns the configuration in force and the team of a key.
+func (e *Entry) authenticate(bearer string) (*config.Index, config.Team, error) {
 	x := e.Index()
 	if x == nil || !e.Fresh() {
 		return nil, config.Team{}, outcome.Refuse(outcome.NoConfig, "", noConfigRetry)
@@ -111,8 +114,8 @@
 	return x, c, nil
 }
 
-// kind returns the kind of a request that names one, or the team's default.
-func kind(x *config.Index, c config.Team, name string) (config.Kind, error) {
+// requestKind returns the kind that a request names, or the team's default kind.
+func requestKind(x *config.Index, c config.Team, name string) (config.Kind, error) {
 	if name == "" {
 		name = c.DefaultKind
 	}
@@ -123,12 +126,13 @@
 	return k, nil
 }
 
-// begin fixes kind and deadline of a request.
-func begin(c config.Team, k config.Kind, asked time.Duration) request {
+// newRequest returns the state of a request. Its deadline is that of the kind,
+// or the requested one if that is shorter.
+func newRequest(c config.Team, k config.Kind, requested time.Duration) request {
 	r := request{team: c, kind: k, started: time.Now()}
 	d := time.Duration(k.DeadlineMS) * time.Millisecond
-	if asked > 0 && asked < d {
-		d = asked
+	if requested > 0 && requested < d {
+		d = requested
 	}
 	r.deadline = r.started.Add(d)
 	return r
@@ -136,19 +140,19 @@
 
 // Generate implements caller.Handler.
 func (e *Entry) Generate(ctx context.Context, g caller.Generation, emit forward.Emit) error {
-	x, c, err := e.who(g.Bearer)
+	x, c, err := e.authenticate(g.Bearer)
 	if err != nil {
-		return e.refused("", err)
+		return e.recordRefusal("", err)
 	}
-	k, err := kind(x, c, g.Kind)
+	k, err := requestKind(x, c, g.Kind)
 	if err != nil {
-		return e.refused("", err)
+		return e.recordRefusal("", err)
 	}
 	item, ok := x.Resolve(g.Model)
 	if !ok || !x.Allowed(c.Name, g.Model) {
-		return e.refused(k.Name, outcome.Refuse(outcome.NotFound, fmt.Sprintf("model %q", g.Model), 0))
+		return e.recordRefusal(k.Name, outcome.Refuse(outcome.NotFound, fmt.Sprintf("model %q", g.Model), 0))
 	}
-	r := begin(c, k, g.Deadline)
+	r := newRequest(c, k, g.Deadline)
 	e.Metrics.Begin()
 	e.Demand.Asked(g.Model, k.Urgency)
 	q := generate.Request{
@@ -163,48 +167,50 @@
 		Resume:     g.Resume,
 		Buffered:   !g.Stream,
 	}
-	err = e.admitted(ctx, g, q, r, emit)
-	e.ended(g.RequestID, r, err, zap.String("model", g.Model))
+	err = e.generateAdmitted(ctx, g, q, r, emit)
+	e.recordEnd(g.RequestID, r, err, zap.String("model", g.Model))
 	return err
 }
 
-// admitted applies limits and runs a generation.
-func (e *Entry) admitted(ctx context.Context, g caller.Generation, q generate.Request, r request, emit forward.Emit) error {
+// generateAdmitted applies limits and runs a generation.
+func (e *Entry) generateAdmitted(ctx context.Context, g caller.Generation, q generate.Request, r request, emit forward.Emit) error {
 	settle, after, ok := e.Limits.Admit(r.team, r.kind, float64(q.MaxTokens))
 	if !ok {
 		return outcome.Refuse(outcome.TeamLimit, r.team.Name, after)
 	}
 	tokens := 0
 	defer func() { settle(float64(tokens)) }()
-	var first time.Time
+	var firstToken time.Time
 	q.Started = func() {
-		first = time.Now()
-		e.Metrics.First(r.kind.Name, first.Sub(r.started))
+		firstToken = time.Now()
+		e.Metrics.First(r.kind.Name, firstToken.Sub(r.started))
 	}
 	q.Fingerprint = suspect.FingerprintOf(r.team.Name, g.Model, g.Body)
-	err := e.run(ctx, g, q, func(reply forward.Reply, at forward.ResumeToken) error {
+	err := e.runGeneration(ctx, g, q, func(reply forward.Reply, at forward.ResumeToken) error {
 		tokens++
 		return emit(reply, at)
 	})
-	if err == nil && q.Resume == nil && !first.IsZero() {
-		e.Demand.Took(g.Model, time.Since(first).Seconds())
+	if err == nil && q.Resume == nil && !firstToken.IsZero() {
+		e.Demand.Took(g.Model, time.Since(firstToken).Seconds())
 	}
 	return err
 }
 
-// run runs a generation, once only if its kind and its caller ask for it.
-func (e *Entry) run(ctx context.Context, g caller.Generation, q generate.Request, emit forward.Emit) error {
+// runGeneration runs a generation, at most once per key if the kind is not
+// repeatable and the caller sent a key.
+func (e *Entry) runGeneration(ctx context.Context, g caller.Generation, q generate.Request, emit forward.Emit) error {
 	if !q.Kind.Repeatable && g.Key != "" && g.Resume == nil {
-		return e.once(ctx, g, q, emit)
+		return e.generateOnce(ctx, g, q, emit)
 	}
-	ctx, stop := finalWithoutStream(ctx, g.Stream)
+	ctx, stop := cancelIfUnstreamed(ctx, g.Stream)
 	defer stop()
 	return e.Router.Do(ctx, q, emit)
 }
 
-// finalWithoutStream makes the end of ctx a cancellation for good if the answer
-// is not streamed, since a caller can't come back for the rest of it.
-func finalWithoutStream(ctx context.Context, stream bool) (context.Context, func()) {
+// cancelIfUnstreamed returns a context that is cancelled with
+// dispatch.ErrCancelled when ctx ends, if the response is not streamed: the
+// caller of such a request can't return for the rest of the response.
+func cancelIfUnstreamed(ctx context.Context, stream bool) (context.Context, func()) {
 	if stream {
 		return ctx, func() {}
 	}
@@ -218,26 +224,26 @@
 
 // Call implements caller.Handler.
 func (e *Entry) Call(ctx context.Context, sc caller.ServiceCall) (caller.ServiceAnswer, error) {
-	x, c, err := e.who(sc.Bearer)
+	x, c, err := e.authenticate(sc.Bearer)
 	if err != nil {
-		return caller.ServiceAnswer{}, e.refused("", err)
+		return caller.ServiceAnswer{}, e.recordRefusal("", err)
 	}
 	path, err := url.PathUnescape(sc.Path)
 	if err != nil || strings.Contains(path+"/", "/../") {
-		return caller.ServiceAnswer{}, e.refused("", outcome.Refuse(outcome.BadRequest, "path", 0))
+		return caller.ServiceAnswer{}, e.recordRefusal("", outcome.Refuse(outcome.BadRequest, "path", 0))
 	}
 	s, ok := x.Service(path)
 	if !ok || !x.AllowedService(c.Name, s.Name) {
-		return caller.ServiceAnswer{}, e.refused("", outcome.Refuse(outcome.NotFound, "path "+path, 0))
+		return caller.ServiceAnswer{}, e.recordRefusal("", outcome.Refuse(outcome.NotFound, "path "+path, 0))
 	}
 	k, ok := x.CallKind(s.Name, sc.Method, path)
 	if !ok {
-		return caller.ServiceAnswer{}, e.refused("", outcome.Refuse(outcome.NotFound, sc.Method+" "+path, 0))
+		return caller.ServiceAnswer{}, e.recordRefusal("", outcome.Refuse(outcome.NotFound, sc.Method+" "+path, 0))
 	}
-	r := begin(c, k, sc.Deadline)
+	r := newRequest(c, k, sc.Deadline)
 	e.Metrics.Begin()
 	a, err := e.call(ctx, sc, s, r)
-	e.ended(sc.RequestID, r, err, zap.String("service", s.Name), zap.String("server", a.Server))
+	e.recordEnd(sc.RequestID, r, err, zap.String("service", s.Name), zap.String("server", a.Server))
 	return caller.ServiceAnswer{Status: a.Status, Header: a.Header, Body: a.Body, Stored: a.Stored}, err
 }
 
@@ -258,7 +264,7 @@
 		Service:        s.Name,
 		Method:         sc.Method,
 		Path:           path,
-		Header:         passedOn(sc.Header),
+		Header:         forwardedHeaders(sc.Header),
 		Body:           sc.Body,
 		IdempotencyKey: sc.Key,
 		RequestID:      sc.RequestID,
@@ -278,15 +284,15 @@
 		zap.Duration("took", time.Since(started)))
 }
 
-// refused counts a request that ended before its kind was known.
-func (e *Entry) refused(kind string, err error) error {
+// recordRefusal counts a request that ended before its kind was known.
+func (e *Entry) recordRefusal(kind string, err error) error {
 	e.Metrics.Begin()
 	e.Metrics.End(kind, err, 0, false)
 	return err
 }
 
-// ended counts and logs the end of a request.
-func (e *Entry) ended(id string, r request, err error, more ...zap.Field) {
+// recordEnd counts and logs the end of a request.
+func (e *Entry) recordEnd(id string, r request, err error, extra ...zap.Field) {
 	now := time.Now()
 	took := now.Sub(r.started)
 	e.Metrics.End(r.kind.Name, err, took, now.After(r.deadline))
@@ -295,7 +301,7 @@
 		zap.String("team", r.team.Name),
 		zap.String("kind", r.kind.Name),
 		zap.Int64("took-ms", took.Milliseconds()),
-	}, more...)
+	}, extra...)
 	if f := outcome.From(err); f != nil {
 		fields = append(fields, zap.String("outcome", string(f.Outcome)), zap.String("reason", string(f.Reason)),
 			zap.String("detail", f.Detail))
@@ -305,7 +311,8 @@
 	e.Log.Info("request", fields...)
 }
 
-// prefixHash returns the hash of what may be cached of a prompt.
+// prefixHash returns the hash of the item and the prefix of a prompt, which
+// selects servers that may have the prefix cached.
 func prefixHash(item, prompt string) uint64 {
 	return xxhash.Sum64String(item + "\x00" + prompt[:min(len(prompt), prefixBytes)])
 }
--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// passedOn returns the headers of a caller's request that go to a plain
-// service: no key of the caller's and none that belong to one connection.
-func passedOn(h http.Header) http.Header {
+// forwardedHeaders returns the headers of a caller's request that are forwarded
+// to a plain service. It omits the caller's key, the headers that belong to one
+// connection, and those that the node handles itself.
+func forwardedHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
 		switch strings.ToLower(name) {
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -15,11 +15,11 @@
 	"guavapaddle/io/caller"
 )
 
-// modelAPI stands for the service in the claim of a generation.
+// modelAPI takes the place of the service name in the claim of a generation.
 const modelAPI = "model-api"
 
 type (
-	// Claims keeps claims; *claims.Store is one.
+	// Claims stores claims; *claims.Store implements it.
 	Claims interface {
 		Claim(ctx context.Context, c claims.Call) (claims.Grant, error)
 		Finish(h claim.Held, a claim.Answer)
@@ -27,26 +27,27 @@
 		Release(h claim.Held)
 	}
 
-	// storedAnswer is a generation's answer as its claim keeps it.
+	// storedAnswer is the encoding of a generation's response in its claim.
 	storedAnswer struct {
 		Tokens []string `json:"tokens"`
 		Finish string   `json:"finish"`
 	}
 
-	// recording collects an answer while it is passed on.
-	recording struct {
+	// recorder collects a response while it is emitted.
+	recorder struct {
 		storedAnswer
-		held   claim.Held
-		claims Claims
-		emit   forward.Emit
-		gone   error // of the caller's connection
+		held       claim.Held
+		claims     Claims
+		emit       forward.Emit
+		callerGone error // set after the caller's connection has failed
 	}
 )
 
-// once runs a generation of a kind that may not be repeated under its caller's
-// key: the first call runs, later ones get its stored answer. It goes on after
-// its caller is gone, so that the answer is there when the caller asks again.
-func (e *Entry) once(ctx context.Context, g caller.Generation, q generate.Request, emit forward.Emit) error {
+// generateOnce runs a generation of a kind that is not repeatable under its
+// caller's key. The first call runs, later ones get the stored response. The
+// generation continues after its caller has disconnected, so that the response
+// is stored when the caller retries.
+func (e *Entry) generateOnce(ctx context.Context, g caller.Generation, q generate.Request, emit forward.Emit) error {
 	grant, err := e.Claims.Claim(ctx, claims.Call{
 		Team: q.Team, Key: g.Key, RequestID: q.ID, Deadline: q.Deadline,
 		BodyHash: claim.BodyHash(modelAPI, http.MethodPost, g.Model, g.Body),
@@ -59,11 +60,11 @@
 		return replay(*grant.Stored, q.ID, emit)
 	}
 	e.Note(q.ID, "claimed", zap.String("row", claim.Key(q.Team, g.Key)), zap.String("attempt", grant.Held.Claim.Attempt))
-	r := &recording{held: grant.Held, claims: e.Claims, emit: emit}
-	err = e.Router.Do(context.WithoutCancel(ctx), q, r.take)
+	r := &recorder{held: grant.Held, claims: e.Claims, emit: emit}
+	err = e.Router.Do(context.WithoutCancel(ctx), q, r.record)
 	switch f := outcome.From(err); {
 	case f == nil:
-		return r.gone
+		return r.callerGone
 	case f.Outcome == outcome.RefusedNotRun:
 		e.Claims.Release(grant.Held)
 	default:
@@ -72,25 +73,25 @@
 	return err
 }
 
-// take keeps a reply and passes it on. The answer is stored before its finish
-// is passed on, so that a repeat finds it.
-func (r *recording) take(reply forward.Reply, at forward.ResumeToken) error {
+// record stores a reply and emits it. The response is stored before its finish
+// is emitted, so that a repeat finds it.
+func (r *recorder) record(reply forward.Reply, at forward.ResumeToken) error {
 	if reply.Finish == "" {
 		r.Tokens = append(r.Tokens, reply.Token)
 	} else {
 		r.Finish = reply.Finish
 		r.store()
 	}
-	if r.gone == nil {
+	if r.callerGone == nil {
 		if err := r.emit(reply, at); err != nil {
-			r.gone = outcome.Fail(outcome.CallerGone, "the answer is kept")
+			r.callerGone = outcome.Fail(outcome.CallerGone, "the answer is kept")
 		}
 	}
 	return nil
 }
 
-// store ends the claim with the whole answer.
-func (r *recording) store() {
+// store completes the claim with the whole response.
+func (r *recorder) store() {
 	body, err := json.Marshal(r.storedAnswer)
 	if err != nil {
 		r.claims.MarkUnknown(r.held, outcome.Internal)
@@ -99,7 +100,7 @@
 	r.claims.Finish(r.held, claim.Answer{Status: http.StatusOK, Body: body})
 }
 
-// replay passes a stored answer on.
+// replay emits a stored response.
 func replay(a claim.Answer, id string, emit forward.Emit) error {
 	var s storedAnswer
 	if err := json.Unmarshal(a.Body, &s); err != nil {
