--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -20,15 +20,16 @@
 	DefaultTimeout = 400 * time.Millisecond
 	// DefaultSpreadWait bounds the wait for the other nodes.
 	DefaultSpreadWait = 200 * time.Millisecond
-	// DefaultTrial is the longest that a trial holds a server's slot.
+	// DefaultTrial is the longest time that a trial occupies a server's trial
+	// slot.
 	DefaultTrial = time.Minute
 
-	maxRounds  = 4 // plans of one trial that lost a race
-	maxTries   = 8 // writes of a mark that the table did not take
+	maxRounds  = 4 // attempts to plan one trial, repeated after a lost race
+	maxTries   = 8 // attempts to write a mark to the table
 	retryAfter = 2 * time.Second
 	refuseFor  = 10 * time.Minute
-	// sweepPeriod is the least time between removals of old rows, which take
-	// place after a crash: nothing else makes rows.
+	// sweepPeriod is the minimum time between removals of old rows. Rows are
+	// removed only after a crash, since nothing else creates rows.
 	sweepPeriod = time.Hour
 )
 
@@ -40,19 +41,19 @@
 		Scan(ctx context.Context, prefix string) ([]row.Row, error)
 	}
 
-	// Guard decides which marked requests run. Its exported fields are set
-	// before its first use; it is safe for concurrent use.
+	// Guard decides whether marked requests run. Its exported fields are set
+	// before its first use. It is safe for concurrent use.
 	Guard struct {
 		Table Table
-		// Spread tells the other nodes of marks and returns when all live ones
-		// have taken them over or ctx ends. It may be nil.
+		// Spread sends marks to the other nodes and returns when all live ones
+		// have merged them or ctx ends. It may be nil.
 		Spread     func(ctx context.Context, marks []suspect.Mark)
 		Log        *zap.Logger // may be nil
 		Metrics    *Metrics    // may be nil
 		Timeout    time.Duration
 		SpreadWait time.Duration
 		Trial      time.Duration
-		Lifetime   time.Duration // of a mark
+		Lifetime   time.Duration // lifetime of a mark
 		MaxMarks   int
 
 		once sync.Once
@@ -60,7 +61,7 @@
 		set  suspect.Set
 		work sync.WaitGroup
 
-		swept time.Time // when this node last removed old rows
+		lastSweep time.Time // when this node last removed old rows
 	}
 
 	// Run is one send of a request that Begin allowed.
@@ -70,23 +71,23 @@
 		trial       suspect.Incident // zero for a request without a mark
 	}
 
-	// BusyError means that another marked request runs on the server.
+	// BusyError reports that another marked request runs on the server.
 	BusyError struct{ Server string }
 )
 
 // Error names the server.
 func (e *BusyError) Error() string { return fmt.Sprintf("suspects: %s runs another trial", e.Server) }
 
-// IsBusy tells whether err is a *BusyError.
+// IsBusy reports whether err is a *BusyError.
 func IsBusy(err error) bool {
 	_, ok := errors.AsType[*BusyError](err)
 	return ok
 }
 
-// OnTrial tells whether the request runs on trial.
+// OnTrial reports whether the request runs on trial.
 func (r Run) OnTrial() bool { return r.trial != suspect.Incident{} }
 
-// Verdict tells what this node knows of fp.
+// Verdict returns the verdict on fp by the marks that this node knows.
 func (g *Guard) Verdict(fp suspect.Fingerprint) suspect.Verdict {
 	g.once.Do(g.init)
 	g.mu.Lock()
@@ -94,10 +95,10 @@
 	return g.set.Verdict(time.Now(), fp)
 }
 
-// Begin is asked before fp is sent to server. own says that this node has had
-// fp in flight before and told of its crash: only then it may run on trial while
-// the table is down. The table is read for marked requests only. The error is a
-// *BusyError or an *outcome.Error.
+// Begin decides whether fp may be sent to server. The caller sets own if this
+// node has had fp in flight before and reported its crash; only then fp may run
+// on trial while the table is down. The table is read for marked requests only.
+// The error is a *BusyError or an *outcome.Error.
 func (g *Guard) Begin(ctx context.Context, fp suspect.Fingerprint, server string, own bool) (Run, error) {
 	run := Run{Fingerprint: fp, Server: server}
 	switch g.Verdict(fp) {
@@ -108,7 +109,7 @@
 	}
 	run.trial = suspect.Incident{Server: server, Trial: rand.Text()}
 	for range maxRounds {
-		done, err := g.try(ctx, &run, own)
+		done, err := g.planTrial(ctx, &run, own)
 		if done || err != nil {
 			return run, err
 		}
@@ -116,19 +117,19 @@
 	return run, g.refuse(fp, "raced")
 }
 
-// Succeeded notes that the request of r ran to its end.
+// Succeeded records that the request of r ran to its end.
 func (g *Guard) Succeeded(r Run) {
 	g.mu.Lock()
 	m, marked := g.set.RecordSuccess(time.Now(), r.Fingerprint)
 	g.mu.Unlock()
 	if marked {
 		g.Metrics.count("cleared")
-		g.later(r, m)
+		g.writeLater(r, m)
 	}
 }
 
-// NotRun notes that the request of r provably did not run, or that its server
-// outlived it.
+// NotRun records that the request of r provably did not run, or that its server
+// survived it.
 func (g *Guard) NotRun(r Run) {
 	if !r.OnTrial() {
 		return
@@ -136,11 +137,12 @@
 	g.mu.Lock()
 	m := g.set.RecordNotRun(time.Now(), r.Fingerprint, r.trial)
 	g.mu.Unlock()
-	g.later(r, m)
+	g.writeLater(r, m)
 }
 
-// Crashed notes that the server that ran r crashed, in the run of boot id. It
-// returns when the other nodes know or after SpreadWait.
+// Crashed records that the server that ran r crashed; bootID identifies the
+// server's incarnation. It returns when the other nodes know or after
+// SpreadWait.
 func (g *Guard) Crashed(ctx context.Context, r Run, bootID string) {
 	crash := suspect.Incident{Server: r.Server, BootID: bootID}
 	g.once.Do(g.init)
@@ -148,12 +150,12 @@
 	marks := g.set.RecordCrash(time.Now(), crash, []suspect.Fingerprint{r.Fingerprint})
 	g.mu.Unlock()
 	g.Metrics.count("crash")
-	g.later(r)
+	g.writeLater(r)
 	g.spread(ctx, marks)
 }
 
-// ServerCrashed marks all that was in flight at a server that crashed. It
-// returns when the other nodes know or after SpreadWait.
+// ServerCrashed marks all requests that were in flight at a server that crashed.
+// It returns when the other nodes know or after SpreadWait.
 func (g *Guard) ServerCrashed(ctx context.Context, crash suspect.Incident, inflight []suspect.Fingerprint) {
 	g.once.Do(g.init)
 	g.mu.Lock()
@@ -161,13 +163,13 @@
 	g.mu.Unlock()
 	for _, m := range marks {
 		g.Metrics.count("crash")
-		g.later(Run{Fingerprint: m.Fingerprint})
+		g.writeLater(Run{Fingerprint: m.Fingerprint})
 	}
 	g.sweep()
 	g.spread(ctx, marks)
 }
 
-// Merge takes over marks of another node and returns how many changed.
+// Merge merges marks of another node and returns how many changed.
 func (g *Guard) Merge(marks []suspect.Mark) int {
 	g.once.Do(g.init)
 	g.mu.Lock()
@@ -175,7 +177,7 @@
 	return g.set.Merge(time.Now(), marks)
 }
 
-// Marks returns the marks for other nodes, those that changed last first.
+// Marks returns the marks for other nodes, the most recently changed first.
 func (g *Guard) Marks() []suspect.Mark {
 	g.once.Do(g.init)
 	g.mu.Lock()
@@ -183,14 +185,15 @@
 	return g.set.Marks(time.Now())
 }
 
-// Wait waits until what is written in the background has ended.
+// Wait waits until all background writes have ended.
 func (g *Guard) Wait() { g.work.Wait() }
 
-// try plans the trial of run once. It returns true if the request may be sent.
-func (g *Guard) try(ctx context.Context, run *Run, own bool) (bool, error) {
+// planTrial plans the trial of run once and returns true if the request may be
+// sent.
+func (g *Guard) planTrial(ctx context.Context, run *Run, own bool) (bool, error) {
 	rows, err := g.read(ctx, suspect.Key(run.Fingerprint), suspect.SlotKey(run.Server))
 	if err != nil {
-		return g.offline(ctx, run, own)
+		return g.decideOffline(ctx, run, own)
 	}
 	now := time.Now()
 	g.mu.Lock()
@@ -203,35 +206,35 @@
 		run.trial = suspect.Incident{}
 		return true, nil
 	case p.Verdict == suspect.Refuse:
-		g.later(Run{Fingerprint: run.Fingerprint})
+		g.writeLater(Run{Fingerprint: run.Fingerprint})
 		return false, g.refuse(run.Fingerprint, "table")
 	case p.Busy:
 		g.Metrics.count("busy")
 		return false, &BusyError{Server: run.Server}
 	}
-	took, err := g.commit(ctx, p.Tx, *run)
+	committed, err := g.commit(ctx, p.Tx, *run)
 	if err != nil {
-		return g.offline(ctx, run, own)
+		return g.decideOffline(ctx, run, own)
 	}
-	if took {
-		g.charge(ctx, *run)
+	if committed {
+		g.recordTrial(ctx, *run)
 	}
-	return took, nil
+	return committed, nil
 }
 
-// offline decides without the table: only the node whose own send was lost may
-// send again, once.
-func (g *Guard) offline(ctx context.Context, run *Run, own bool) (bool, error) {
+// decideOffline decides without the table. Only the node whose own send was lost
+// may send the request again, once.
+func (g *Guard) decideOffline(ctx context.Context, run *Run, own bool) (bool, error) {
 	if !own || g.Verdict(run.Fingerprint) != suspect.Isolate {
 		return false, g.refuse(run.Fingerprint, "table-down")
 	}
 	g.Metrics.count("trial-offline")
-	g.charge(ctx, *run)
+	g.recordTrial(ctx, *run)
 	return true, nil
 }
 
-// charge notes the trial and tells the other nodes.
-func (g *Guard) charge(ctx context.Context, run Run) {
+// recordTrial records the trial and sends its mark to the other nodes.
+func (g *Guard) recordTrial(ctx context.Context, run Run) {
 	g.Metrics.count("trial")
 	g.mu.Lock()
 	m := g.set.Charged(time.Now(), run.Fingerprint, run.trial)
@@ -239,7 +242,7 @@
 	g.spread(ctx, []suspect.Mark{m})
 }
 
-// commit commits the charge of a trial and tells whether it took effect.
+// commit commits the charge of a trial and reports whether it took effect.
 func (g *Guard) commit(ctx context.Context, tx row.Tx, run Run) (bool, error) {
 	call, cancel := context.WithTimeout(ctx, g.Timeout)
 	res, err := g.Table.Transact(call, tx)
@@ -254,7 +257,7 @@
 	return suspect.IsCharged(run.Fingerprint, run.trial, rows[0])
 }
 
-// spread tells the other nodes.
+// spread sends marks to the other nodes and waits at most SpreadWait.
 func (g *Guard) spread(ctx context.Context, marks []suspect.Mark) {
 	if g.Spread == nil || len(marks) == 0 {
 		return
@@ -264,25 +267,25 @@
 	g.Spread(ctx, marks)
 }
 
-// later tells the other nodes of marks and writes what is known of r's request
-// into the table, in the background.
-func (g *Guard) later(r Run, marks ...suspect.Mark) {
+// writeLater sends marks to the other nodes and writes the mark of r's request
+// to the table, in the background.
+func (g *Guard) writeLater(r Run, marks ...suspect.Mark) {
 	g.work.Go(func() {
 		g.spread(context.Background(), marks)
-		for try := range maxTries {
-			if g.record(r) {
+		for attempt := range maxTries {
+			if g.writeMark(r) {
 				return
 			}
-			time.Sleep(g.Timeout << min(try, 5))
+			time.Sleep(g.Timeout << min(attempt, 5))
 		}
 		g.Log.Warn("mark not written", zap.String("fingerprint", string(r.Fingerprint)))
 		g.Metrics.count("unwritten")
 	})
 }
 
-// record writes what is known of r's request into its row, frees the slot of
-// its trial, and tells whether it did.
-func (g *Guard) record(r Run) bool {
+// writeMark writes the mark of r's request to its row, frees the slot of its
+// trial, and reports whether it succeeded.
+func (g *Guard) writeMark(r Run) bool {
 	ctx := context.Background()
 	keys := []string{suspect.Key(r.Fingerprint)}
 	if r.OnTrial() {
@@ -296,7 +299,7 @@
 	tx, err := g.set.Update(time.Now(), r.Fingerprint, rows[0])
 	g.mu.Unlock()
 	if err != nil {
-		g.Log.Error("mark row not understood", zap.Error(err))
+		g.Log.Error("cannot decode mark row", zap.Error(err))
 		return true
 	}
 	if r.OnTrial() {
@@ -311,13 +314,13 @@
 	return err == nil && res.Committed
 }
 
-// sweep removes old rows in the background, if this node has not done so for a
-// while. What is left after a failure goes the next time.
+// sweep removes old rows in the background, at most once per sweepPeriod. Rows
+// that remain after a failure are removed by the next sweep.
 func (g *Guard) sweep() {
 	g.mu.Lock()
-	due := time.Since(g.swept) >= sweepPeriod
+	due := time.Since(g.lastSweep) >= sweepPeriod
 	if due {
-		g.swept = time.Now()
+		g.lastSweep = time.Now()
 	}
 	g.mu.Unlock()
 	if !due {
@@ -327,7 +330,7 @@
 		for _, prefix := range []string{suspect.Prefix, suspect.SlotPrefix} {
 			ctx, cancel := context.WithTimeout(context.Background(), g.Trial)
 			rows, err := g.Table.Scan(ctx, prefix)
-			if tx, some := suspect.Sweep(time.Now(), rows); err == nil && some {
+			if tx, found := suspect.Sweep(time.Now(), rows); err == nil && found {
 				_, err = g.Table.Transact(ctx, tx)
 			}
 			cancel()
@@ -338,17 +341,17 @@
 	})
 }
 
-// read reads rows within the time-out.
+// read reads rows within the timeout.
 func (g *Guard) read(ctx context.Context, keys ...string) ([]row.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, g.Timeout)
 	defer cancel()
 	return g.Table.Read(ctx, keys...)
 }
 
-// refuse returns the refusal of a suspect. While a trial runs its caller may
-// come back soon.
-func (g *Guard) refuse(fp suspect.Fingerprint, why string) error {
-	g.Metrics.count("refused-" + why)
+// refuse returns the refusal of a suspect. The retry delay is short while a
+// trial runs.
+func (g *Guard) refuse(fp suspect.Fingerprint, reason string) error {
+	g.Metrics.count("refused-" + reason)
 	g.mu.Lock()
 	m := g.set.Mark(time.Now(), fp)
 	g.mu.Unlock()
@@ -359,7 +362,7 @@
 	return outcome.Refuse(outcome.CrashSuspect, "the request was in flight at servers that crashed", after)
 }
 
-// init puts the defaults in place.
+// init sets defaults.
 func (g *Guard) init() {
 	if g.Timeout == 0 {
 		g.Timeout = DefaultTimeout
--- a/internal/suspects/metrics.go
+++ b/internal/suspects/metrics.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what a Guard does. A nil Metrics counts nothing.
+// Metrics counts the events of a Guard. A nil Metrics counts nothing.
 type Metrics struct{ events *prometheus.CounterVec }
 
-// NewMetrics returns counters that are registered with r.
+// NewMetrics returns counters registered with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{events: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "guavapaddle_suspects_total",
