--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -259,7 +259,8 @@
 }
 
 // TestCallContinuesAfterCallerDisconnects guards against cancelling a call that
-// is not repeatable when its caller disconnects: it runs to its end.
+// is not repeatable when its caller disconnects: it runs to its end, so that its
+// response is stored for a repeat.
 func TestCallContinuesAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &service{}
