--- a/core/place/doc.go
+++ b/core/place/doc.go
@@ -13,16 +13,15 @@
 // greedily, in descending order of net gain per byte.
 //
 // The gain of a copy is measured in requests a second that are served in time, weighted by
-// urgency. It is the fraction of the item's requests that exceeds the capacity of its
-// present servers and that the new server can take, plus a redundancy term for bursts and
-// the loss of a server; the part of it for losses halves with each copy. A copy is added
-// only if its gain over Horizon, minus the loss from the copies evicted for it, exceeds the
+// urgency. It is the rate of the item's requests that exceed the capacity of its present
+// servers and that the new server can take, plus a redundancy term for bursts and the loss
+// of a server; the part for losses halves with each copy. A copy is added only if its gain over Horizon, minus the loss from the copies evicted for it, exceeds the
 // price of a move. Copies are evicted only to make room for another copy, never to keep
 // memory free.
 //
 // The memory that a plan uses on a server is the sum of the sizes of its items plus the
 // largest load peak among them. It never exceeds the server's memory minus its KV reserve
-// and the memory that is otherwise held there.
+// and the memory of items that are unloading or in an unknown state.
 //
 // Owners may act on different and outdated views, so the last copy of an item needs
 // protection against concurrent drops. Anchors ranks the holders of an item by rendezvous
--- a/core/place/gain.go
+++ b/core/place/gain.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	defaultTarget       = 0.95
-	defaultSpare        = 0.05
-	defaultBurst        = 10.0
-	defaultBurstShare   = 0.1
-	defaultBurstSlots   = 4.0
-	defaultHorizon      = 30 * time.Second
-	defaultUrgentWeight = 4.0
-	defaultMaxMoves     = 4
+	defaultTarget          = 0.95
+	defaultRedundancyShare = 0.05
+	defaultBurstFactor     = 10.0
+	defaultBurstShare      = 0.1
+	defaultBurstSlots      = 4.0
+	defaultHorizon         = 30 * time.Second
+	defaultUrgentWeight    = 4.0
+	defaultMaxMoves        = 4
 )
 
 // Gain is a planner that adds copies by marginal gain per byte. The zero value of each field
@@ -82,10 +82,10 @@
 		settings.Target = defaultTarget
 	}
 	if settings.RedundancyShare <= 0 {
-		settings.RedundancyShare = defaultSpare
+		settings.RedundancyShare = defaultRedundancyShare
 	}
 	if settings.BurstFactor <= 0 {
-		settings.BurstFactor = defaultBurst
+		settings.BurstFactor = defaultBurstFactor
 	}
 	if settings.BurstShare == 0 {
 		settings.BurstShare = defaultBurstShare
@@ -278,14 +278,14 @@
 	if shortfall <= 0 {
 		return nil, 0, true
 	}
-	for _, o := range p.evictionGroups(s, j) {
+	for _, group := range p.evictionGroups(s, j) {
 		if shortfall <= 0 {
 			break
 		}
-		if s.servers[j].items[o.indices[0]].item == s.items[item].base {
+		if s.servers[j].items[group.indices[0]].item == s.items[item].base {
 			continue
 		}
-		for _, k := range o.indices {
+		for _, k := range group.indices {
 			if slices.Contains(evict, k) {
 				continue
 			}
@@ -329,19 +329,19 @@
 	}
 	sv.evictionGroups, sv.groupsValid = nil, true
 	for k := range sv.items {
-		o := evictionGroup{indices: s.withDependents(j, k)}
+		group := evictionGroup{indices: s.withDependents(j, k)}
 		var bytes int64
 		ok := true
-		for _, d := range o.indices {
+		for _, d := range group.indices {
 			if ok = p.evictable(s, sv.items[d]); !ok {
 				break
 			}
-			o.loss += p.loss(s, j, sv.items[d].item)
+			group.loss += p.loss(s, j, sv.items[d].item)
 			bytes += s.items[sv.items[d].item].bytes
 		}
 		if ok {
-			o.perByte = o.loss / float64(max(1, bytes))
-			sv.evictionGroups = append(sv.evictionGroups, o)
+			group.perByte = group.loss / float64(max(1, bytes))
+			sv.evictionGroups = append(sv.evictionGroups, group)
 		}
 	}
 	slices.SortStableFunc(sv.evictionGroups, func(a, b evictionGroup) int {
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -213,7 +213,7 @@
 				out := (&place.Gain{}).Plan(now, in)
 				requireServed(t, in, out, "a")
 				requireServed(t, in, out, "x")
-				in = applyDropsAndFirstLoad(in, out)
+				in = applyUnloadsAndFirstLoad(in, out)
 			}
 			out := (&place.Gain{}).Plan(now, in)
 			require.Empty(t, copies(out, old), "the old version is unloaded eventually")
@@ -240,7 +240,7 @@
 			for range 6 {
 				out := (&place.Gain{}).Plan(now, in)
 				requireServed(t, in, out, "a")
-				in = applyDropsAndFirstLoad(in, out)
+				in = applyUnloadsAndFirstLoad(in, out)
 			}
 			out := (&place.Gain{}).Plan(now, in)
 			require.Len(t, copies(out, a.Item()), len(servers))
@@ -261,8 +261,8 @@
 	require.Fail(t, "no resident copy is kept", name)
 }
 
-// applyDropsAndFirstLoad carries out all unloads and the first load of a plan.
-func applyDropsAndFirstLoad(in place.Input, out place.Output) place.Input {
+// applyUnloadsAndFirstLoad carries out all unloads and the first load of a plan.
+func applyUnloadsAndFirstLoad(in place.Input, out place.Output) place.Input {
 	loads := 0
 	for _, m := range out.Moves {
 		if m.Op != backend.Load {
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -116,7 +116,7 @@
 		Plan(now time.Time, in Input) Output
 	}
 
-	// UnknownPlannerError reports a planner name that New does not know.
+	// UnknownPlannerError is returned by New for a name that no planner has.
 	UnknownPlannerError struct{ Name string }
 )
 
@@ -126,8 +126,8 @@
 // Names returns the planner names that New accepts.
 func Names() []string { return []string{NameGain, NameStatic, NameLRU} }
 
-// New returns the named planner with default settings. The error is an *UnknownPlannerError
-// if the name is not known.
+// New returns the planner with the given name and its default settings, or an
+// *UnknownPlannerError.
 func New(name string) (Planner, error) {
 	switch name {
 	case NameGain:
--- a/core/place/state.go
+++ b/core/place/state.go
@@ -62,7 +62,7 @@
 		byName       map[string]int // declared items by name
 		servers      []serverState
 		moves        []Move
-		drops        []Move
+		unloads      []Move
 		pendingLoads int // loads for gain repeated from the previous plan
 	}
 )
@@ -152,7 +152,7 @@
 			s.addCurrentCopy(j, c, false)
 		}
 	}
-	s.dropOrphans()
+	s.removeOrphans()
 	s.markAnchors()
 }
 
@@ -175,9 +175,9 @@
 	return base < 0 || slices.ContainsFunc(s.servers[j].Resident, func(c Copy) bool { return c.Item == s.items[base].item })
 }
 
-// neededByAdapters reports whether server j holds an adapter of the model, without the
-// model's declared version, that has fewer than its minimum number of copies with the
-// declared version.
+// neededByAdapters reports whether adapters on server j still need an old version of the
+// model there: the declared version is not resident on j, and one of the adapters has fewer
+// than its minimum number of copies on servers where it is.
 func (s *state) neededByAdapters(j, model int) bool {
 	return slices.ContainsFunc(s.servers[j].Resident, func(c Copy) bool {
 		i, ok := s.byItem[c.Item]
@@ -220,11 +220,11 @@
 	if !ok || s.items[i].superseded {
 		current, declared := s.byName[c.Item.Name]
 		if !declared || s.items[current].item.Base != c.Item.Base {
-			s.recordDrop(j, c, Undeclared)
+			s.recordUnload(j, c, Undeclared)
 			return
 		}
 		if !resident || s.oldVersionUnneeded(j, current) {
-			s.recordDrop(j, c, Superseded)
+			s.recordUnload(j, c, Superseded)
 			return
 		}
 		if !ok {
@@ -259,13 +259,13 @@
 	return false
 }
 
-// recordDrop records the unload of a copy on server j.
-func (s *state) recordDrop(j int, c Copy, reason Reason) {
-	s.drops = append(s.drops, Move{Op: backend.Unload, Server: s.servers[j].Name, Item: c.Item, Bytes: c.Bytes, Reason: reason})
+// recordUnload records the unload of a copy on server j.
+func (s *state) recordUnload(j int, c Copy, reason Reason) {
+	s.unloads = append(s.unloads, Move{Op: backend.Unload, Server: s.servers[j].Name, Item: c.Item, Bytes: c.Bytes, Reason: reason})
 }
 
-// dropOrphans removes the adapters without any version of their model on the same server.
-func (s *state) dropOrphans() {
+// removeOrphans removes the adapters without any version of their model on the same server.
+func (s *state) removeOrphans() {
 	for j := range s.servers {
 		for k := len(s.servers[j].items) - 1; k >= 0; k-- {
 			h := s.servers[j].items[k]
@@ -326,7 +326,7 @@
 		sv.peak = max(sv.peak, s.items[h.item].peak)
 	}
 	if h.resident || h.loading {
-		s.recordDrop(j, Copy{Item: i.item, Bytes: i.bytes}, reason)
+		s.recordUnload(j, Copy{Item: i.item, Bytes: i.bytes}, reason)
 	}
 }
 
@@ -398,7 +398,7 @@
 			out.Unplaced = append(out.Unplaced, s.items[i].item)
 		}
 	}
-	slices.SortStableFunc(s.drops, func(a, b Move) int { return cmp.Compare(min(1, len(b.Item.Base)), min(1, len(a.Item.Base))) })
-	out.Moves = append(s.moves, s.drops...)
+	slices.SortStableFunc(s.unloads, func(a, b Move) int { return cmp.Compare(min(1, len(b.Item.Base)), min(1, len(a.Item.Base))) })
+	out.Moves = append(s.moves, s.unloads...)
 	return out
 }
