--- a/core/residency/eviction.go
+++ b/core/residency/eviction.go
@@ -14,10 +14,11 @@
 
 // makeRoom evicts a copy of a model that has another copy or, where there are more models
 // than places, a last copy. The cost of an eviction is the resulting load per remaining
-// copy, or the whole load of the model for a last copy. If required is set, a copy that is
-// not a last one may be evicted even at a cost above maxVictimLoad. It reports whether room
-// is being made.
-func (p *planner) makeRoom(model string, maxVictimLoad float64, required bool) bool {
+// copy, or the whole load of the model for a last copy; an eviction is worthwhile if its
+// cost times MinGain is at most newCopyLoad, the load credited to the new copy. If
+// required is set, a copy that is not a last one may be evicted even if that is not
+// worthwhile. makeRoom reports whether room is being made.
+func (p *planner) makeRoom(model string, newCopyLoad float64, required bool) bool {
 	if p.moving >= max(1, len(p.in.Servers)/serversPerMove) {
 		return false
 	}
@@ -32,8 +33,8 @@
 			continue
 		}
 		for _, h := range s.Resident {
-			v := p.evictionCandidate(s, h.Model, maxVictimLoad)
-			if !v.worthwhile && (v.last || !required) || v.last && !p.mayGiveUpLastCopy(s, model) {
+			v := p.evictionCandidate(s, h.Model, newCopyLoad)
+			if !v.worthwhile && (v.last || !required) || v.last && !p.mayEvictLastCopy(s, model) {
 				continue
 			}
 			v.leavesStuck = p.stuckAfterEviction(s, h.Model, model)
@@ -55,14 +56,14 @@
 }
 
 // evictionCandidate returns the cost of evicting a model's copy from a server.
-func (p *planner) evictionCandidate(s *Server, model string, maxVictimLoad float64) evictionCandidate {
+func (p *planner) evictionCandidate(s *Server, model string, newCopyLoad float64) evictionCandidate {
 	n := p.copies[model]
 	last := n < 2 || p.serving[model] < 2
 	if !last {
 		n--
 	}
 	cost := p.in.Load[model] / float64(max(1, n))
-	return evictionCandidate{server: s, model: model, cost: cost, worthwhile: cost*MinGain <= maxVictimLoad, last: last}
+	return evictionCandidate{server: s, model: model, cost: cost, worthwhile: cost*MinGain <= newCopyLoad, last: last}
 }
 
 // better reports whether evicting v is preferable to evicting o: first a copy worth less
--- a/core/residency/overcommit.go
+++ b/core/residency/overcommit.go
@@ -30,10 +30,10 @@
 	return n
 }
 
-// mayGiveUpLastCopy reports whether a server may evict the last copy of a model for another
+// mayEvictLastCopy reports whether a server may evict the last copy of a model for another
 // one. It never may while there is a place for every declared model, since all of them must
 // be reachable at once, and never for a model that nobody requests.
-func (p *planner) mayGiveUpLastCopy(s *Server, wanted string) bool {
+func (p *planner) mayEvictLastCopy(s *Server, wanted string) bool {
 	return p.overcommitted && !p.in.LoadAssumed && s.SinceLastMove >= minLastCopyTime && p.reason(wanted) != Declared
 }
 
--- a/core/residency/plan.go
+++ b/core/residency/plan.go
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	p.dropUndeclared()
+	p.unloadUndeclared()
 	p.reviewReservations()
 	p.loadReserved()
 	p.collectServersWithRoom()
@@ -173,8 +173,8 @@
 	return Declared
 }
 
-// dropUndeclared unloads models that the configuration no longer has.
-func (p *planner) dropUndeclared() {
+// unloadUndeclared unloads models that the configuration no longer has.
+func (p *planner) unloadUndeclared() {
 	for i := range p.in.Servers {
 		s := &p.in.Servers[i]
 		for _, h := range s.Resident {
@@ -228,14 +228,14 @@
 	if p.reserved[model] > 0 || p.unreservedUnloads() > unplacedBefore {
 		return
 	}
-	maxVictimLoad := 0.0
+	newCopyLoad := 0.0
 	switch {
 	case reason == Requested:
-		maxVictimLoad = p.starvedLoad(model)
+		newCopyLoad = p.starvedLoad(model)
 	case p.in.LoadAssumed:
-		maxVictimLoad = declaredLoad
+		newCopyLoad = declaredLoad
 	}
-	p.makeRoom(model, maxVictimLoad, reason == Requested)
+	p.makeRoom(model, newCopyLoad, reason == Requested)
 }
 
 // load orders a load on the preferred server with room and reports whether there is such a
--- a/core/residency/plantime_test.go
+++ b/core/residency/plantime_test.go
@@ -36,7 +36,7 @@
 
 // TestPlanTimeGrowsLinearlyWithModels plans for few engines and many models without a copy.
 // Sorting those models and searching the largest adapter again for each of them made a plan
-// take 150 ms, for which the nodes had to wait for the leader.
+// take 150 ms, during which the nodes waited for the leader.
 func TestPlanTimeGrowsLinearlyWithModels(t *testing.T) {
 	const factor = 10
 	few, many := minPlanTime(fullEngines(14, 200)), minPlanTime(fullEngines(14, 200*factor))
--- a/core/residency/reservation.go
+++ b/core/residency/reservation.go
@@ -3,9 +3,9 @@
 // localLoadAdvantage is the factor by which the load per copy of the model that room is
 // reserved for must exceed that of a model in memory or on disk there, for the room to stay
 // reserved until the weight store can load it. A load from the store takes 8.6 s, one from
-// disk 1.7 s, and demand shifts every 8 s. Of 2, 4 and 10 no setting was clearly better:
-// they reached 0.620, 0.625 and 0.628 of the total request value (mean of 25 days with nine
-// engines), and 2 and 10 reached 0.659 and 0.646 (three days with 112 engines).
+// disk 1.7 s, and demand shifts every 8 s. Of 2, 4 and 10 none is clearly better: they
+// reached 0.620, 0.625 and 0.628 of the total request value with nine engines (means of 25
+// simulated runs), and 2 and 10 reached 0.659 and 0.646 with 112 engines (three runs).
 const localLoadAdvantage = 4.0
 
 // reviewReservations releases the reserved room of models that no longer need it, and counts
@@ -73,8 +73,9 @@
 }
 
 // modelForReservation returns the model to load into reserved room: the one that the room
-// was made for, or a model that is in memory or on disk there and whose load per copy is at
-// least 1/localLoadAdvantage of it. The model that was evicted to make the room is excluded.
+// was made for, or the model in memory or on disk there with the highest load per copy if
+// that is at least 1/localLoadAdvantage of the former's. The model that was evicted to make
+// the room is excluded, and a model without a copy always gets the room made for it.
 func (p *planner) modelForReservation(s *Server) string {
 	if loadSource(s, s.ReservedFor) != fromStore || p.copies[s.ReservedFor] == 0 {
 		return s.ReservedFor
--- a/core/residency/spread.go
+++ b/core/residency/spread.go
@@ -16,7 +16,7 @@
 // With 131 models and 180 places a quarter of the engines held only last copies of idle
 // models and had one request a second, while others had 28. Each swap takes two loads of
 // several seconds; with demand that cost more than it gained (0.720 of the total request
-// value without swaps, 0.703 with them, mean of five days).
+// value without swaps, 0.703 with them, means of five simulated runs).
 func (p *planner) spreadBusyCopies() {
 	reservations := 0
 	for i := range p.in.Servers {
@@ -46,11 +46,11 @@
 
 // leastLoadedTarget returns the least loaded engine that has not been tried, holds only last
 // copies and has no room for the smallest model, or nil.
-func (p *planner) leastLoadedTarget(used map[*Server]bool) *Server {
+func (p *planner) leastLoadedTarget(tried map[*Server]bool) *Server {
 	var best *Server
 	for i := range p.in.Servers {
 		s := &p.in.Servers[i]
-		if used[s] || !p.available(s) || !p.onlyLastCopiesExcept(s, "") || p.freeMemory(s) >= p.sizes.Smallest() {
+		if tried[s] || !p.available(s) || !p.onlyLastCopiesExcept(s, "") || p.freeMemory(s) >= p.sizes.Smallest() {
 			continue
 		}
 		if best == nil || p.serverLoad(s) < p.serverLoad(best) {
