--- a/core/queue/doc.go
+++ b/core/queue/doc.go
@@ -3,9 +3,9 @@
 //
 // Waiting requests are ordered by urgency, then by the value of their kind per
 // second of service time (Smith 1956), then by deadline. A request that has
-// waited for AgeAfter is promoted to the next higher urgency, and one dispatch
-// in AgingInterval goes to the promoted request that has waited longest, so that
-// deferrable work makes progress under a constant stream of urgent work.
+// waited for AgeAfter is aged: it is promoted to the next higher urgency, and one
+// dispatch in AgingInterval goes to the aged request that has waited longest, so
+// that deferrable work makes progress under a constant stream of urgent work.
 //
 // A request is admitted only if it is estimated to complete before its deadline,
 // given the work queued ahead of it, the running requests and the service times
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -28,14 +28,14 @@
 	tree              tree
 	expiry            expiryHeap
 	ages              ageHeap
-	aged              *list.List // promoted entries (*waiting), longest wait first
+	aged              *list.List // entries (*waiting) that have waited for AgeAfter, longest wait first
 	agedElements      map[string]*list.Element
 	waiting           map[string]*waiting
 	running           map[string]*running
 	runningDeferrable int  // number of running deferrable entries
 	cancelling        int  // number of running entries being cancelled
 	isolated          bool // an isolated entry is running
-	sinceAged         int  // dispatches since the last one of a promoted entry
+	sinceAged         int  // dispatches since the last one of an aged entry
 	sequence          uint64
 }
 
@@ -263,7 +263,7 @@
 }
 
 // promoteAged promotes each entry that has waited for AgeAfter since it arrived or was
-// last promoted.
+// last promoted, and adds it to the aged entries.
 func (q *Queue) promoteAged(now time.Time) {
 	for len(q.ages) > 0 && !q.ages[0].ageAt.After(now) {
 		w := heap.Pop(&q.ages).(*waiting)
@@ -281,8 +281,8 @@
 	}
 }
 
-// nextAged returns the promoted entry that has waited longest if AgingInterval-1
-// dispatches have passed since the last one of a promoted entry, or nil.
+// nextAged returns the aged entry that has waited longest if AgingInterval-1
+// dispatches have passed since the last one of an aged entry, or nil.
 func (q *Queue) nextAged() *waiting {
 	front := q.aged.Front()
 	if front == nil || q.sinceAged+1 < q.settings.AgingInterval {
--- a/core/queue/settings.go
+++ b/core/queue/settings.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	defaultSlots       = 8
-	defaultLimit       = 256
-	defaultAgeAfter    = 20 * time.Second
-	defaultAgedEvery   = 16
-	defaultSeconds     = 1.0
-	defaultStepSeconds = 0.01
-	defaultMargin      = 1.0
-	minRetryAfter      = 50 * time.Millisecond
-	learnRate          = 0.1 // weight of a new sample in the exponentially weighted mean
+	defaultSlots         = 8
+	defaultLimit         = 256
+	defaultAgeAfter      = 20 * time.Second
+	defaultAgingInterval = 16
+	defaultSeconds       = 1.0
+	defaultStepSeconds   = 0.01
+	defaultMargin        = 1.0
+	minRetryAfter        = 50 * time.Millisecond
+	learnRate            = 0.1 // weight of a new sample in the exponentially weighted mean
 )
 
 // Settings configures a Queue. The zero value of a field selects its default.
@@ -28,8 +28,8 @@
 	// AgeAfter is the wait after which an entry is promoted to the next higher
 	// urgency, default 20 s.
 	AgeAfter time.Duration
-	// AgingInterval is the number of dispatches of which one goes to the
-	// promoted entry that has waited longest, default 16.
+	// AgingInterval is the number of dispatches of which one goes to the entry
+	// that has waited longest of those past AgeAfter, default 16.
 	AgingInterval int
 	// Seconds is the service time assumed until one has been learned, default
 	// 1 s.
@@ -61,7 +61,7 @@
 		s.AgeAfter = defaultAgeAfter
 	}
 	if s.AgingInterval <= 0 {
-		s.AgingInterval = defaultAgedEvery
+		s.AgingInterval = defaultAgingInterval
 	}
 	if s.Seconds <= 0 {
 		s.Seconds = defaultSeconds
