--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -183,7 +183,7 @@
 }
 
 // TestLargeRequestIsNotLockedOut checks that a request above its team's whole
-// share is admitted while no other request is in use.
+// share is admitted while the team has no other usage.
 func TestLargeRequestIsNotLockedOut(t *testing.T) {
 	p := limit.NewByCost(limit.Settings{Capacity: 1})
 	_, ok, _ := p.Admit(start, team("a", 1), normal, 500)
--- a/core/limit/shares.go
+++ b/core/limit/shares.go
@@ -25,14 +25,14 @@
 		total      usage
 		teams      map[string]*teamUsage
 		ruleUsage  map[ruleKey]*usage
-		open       map[uint64]Reservation // not settled, by ID
+		unsettled  map[uint64]Reservation // by ID
 		lastID     uint64
 		admitCalls int // calls to Admit
 	}
 
 	// ByRequests limits by the number of requests, counting each as one unit
 	// regardless of its cost. It is not safe for concurrent use.
-	ByRequests struct{ shares ByCost }
+	ByRequests struct{ byCost ByCost }
 
 	// teamUsage is the usage of one active team.
 	teamUsage struct {
@@ -54,12 +54,12 @@
 		settings:  s,
 		teams:     map[string]*teamUsage{},
 		ruleUsage: map[ruleKey]*usage{},
-		open:      map[uint64]Reservation{},
+		unsettled: map[uint64]Reservation{},
 	}
 }
 
 // NewByRequests returns a policy that limits by the number of requests.
-func NewByRequests(s Settings) *ByRequests { return &ByRequests{shares: *NewByCost(s)} }
+func NewByRequests(s Settings) *ByRequests { return &ByRequests{byCost: *NewByCost(s)} }
 
 // Admit implements Policy. A request that exceeds its team's whole share is
 // admitted while the team has no other usage and total usage is within the
@@ -75,7 +75,7 @@
 	}
 	c.lastID++
 	r := Reservation{id: c.lastID, team: team.Name, kind: kind.Name, units: estimate}
-	c.open[r.id] = r
+	c.unsettled[r.id] = r
 	c.total.reserved += estimate
 	u.reserved += estimate
 	c.forEachRule(team.Name, kind.Name, func(_ Rule, use *usage) { use.reserved += estimate })
@@ -84,10 +84,10 @@
 
 // Settle implements Policy.
 func (c *ByCost) Settle(now time.Time, r Reservation, actual float64) {
-	if _, found := c.open[r.id]; !found {
+	if _, found := c.unsettled[r.id]; !found {
 		return
 	}
-	delete(c.open, r.id)
+	delete(c.unsettled, r.id)
 	w := c.settings.window()
 	c.total.settle(now, w, r.units, actual)
 	if u := c.teams[r.team]; u != nil {
@@ -101,22 +101,22 @@
 func (c *ByCost) Reconfigure(s Settings) { c.settings = s }
 
 // Unsettled returns the number of unsettled reservations.
-func (c *ByCost) Unsettled() int { return len(c.open) }
+func (c *ByCost) Unsettled() int { return len(c.unsettled) }
 
 // Admit implements Policy.
 func (q *ByRequests) Admit(now time.Time, team config.Team, kind config.Kind, _ float64) (Reservation, bool, time.Duration) {
-	return q.shares.Admit(now, team, kind, 1)
+	return q.byCost.Admit(now, team, kind, 1)
 }
 
 // Settle implements Policy.
-func (q *ByRequests) Settle(now time.Time, r Reservation, _ float64) { q.shares.Settle(now, r, 1) }
+func (q *ByRequests) Settle(now time.Time, r Reservation, _ float64) { q.byCost.Settle(now, r, 1) }
 
 // Reconfigure replaces the settings. Usage is kept, except that new and changed
 // rules start from zero.
-func (q *ByRequests) Reconfigure(s Settings) { q.shares.Reconfigure(s) }
+func (q *ByRequests) Reconfigure(s Settings) { q.byCost.Reconfigure(s) }
 
 // Unsettled returns the number of unsettled reservations.
-func (q *ByRequests) Unsettled() int { return q.shares.Unsettled() }
+func (q *ByRequests) Unsettled() int { return q.byCost.Unsettled() }
 
 // withinShare reports whether estimate more units fit into the capacity or the
 // share of u, and if not, the delay before a retry.
