--- a/core/retry/policy.go
+++ b/core/retry/policy.go
@@ -29,7 +29,7 @@
 	NotRun Reason = "not-run"
 	// Repeatable means that the request may run more than once.
 	Repeatable Reason = "repeatable"
-	// TokensSeen means that the caller has received part of the answer, which can
+	// TokensSeen means that the caller has received part of the response, which can
 	// only be continued by resuming the same generation.
 	TokensSeen Reason = "tokens-seen"
 	// NotRepeatable means that the attempt may have run and must not run twice.
--- a/core/retry/service_budget.go
+++ b/core/retry/service_budget.go
@@ -8,9 +8,9 @@
 	// again in another window.
 	usableRatio = 0.75
 	// usableExtra is the fraction of Extra that is divided among the nodes.
-	// burstFraction of a node's part may be spent at once; the rest accrues over
-	// the window.
-	usableExtra   = 0.85
+	usableExtra = 0.85
+	// burstFraction is the fraction of a node's part of Extra that may be spent at
+	// once. The rest accrues over the window.
 	burstFraction = 2.0 / 3
 	// defaultRatio, defaultExtra and defaultWindow are the limits of a backend
 	// service in the users' specifications for eight nodes.
