--- a/core/route/tracker.go
+++ b/core/route/tracker.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// defaultSettle is an upper bound of the time that a request takes to reach the
+// defaultViewDelay is an upper bound of the time that a request takes to reach the
 // owner.
-const defaultSettle = 3 * time.Millisecond
+const defaultViewDelay = 3 * time.Millisecond
 
 // Tracker counts the requests that a node has sent to each server and that the
 // last view of the server can't include yet.
 type Tracker struct {
-	// ViewDelay is the maximum time before a view's arrival at which a request may
-	// have been sent without being included in the view. It is about one round
-	// trip to the owner, default 3 ms.
+	// ViewDelay is how long before a view's arrival a request may have been sent
+	// and still be missing from the view. It is about one round trip to the owner,
+	// default 3 ms.
 	ViewDelay time.Duration
 
 	sent     map[string][]time.Time // by server, oldest first
@@ -41,11 +41,11 @@
 
 // ViewUpdated records that a newer view of the server arrived.
 func (t *Tracker) ViewUpdated(server string, now time.Time) {
-	settle := t.ViewDelay
-	if settle == 0 {
-		settle = defaultSettle
+	delay := t.ViewDelay
+	if delay == 0 {
+		delay = defaultViewDelay
 	}
-	times, cutoff := t.sent[server], now.Add(-settle)
+	times, cutoff := t.sent[server], now.Add(-delay)
 	n := 0
 	for n < len(times) && times[n].Before(cutoff) {
 		n++
