--- a/core/status/doc.go
+++ b/core/status/doc.go
@@ -1,5 +1,5 @@
-// Package status defines what a node reports to operators: the nodes, backend
-// servers and leases that it knows, and the decisions about one request.
+// Package status defines what a node reports to operators: its view of the nodes,
+// backend servers and leases, and the decisions about one request.
 //
 // The types are the bodies of the operator endpoint (see io/operator) and of
 // the command line's JSON output. Times are Unix milliseconds.
--- a/core/status/report.go
+++ b/core/status/report.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// Node describes a node as the reporting node knows it.
+	// Node is the state of a node as seen by the reporting node.
 	Node struct {
 		Name          string    `json:"name"`
 		Address       string    `json:"address"` // IP:port of its operator endpoint
@@ -33,7 +33,7 @@
 		ExpiresIn int64  `json:"expires-in-ms"` // measured on the holder's clock
 	}
 
-	// Report is the state known to one node. Nodes includes the node itself.
+	// Report is one node's view of the cluster. Nodes includes the node itself.
 	Report struct {
 		Node          string        `json:"node"`
 		Ready         bool          `json:"ready"`
--- a/core/status/status_test.go
+++ b/core/status/status_test.go
@@ -8,7 +8,7 @@
 	"guavapaddle/core/status"
 )
 
-func TestNotAt(t *testing.T) {
+func TestBehind(t *testing.T) {
 	r := status.Report{Nodes: []status.Node{
 		{Name: "a", State: status.Live, ConfigVersion: 4},
 		{Name: "b", State: status.Live, ConfigVersion: 3},
