--- a/core/balance/pick.go
+++ b/core/balance/pick.go
@@ -99,7 +99,7 @@
 // PickWithin picks the cheapest of all servers with room for the request. A server has room if at
 // most maxTokens prompt tokens would be pending there including this request, or if no request is
 // pending there, and if less than the fraction maxSlotFraction of its slots is taken. It requires
-// that the picker knows the exact counts of all nodes.
+// exact counts of the requests of all nodes.
 func (p *Picker) PickWithin(now time.Time, r Request, maxTokens int, maxSlotFraction float64) (Selection, Reason) {
 	eligible, wait, reason := p.eligible(now, r, func(s *server) time.Duration { return s.throttle.GlobalWait(now) })
 	if len(eligible) == 0 {
@@ -123,8 +123,8 @@
 	return Selection{Server: best.Server, Wait: p.wait(now, best, r), Age: best.age(now)}, Picked
 }
 
-// Reserve counts a request against the rate limit of the server that was picked for it, so that no
-// other request takes its turn before it is sent.
+// Reserve counts a request against the rate limit of the server that was picked for it, so that the
+// server isn't picked for another request before this one is sent.
 func (p *Picker) Reserve(now time.Time, id string) {
 	if s := p.servers[id]; s != nil {
 		s.throttle.Record(now)
@@ -211,7 +211,7 @@
 	return h
 }
 
-// moreSpecific returns the reason that says more: a server that lacks only the adapter is closer to
+// moreSpecific returns the more specific reason: a server that lacks only the adapter is closer to
 // serving the request than one that lacks the model.
 func moreSpecific(a, b Reason) Reason {
 	if a == NoAdapter {
@@ -268,15 +268,15 @@
 // leading segments that it is known to have cached.
 func (s *server) uncachedTokens(now time.Time, r Request) int {
 	n := r.Tokens
-	for _, p := range r.Segments {
-		at, ok := s.segments[segmentKey(r, p)]
+	for _, segment := range r.Segments {
+		at, ok := s.segments[segmentKey(r, segment)]
 		if !ok || now.Sub(at) > time.Minute {
 			break
 		}
-		n -= p.Tokens
+		n -= segment.Tokens
 	}
 	return max(0, n)
 }
 
 // segmentKey distinguishes segments of different models and adapters, whose caches aren't shared.
-func segmentKey(r Request, p Segment) string { return r.Model + "/" + r.Adapter + "/" + p.ID }
+func segmentKey(r Request, s Segment) string { return r.Model + "/" + r.Adapter + "/" + s.ID }
--- a/core/balance/picker.go
+++ b/core/balance/picker.go
@@ -59,7 +59,7 @@
 		reportAt    time.Time
 		failures    int
 		avoidUntil  time.Time
-		slowness    float64
+		slowness    float64       // factor for estimates of the time to the first byte, learned from recent answers
 		baseLatency time.Duration // learned time to the first byte, plain services only
 		residency   map[resident]residencyUpdate
 		segments    map[string]time.Time
@@ -177,7 +177,7 @@
 	return s != nil && s.holds(now, resident{model, ""}) && (adapter == "" || s.holds(now, resident{model, adapter}))
 }
 
-// count returns the larger of the counts known from nodes and from the server itself.
+// count returns the larger of the nodes' combined count and the server's own count.
 func (s *server) count(now time.Time) Count {
 	n := s.local
 	if now.Sub(s.remoteAt) < remoteCountsTTL {
@@ -187,7 +187,7 @@
 	}
 	if now.Sub(s.reportAt) < serverReportTTL {
 		if s.report.Pending > n.Pending {
-			n.Tokens += (s.report.Pending - n.Pending) * 1000
+			n.Tokens += (s.report.Pending - n.Pending) * 1000 // the report has no token count
 			n.Pending = s.report.Pending
 		}
 		n.Running = max(n.Running, s.report.Running)
@@ -228,8 +228,8 @@
 	}
 }
 
-// LearnLimit records what a server said about the request rate that it accepts. It reports whether
-// the limit changed.
+// LearnLimit records the rate limit that a server named or withdrew. It reports whether the limit
+// changed.
 func (p *Picker) LearnLimit(id string, l throttle.Limit) bool {
 	l.Rate *= p.rateFraction
 	s := p.servers[id]
@@ -290,7 +290,7 @@
 func (p *Picker) SetNodes(nodes int) { p.nodes = nodes }
 
 // LocalCounts returns the counts of this node for each server where it has requests, with the
-// number of those that the current granter counts itself.
+// number of running requests that the given granter counts itself.
 func (p *Picker) LocalCounts(granter int64) map[string]Count {
 	out := map[string]Count{}
 	for id, s := range p.servers {
--- a/core/balance/picker_test.go
+++ b/core/balance/picker_test.go
@@ -96,7 +96,7 @@
 	require.Equal(t, balance.NoAdapter, reason)
 }
 
-func BenchmarkPickRoom(b *testing.B) {
+func BenchmarkPickWithin(b *testing.B) {
 	var servers []fleet.Server
 	for i := range 90 {
 		servers = append(servers, engine(string(rune('a'+i%26))+string(rune('a'+i/26)), false))
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestRelativePrefillTimeIsLearned simulates two models, one of which has its prompts read three
-// times as fast.
+// TestRelativePrefillTimeIsLearned simulates two models. Prompts of one are read three times as fast
+// as prompts of the other.
 func TestRelativePrefillTimeIsLearned(t *testing.T) {
 	s := engine("a", false)
 	s.Resident = append(s.Resident, fleet.ResidentModel{Model: "fast"})
@@ -178,7 +178,7 @@
 }
 
 // TestOwnDataCentreIsPreferred checks both ways to pick. Traffic between data centres is slower and
-// expensive.
+// costs more.
 func TestOwnDataCentreIsPreferred(t *testing.T) {
 	local, remote := engine("a", false), engine("b", false)
 	remote.Zone = "elsewhere"
--- a/core/balance/ticket.go
+++ b/core/balance/ticket.go
@@ -72,8 +72,8 @@
 	if len(s.segments) > maxSegments {
 		clear(s.segments)
 	}
-	for _, part := range r.Segments {
-		s.segments[segmentKey(r, part)] = now
+	for _, segment := range r.Segments {
+		s.segments[segmentKey(r, segment)] = now
 	}
 	return t
 }
