--- a/core/grant/group.go
+++ b/core/grant/group.go
@@ -22,8 +22,8 @@
 }
 
 // groupQueue is a heap of groups with waiting requests, ordered by the urgency of their heads. A
-// linear search for the most urgent of hundreds of groups took milliseconds for each change, while
-// other requests waited for their reply.
+// linear search for the most urgent of hundreds of groups, repeated for each of them, took
+// milliseconds for each change, while other requests waited for their reply.
 type groupQueue struct {
 	now    time.Time
 	groups []*group
--- a/core/grant/limited_test.go
+++ b/core/grant/limited_test.go
@@ -61,8 +61,8 @@
 		handle(now, s.Next(now))
 	}
 	list := make([]result, 0, len(out))
-	for _, f := range out {
-		list = append(list, f)
+	for _, r := range out {
+		list = append(list, r)
 	}
 	return list
 }
@@ -73,15 +73,15 @@
 	const rate, seconds = 2.0, 20
 	results := applyLoad(newScheduler(server("a", "m", "n")), map[string]float64{"a": rate}, []string{"m", "n"}, 50*time.Millisecond, seconds*time.Second)
 	granted, slow, refused := 0, 0, 0
-	for _, f := range results {
-		if f.granted {
+	for _, r := range results {
+		if r.granted {
 			granted++
 			continue
 		}
 		refused++
-		require.Equal(t, balance.Limited, f.reason)
-		require.Positive(t, f.retryAfter)
-		if f.waited > 150*time.Millisecond {
+		require.Equal(t, balance.Limited, r.reason)
+		require.Positive(t, r.retryAfter)
+		if r.waited > 150*time.Millisecond {
 			slow++
 		}
 	}
@@ -95,10 +95,10 @@
 func TestUnlimitedServerTakesRemainingLoad(t *testing.T) {
 	results := applyLoad(newScheduler(server("a", "m"), server("b", "m")), map[string]float64{"a": 1}, []string{"m"}, 50*time.Millisecond, 10*time.Second)
 	at := map[string]int{}
-	for _, f := range results {
-		require.True(t, f.granted, f)
-		require.Less(t, f.waited, 20*time.Millisecond)
-		at[f.server]++
+	for _, r := range results {
+		require.True(t, r.granted, r)
+		require.Less(t, r.waited, 20*time.Millisecond)
+		at[r.server]++
 	}
 	require.LessOrEqual(t, at["a"], 12)
 }
--- a/core/grant/rates.go
+++ b/core/grant/rates.go
@@ -20,12 +20,12 @@
 	rateWindow = time.Second
 	// minRateGrants is the number of grants in a window from which a rate can be derived.
 	minRateGrants = 3
-	// minLatePeriod is how long there must have been late requests until the rate at which they
-	// start is known.
+	// minLatePeriod is how long there must have been late requests before the rate at which they
+	// start is used.
 	minLatePeriod = 600 * time.Millisecond
 	// lateRateMargin is added to the rate, per second, at which late requests start, because none
-	// in one second doesn't mean none in the next. With a margin of 0, requests on a quiet day were
-	// refused in short bursts (0.7 in 100 requests refused instead of 0.3).
+	// in one second doesn't mean none in the next. With a margin of 0, short bursts of requests were
+	// refused in a simulated run at low load (0.7 in 100 requests instead of 0.3).
 	lateRateMargin = 1.0
 	// maxLateGap is the longest time without late requests within one period of lateness. After
 	// late requests have been refused, the next ones become late only when their target passes.
--- a/core/grant/scheduler.go
+++ b/core/grant/scheduler.go
@@ -33,7 +33,7 @@
 	// Request is a request that waits for a grant.
 	Request struct {
 		ID          uint64
-		ArrivedAt   time.Time // when it first arrived; a request that is offered again keeps its turn
+		ArrivedAt   time.Time // when it first arrived; a request that is enqueued again keeps its turn
 		Pick        balance.Request
 		Priority    int       // 0 is the most urgent
 		OverShare   bool      // its team is over its fair share of its quota, so others of the same priority go first
@@ -125,7 +125,7 @@
 	}
 }
 
-// Release ends a grant, or withdraws a request that still waits. The result says how the request to
+// Release ends a grant, or withdraws a request that still waits. The result is how the request at
 // the server ended.
 func (s *Scheduler) Release(now time.Time, id uint64, r balance.Result) {
 	if h, ok := s.granted[id]; ok {
@@ -185,8 +185,8 @@
 	}
 }
 
-// LearnLimit records what the server of a granted request said about the request rate that it
-// accepts; perSecond is nil if it named none.
+// LearnLimit records the rate limit that the server of a granted request named, in requests per
+// second; perSecond is nil if it named none.
 func (s *Scheduler) LearnLimit(now time.Time, id uint64, perSecond *float64) {
 	h, ok := s.granted[id]
 	if !ok {
--- a/core/grant/scheduler_test.go
+++ b/core/grant/scheduler_test.go
@@ -98,7 +98,7 @@
 	require.Equal(t, []uint64{3, 4, 2}, order)
 }
 
-// TestRejectedRequestKeepsItsTurn offers a request again after the granted engine rejected it for
+// TestRejectedRequestKeepsItsTurn enqueues a request again after the granted engine rejected it for
 // lack of the adapter, while two requests wait that arrived later.
 func TestRejectedRequestKeepsItsTurn(t *testing.T) {
 	s := newScheduler(server("a", "m"))
@@ -112,7 +112,7 @@
 	s.Enqueue(arrived(2, start.Add(10*time.Millisecond)))
 	s.Enqueue(arrived(3, start.Add(20*time.Millisecond)))
 	now := start.Add(50 * time.Millisecond)
-	s.Enqueue(arrived(4, start)) // the first request, offered again
+	s.Enqueue(arrived(4, start)) // the first request, enqueued again
 	s.Release(now, 1, balance.Succeeded)
 	require.Equal(t, []uint64{4}, granted(s.Next(now)))
 }
@@ -353,7 +353,7 @@
 func TestTeamOverShareDoesNotStarveOthers(t *testing.T) {
 	for _, overShare := range []bool{false, true} {
 		s := newScheduler(server("a", "m"))
-		began := map[bool]int{} // by whether the request belongs to the small team
+		started := map[bool]int{} // by whether the request belongs to the small team
 		small := map[uint64]bool{}
 		id, now := uint64(0), start
 		enqueue := func(isSmall, overShare bool) {
@@ -371,15 +371,15 @@
 			list := granted(s.Next(now))
 			now = now.Add(50 * time.Millisecond)
 			for _, g := range list {
-				began[small[g]]++
+				started[small[g]]++
 				s.Release(now, g, balance.Succeeded)
 			}
 		}
 		if overShare {
-			require.Equal(t, 100, began[true], "the small team is served")
-			require.Positive(t, began[false], "the other team gets the remaining capacity")
+			require.Equal(t, 100, started[true], "the small team is served")
+			require.Positive(t, started[false], "the other team gets the remaining capacity")
 			continue
 		}
-		require.Less(t, began[true], 100, "in order of arrival alone it isn't served in full")
+		require.Less(t, started[true], 100, "in order of arrival alone it isn't served in full")
 	}
 }
