--- a/core/throttle/doc.go
+++ b/core/throttle/doc.go
@@ -4,8 +4,8 @@
 // # Method
 //
 // A server names a rate in some of its answers for as long as the rate applies.
-// Answers may arrive out of order: a rate counts as withdrawn only by an answer to
-// a request that was sent after the rate was last named.
+// Answers may arrive out of order: a rate counts as withdrawn only after an answer
+// without a rate to a request that was sent after the rate was last named.
 //
 // Where a scheduler decides for all nodes, it enforces the rate by a token bucket.
 // Where nodes decide on their own they divide time among them: a node may send one
--- a/core/throttle/limit.go
+++ b/core/throttle/limit.go
@@ -9,9 +9,9 @@
 	At     time.Time
 }
 
-// NewLimit returns the limit of an answer that arrived at a time and named a rate.
+// NewLimit returns the limit of an answer that named a rate and arrived at the given time.
 func NewLimit(at time.Time, rate float64) Limit { return Limit{Rate: rate, Active: true, At: at} }
 
-// NoLimit returns the limit of an answer without a rate, by the time at which its request was
-// sent.
+// NoLimit returns the limit of an answer without a rate to a request that was sent at the given
+// time.
 func NoLimit(sent time.Time) Limit { return Limit{At: sent} }
--- a/core/throttle/throttle_test.go
+++ b/core/throttle/throttle_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestFreeReportsTimeUntilRequestFits(t *testing.T) {
+func TestGlobalWaitIsTimeUntilRequestFits(t *testing.T) {
 	v := throttle.New(0)
 	require.Zero(t, v.GlobalWait(start))
 	v.Learn(throttle.NewLimit(start, 2))
@@ -148,7 +148,7 @@
 	return sent
 }
 
-func TestOpensReportsTimeUntilWindow(t *testing.T) {
+func TestLocalWaitIsTimeUntilWindow(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		v := throttle.New(rng.Float64())
