--- a/core/leader/doc.go
+++ b/core/leader/doc.go
@@ -12,8 +12,8 @@
 //
 // Nodes may learn the row from the leader itself. The leader sends a version only
 // after it has written it, so a node that counts from then waits no less than one
-// that reads the store. Otherwise nodes that hear from the leader and don't read
-// the store would start to wait only after it has stopped sending.
+// that reads the store. Otherwise nodes that are connected to the leader and don't
+// read the store would start to wait only after it has stopped sending.
 //
 // A process takes over the lease of an earlier process of its own node at once,
 // because that process must have ended. When all nodes lose power together this
@@ -30,13 +30,13 @@
 //
 // # Usage
 //
-//	k := &leader.Elector{Self: leader.Lease{Node: "n1", Incarnation: "x"}, TTL: 3 * time.Second}
-//	k.Observe(now, lease, version)
-//	if l, version, ok := k.Propose(now); ok {
+//	e := &leader.Elector{Self: leader.Lease{Node: "n1", Incarnation: "x"}, TTL: 3 * time.Second}
+//	e.Observe(now, lease, version)
+//	if l, version, ok := e.Propose(now); ok {
 //		// write l on the condition that the row has that version
-//		k.Acquired(sent, l, newVersion)
+//		e.Acquired(sent, l, newVersion)
 //	}
-//	if epoch, ok := k.Epoch(now); ok { order(epoch) }
+//	if epoch, ok := e.Epoch(now); ok { order(epoch) }
 //
 // Times are durations on a monotonic clock that also runs while the VM is
 // suspended. An Elector is not safe for concurrent use.
--- a/core/leader/elector.go
+++ b/core/leader/elector.go
@@ -47,7 +47,7 @@
 		observed    Lease
 		version     int64
 		observedAt  time.Duration // when version was first observed
-		known       bool
+		known       bool          // whether the row has been observed
 		leaseEnd    time.Duration // end of this node's lease
 		fencedEpoch int64         // highest epoch that an engine refused
 	}
