--- a/core/member/doc.go
+++ b/core/member/doc.go
@@ -1,5 +1,5 @@
-// Package member maintains what the nodes know of each other: which nodes are
-// alive, which are leaving, and a set of small versioned entries that each node
+// Package member maintains each node's view of the others: which nodes are alive,
+// which are leaving, and a set of small versioned entries that each node
 // distributes to all others, such as the views of the backend servers that it
 // owns.
 //
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// TestEntriesNeverGoBack checks, through message loss, crashes and restarts of nodes, that an entry
-// which a node has seen is never replaced by an older one.
-func TestEntriesNeverGoBack(t *testing.T) {
+// TestEntryIsNeverReplacedByOlderOne checks the entries that each node holds through message loss,
+// crashes and restarts of nodes.
+func TestEntryIsNeverReplacedByOlderOne(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newNetwork(5, rapid.Uint64().Draw(r, "seed"))
 		w.loss = rapid.Float64Range(0, 0.5).Draw(r, "loss")
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// State is what one node knows of the others. It is not safe for concurrent use.
+	// State is one node's view of all nodes. It is not safe for concurrent use.
 	State struct {
 		settings      Settings
 		self          Node
@@ -61,8 +61,8 @@
 	}
 )
 
-// New returns the state of the node self, which knows only itself. It panics if self has no name or
-// address, or if rng is nil.
+// New returns the state of the node self before it has contacted any other node. It panics if self
+// has no name or address, or if rng is nil.
 func New(self Node, s Settings, rng *rand.Rand) *State {
 	if self.Name == "" || self.Address == "" || rng == nil {
 		panic(ErrNoIdentity)
--- a/core/member/types.go
+++ b/core/member/types.go
@@ -80,8 +80,8 @@
 		Major uint64 `cbor:"2,keyasint"`
 		Minor uint64 `cbor:"3,keyasint"`
 		Value []byte `cbor:"4,keyasint"`
-		// Transient marks a transient entry, which will soon be replaced. It is pushed three times,
-		// which reaches 95 of 100 nodes; the others learn of it later.
+		// Transient marks an entry that will soon be replaced. It is pushed three times, which
+		// reaches 95 of 100 nodes; the others receive it later.
 		Transient bool `cbor:"5,keyasint,omitempty"`
 	}
 
