--- a/core/loads/budget.go
+++ b/core/loads/budget.go
@@ -135,11 +135,11 @@
 
 // Inherit adds loads that other nodes started recently, and their unacknowledged orders: the
 // order number by engine.
-func (b *Budget) Inherit(now time.Time, recent int, late map[string]int64) {
+func (b *Budget) Inherit(now time.Time, recent int, unacked map[string]int64) {
 	for range recent {
 		b.loads = append(b.loads, load{phase: started, at: now})
 	}
-	for engine, number := range late {
+	for engine, number := range unacked {
 		b.loads = append(b.loads, load{engine: engine, number: number, unanswered: 1, phase: sent, at: now})
 	}
 }
--- a/core/loads/budget_test.go
+++ b/core/loads/budget_test.go
@@ -122,11 +122,11 @@
 
 func TestWindowLimits(t *testing.T) {
 	for _, c := range []struct {
-		rate        float64
-		most, borne int
+		rate                float64
+		perWindow, capacity int
 	}{{2.1, 10, 14}, {0.1, 1, 3}, {10, 50, 58}} {
-		require.Equal(t, c.most, loads.PerWindow(c.rate, window))
-		require.Equal(t, c.borne, loads.MaxLoads(c.rate, window))
+		require.Equal(t, c.perWindow, loads.PerWindow(c.rate, window))
+		require.Equal(t, c.capacity, loads.MaxLoads(c.rate, window))
 	}
 }
 
--- a/core/loads/doc.go
+++ b/core/loads/doc.go
@@ -10,7 +10,8 @@
 // the same number, so these count once.
 //
 // A node that takes over the ordering inherits the counts that its predecessor handed over.
-// If the predecessor fell silent, it may have started as many loads as a window allows.
+// A predecessor that stopped without a handover may have started as many loads as a window
+// allows.
 //
 // The weight store can serve slightly more than its rate. Definite loads stay within the
 // rate, and definite and possible loads together stay within the capacity, so that a few
