--- a/core/quota/account.go
+++ b/core/quota/account.go
@@ -53,90 +53,90 @@
 
 // Update applies the granter's reply, with the number of nodes that report to it. A share
 // that is missing from the reply, as from a granter that has just taken over, stays valid
-// for 6 s.
-func (p *Account) Update(now time.Time, states map[string]State, nodes int) {
-	if p.shares == nil {
-		p.shares = map[string]assignedShare{}
+// for shareTTL.
+func (a *Account) Update(now time.Time, states map[string]State, nodes int) {
+	if a.shares == nil {
+		a.shares = map[string]assignedShare{}
 	}
 	for team, s := range states {
 		if s.Share > 0 {
-			p.shares[team] = assignedShare{s.Share, now}
+			a.shares[team] = assignedShare{s.Share, now}
 		}
 	}
-	for team, s := range p.shares {
+	for team, s := range a.shares {
 		if now.Sub(s.at) > shareTTL {
-			delete(p.shares, team)
+			delete(a.shares, team)
 		}
 	}
-	p.states = states
-	p.nodes = nodes
-	for team, r := range p.reserves {
+	a.states = states
+	a.nodes = nodes
+	for team, r := range a.reserves {
 		r.limited = states[team].Scarce
 	}
 }
 
 // RecordCharge records what a granter has charged for a request of this node.
-func (p *Account) RecordCharge(team string, cost float64) { p.addUsage(team, cost, 0) }
+func (a *Account) RecordCharge(team string, cost float64) { a.addUsage(team, cost, 0) }
 
 // Spend charges a request to this node's account; the granter charges it with the
-// next report that it acknowledges. hasLeader is whether the node reaches a granter:
+// next report that it acknowledges. hasGranter is whether the node reaches a granter:
 // without one, and while the team's bucket is low, the node stays within its share of the
 // quota. Spend reports whether the quota admits the request and, if not, the time after
 // which to retry.
-func (p *Account) Spend(now time.Time, team fleet.Team, cost float64, hasLeader bool) (ok bool, after time.Duration) {
+func (a *Account) Spend(now time.Time, team fleet.Team, cost float64, hasGranter bool) (ok bool, after time.Duration) {
 	q := team.Quota
 	if q.Rate <= 0 {
 		return true, 0
 	}
-	share := p.share(team.Name)
+	share := a.share(team.Name)
 	rate := share * q.Rate
-	maxReserve := share * reserveFraction * p.Tolerance.Excess(q)
-	r := p.reserve(team.Name, maxReserve)
-	limited := !hasLeader || p.states[team.Name].Scarce
-	r.refill(now, rate, maxReserve, p.Tolerance.Window, limited)
+	maxReserve := share * reserveFraction * a.Tolerance.Excess(q)
+	r := a.reserve(team.Name, maxReserve)
+	limited := !hasGranter || a.states[team.Name].Scarce
+	r.refill(now, rate, maxReserve, a.Tolerance.Window, limited)
 	if limited {
 		r.level = min(r.level, max(maxReserve, cost))
 		if need := r.threshold * cost; r.level < need {
 			return false, ceilMilliseconds((need - r.level) / rate)
 		}
 		r.level -= cost
-		r.threshold = p.Rand.Float64()
+		r.threshold = a.Rand.Float64()
 	}
-	p.addUsage(team.Name, cost, cost)
+	a.addUsage(team.Name, cost, cost)
 	return true, 0
 }
 
 // Refund returns the charge of a request that hasn't run.
-func (p *Account) Refund(team string, cost float64) { p.addUsage(team, -cost, -cost) }
+func (a *Account) Refund(team string, cost float64) { a.addUsage(team, -cost, -cost) }
 
-func (p *Account) addUsage(team string, spent, owed float64) {
-	if p.sums == nil {
-		p.sums = map[string]Usage{}
+func (a *Account) addUsage(team string, spent, owed float64) {
+	if a.sums == nil {
+		a.sums = map[string]Usage{}
 	}
-	u := p.sums[team]
-	p.sums[team] = Usage{Spent: u.Spent + spent, Owed: u.Owed + owed}
+	u := a.sums[team]
+	a.sums[team] = Usage{Spent: u.Spent + spent, Owed: u.Owed + owed}
 }
 
 // share returns this node's share of a team's quota.
-func (p *Account) share(team string) float64 {
-	if s, ok := p.shares[team]; ok {
+func (a *Account) share(team string) float64 {
+	if s, ok := a.shares[team]; ok {
 		return s.share
 	}
-	if p.nodes > 0 {
-		return evenFraction / float64(p.nodes)
+	if a.nodes > 0 {
+		return evenFraction / float64(a.nodes)
 	}
 	return 1.0 / assumedNodes
 }
 
 // reserve returns a team's reserve, which is full when it is created.
-func (p *Account) reserve(team string, full float64) *reserve {
-	if p.reserves == nil {
-		p.reserves = map[string]*reserve{}
+func (a *Account) reserve(team string, full float64) *reserve {
+	if a.reserves == nil {
+		a.reserves = map[string]*reserve{}
 	}
-	r := p.reserves[team]
+	r := a.reserves[team]
 	if r == nil {
-		r = &reserve{level: full, threshold: p.Rand.Float64()}
-		p.reserves[team] = r
+		r = &reserve{level: full, threshold: a.Rand.Float64()}
+		a.reserves[team] = r
 	}
 	return r
 }
@@ -157,21 +157,21 @@
 
 // Report returns what this node has spent on the teams whose sums have changed since the
 // last acknowledged report.
-func (p *Account) Report() UsageReport {
-	p.reportNumber++
-	p.reported = maps.Clone(p.sums)
-	out := UsageReport{Number: p.reportNumber}
-	for team, now := range p.sums {
-		if acknowledged := p.acknowledged[team]; acknowledged != now {
-			out.Uses = append(out.Uses, TeamUsage{Team: team, Now: now, Known: acknowledged, Share: p.shares[team].share})
+func (a *Account) Report() UsageReport {
+	a.reportNumber++
+	a.reported = maps.Clone(a.sums)
+	out := UsageReport{Number: a.reportNumber}
+	for team, now := range a.sums {
+		if acknowledged := a.acknowledged[team]; acknowledged != now {
+			out.Uses = append(out.Uses, TeamUsage{Team: team, Now: now, Known: acknowledged, Share: a.shares[team].share})
 		}
 	}
 	return out
 }
 
 // Acknowledge records that a granter has acknowledged the report of that number.
-func (p *Account) Acknowledge(reportNumber uint64) {
-	if reportNumber == p.reportNumber {
-		p.acknowledged = p.reported
+func (a *Account) Acknowledge(reportNumber uint64) {
+	if reportNumber == a.reportNumber {
+		a.acknowledged = a.reported
 	}
 }
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -127,15 +127,15 @@
 			continue
 		}
 		configured[t.Name] = true
-		a := l.teams[t.Name]
-		if a == nil {
+		b := l.teams[t.Name]
+		if b == nil {
 			l.teams[t.Name] = &bucket{quota: t.Quota, at: now, startedAt: now,
 				level: min(t.Quota.Burst, initialFraction*l.Tolerance.Excess(t.Quota))}
 			continue
 		}
-		l.refill(now, a)
-		a.quota = t.Quota
-		a.level = min(a.level, t.Quota.Burst)
+		l.refill(now, b)
+		b.quota = t.Quota
+		b.level = min(b.level, t.Quota.Burst)
 	}
 	for name := range l.teams {
 		if !configured[name] {
@@ -147,15 +147,15 @@
 // Charge takes the cost of a request from a team's bucket, or returns the time after
 // which to retry. A request larger than the burst is charged once the bucket is full.
 func (l *Ledger) Charge(now time.Time, team string, cost float64) (ok bool, after time.Duration) {
-	a := l.teams[team]
-	if a == nil {
+	b := l.teams[team]
+	if b == nil {
 		return true, 0
 	}
-	l.refill(now, a)
-	if need := min(cost, a.quota.Burst); a.level < need {
-		return false, ceilMilliseconds((need - a.level) / a.quota.Rate)
+	l.refill(now, b)
+	if need := min(cost, b.quota.Burst); b.level < need {
+		return false, ceilMilliseconds((need - b.level) / b.quota.Rate)
 	}
-	a.level -= cost
+	b.level -= cost
 	return true, 0
 }
 
@@ -163,15 +163,15 @@
 // other teams go first while capacity is short. Without this, a team that sends many times
 // its usual load would take the others' capacity even while it is below its quota.
 func (l *Ledger) OverShare(now time.Time, team string) bool {
-	a := l.teams[team]
-	return a != nil && a.used.sum(now) > overShareFraction*a.quota.Rate*usageDecay.Seconds()
+	b := l.teams[team]
+	return b != nil && b.used.sum(now) > overShareFraction*b.quota.Rate*usageDecay.Seconds()
 }
 
 // Refund returns the charge of a request that hasn't run.
 func (l *Ledger) Refund(now time.Time, team string, cost float64) {
-	if a := l.teams[team]; a != nil {
-		l.refill(now, a)
-		a.level = min(a.level+cost, a.quota.Burst)
+	if b := l.teams[team]; b != nil {
+		l.refill(now, b)
+		b.level = min(b.level+cost, b.quota.Burst)
 	}
 }
 
@@ -182,62 +182,62 @@
 		return nil
 	}
 	l.prune(now)
-	m := l.nodes[node]
-	if m == nil {
-		m = &nodeUsage{used: map[string]*decayingSum{}, shares: map[string]float64{}}
-		l.nodes[node] = m
-	}
-	l.resumeNode(now, m)
-	m.lastReport = now
-	if m.incarnation != incarnation {
-		m.incarnation, m.number, m.sums = incarnation, 0, map[string]Usage{}
-	}
-	if r.Number > m.number {
-		m.number = r.Number
+	n := l.nodes[node]
+	if n == nil {
+		n = &nodeUsage{used: map[string]*decayingSum{}, shares: map[string]float64{}}
+		l.nodes[node] = n
+	}
+	l.resumeNode(now, n)
+	n.lastReport = now
+	if n.incarnation != incarnation {
+		n.incarnation, n.number, n.sums = incarnation, 0, map[string]Usage{}
+	}
+	if r.Number > n.number {
+		n.number = r.Number
 		for _, u := range r.Uses {
-			l.applyUse(now, m, u)
+			l.applyUse(now, n, u)
 		}
 	}
-	return l.assignShares(now, m)
+	return l.assignShares(now, n)
 }
 
 // applyUse applies a node's usage of one team's quota.
-func (l *Ledger) applyUse(now time.Time, m *nodeUsage, u TeamUsage) {
-	before, ok := m.sums[u.Team]
+func (l *Ledger) applyUse(now time.Time, n *nodeUsage, u TeamUsage) {
+	before, ok := n.sums[u.Team]
 	if !ok {
 		before = u.Known
 	}
-	m.sums[u.Team] = u.Now
-	a := l.teams[u.Team]
-	if a == nil {
+	n.sums[u.Team] = u.Now
+	b := l.teams[u.Team]
+	if b == nil {
 		return
 	}
-	l.refill(now, a)
+	l.refill(now, b)
 	if !ok {
-		a.inherited += u.Share
+		b.inherited += u.Share
 	}
-	a.level = min(a.level-(u.Now.Owed-before.Owed), a.quota.Burst)
+	b.level = min(b.level-(u.Now.Owed-before.Owed), b.quota.Burst)
 	spent := u.Now.Spent - before.Spent
-	a.used.add(now, spent)
-	d := m.used[u.Team]
+	b.used.add(now, spent)
+	d := n.used[u.Team]
 	if d == nil {
 		d = &decayingSum{}
-		m.used[u.Team] = d
+		n.used[u.Team] = d
 	}
 	d.add(now, spent)
 }
 
 // assignShares recomputes a node's shares and returns its state for each team.
-func (l *Ledger) assignShares(now time.Time, m *nodeUsage) map[string]State {
+func (l *Ledger) assignShares(now time.Time, n *nodeUsage) map[string]State {
 	out := map[string]State{}
-	l.revokeShares(m)
-	for name, a := range l.teams {
-		l.refill(now, a)
-		s := State{Scarce: a.level < lowFraction*a.quota.Burst}
-		if d := m.used[name]; d != nil && now.Sub(a.startedAt) >= warmupTime {
-			s.Share = min(l.computeShare(now, a, d), max(0, 1-a.assigned))
-			m.shares[name] = s.Share
-			a.assigned += s.Share
+	l.revokeShares(n)
+	for name, b := range l.teams {
+		l.refill(now, b)
+		s := State{Scarce: b.level < lowFraction*b.quota.Burst}
+		if d := n.used[name]; d != nil && now.Sub(b.startedAt) >= warmupTime {
+			s.Share = min(l.computeShare(now, b, d), max(0, 1-b.assigned))
+			n.shares[name] = s.Share
+			b.assigned += s.Share
 		}
 		if s != (State{}) {
 			out[name] = s
@@ -247,20 +247,20 @@
 }
 
 // revokeShares removes the shares that were assigned to a node.
-func (l *Ledger) revokeShares(m *nodeUsage) {
-	for team, share := range m.shares {
-		if a := l.teams[team]; a != nil {
-			a.assigned = max(0, a.assigned-share)
+func (l *Ledger) revokeShares(n *nodeUsage) {
+	for team, share := range n.shares {
+		if b := l.teams[team]; b != nil {
+			b.assigned = max(0, b.assigned-share)
 		}
 	}
-	clear(m.shares)
+	clear(n.shares)
 }
 
 // computeShare returns a node's share of a quota, given its recent spending d: an even
 // fraction plus one proportional to its spending.
-func (l *Ledger) computeShare(now time.Time, a *bucket, d *decayingSum) float64 {
+func (l *Ledger) computeShare(now time.Time, b *bucket, d *decayingSum) float64 {
 	even := evenFraction / float64(len(l.nodes))
-	all := a.used.sum(now)
+	all := b.used.sum(now)
 	if all <= 0 {
 		return even
 	}
@@ -274,51 +274,51 @@
 		return
 	}
 	l.prunedAt = now
-	for name, m := range l.nodes {
-		silence := now.Sub(m.lastReport)
+	for name, n := range l.nodes {
+		silence := now.Sub(n.lastReport)
 		switch {
 		case silence > silentAfter+l.Tolerance.Window:
-			if !m.silentSince.IsZero() {
-				l.adjustWithheld(now, m, -1)
+			if !n.silentSince.IsZero() {
+				l.adjustWithheld(now, n, -1)
 			}
-			l.revokeShares(m)
+			l.revokeShares(n)
 			delete(l.nodes, name)
-		case silence > silentAfter && m.silentSince.IsZero():
-			m.silentSince = m.lastReport
-			l.adjustWithheld(now, m, 1)
-			l.creditShares(now, m, -1)
+		case silence > silentAfter && n.silentSince.IsZero():
+			n.silentSince = n.lastReport
+			l.adjustWithheld(now, n, 1)
+			l.creditShares(now, n, -1)
 		}
 	}
 }
 
 // adjustWithheld adds a node's shares to the withheld fractions of the rates, or subtracts
 // them if sign is -1.
-func (l *Ledger) adjustWithheld(now time.Time, m *nodeUsage, sign float64) {
-	for team, share := range m.shares {
-		if a := l.teams[team]; a != nil {
-			l.refill(now, a)
-			a.withheld = min(1, max(0, a.withheld+sign*share))
+func (l *Ledger) adjustWithheld(now time.Time, n *nodeUsage, sign float64) {
+	for team, share := range n.shares {
+		if b := l.teams[team]; b != nil {
+			l.refill(now, b)
+			b.withheld = min(1, max(0, b.withheld+sign*share))
 		}
 	}
 }
 
 // resumeNode releases the withheld shares of a silent node, including what accrued
 // meanwhile. The node reports what it has spent of that.
-func (l *Ledger) resumeNode(now time.Time, m *nodeUsage) {
-	if m.silentSince.IsZero() {
+func (l *Ledger) resumeNode(now time.Time, n *nodeUsage) {
+	if n.silentSince.IsZero() {
 		return
 	}
-	l.adjustWithheld(now, m, -1)
-	l.creditShares(now, m, 1)
-	m.silentSince = time.Time{}
+	l.adjustWithheld(now, n, -1)
+	l.creditShares(now, n, 1)
+	n.silentSince = time.Time{}
 }
 
 // creditShares adds to the buckets what a silent node's shares have accrued since its last
 // report, or subtracts it if sign is -1.
-func (l *Ledger) creditShares(now time.Time, m *nodeUsage, sign float64) {
-	for team, share := range m.shares {
-		if a := l.teams[team]; a != nil {
-			a.level = min(a.level+sign*share*a.quota.Rate*now.Sub(m.silentSince).Seconds(), a.quota.Burst)
+func (l *Ledger) creditShares(now time.Time, n *nodeUsage, sign float64) {
+	for team, share := range n.shares {
+		if b := l.teams[team]; b != nil {
+			b.level = min(b.level+sign*share*b.quota.Rate*now.Sub(n.silentSince).Seconds(), b.quota.Burst)
 		}
 	}
 }
@@ -326,9 +326,9 @@
 // Balances returns the bucket state of all teams that have a quota.
 func (l *Ledger) Balances(now time.Time) []Balance {
 	out := make([]Balance, 0, len(l.teams))
-	for name, a := range l.teams {
-		l.refill(now, a)
-		out = append(out, Balance{Team: name, Quota: a.quota, Left: a.level, Used: a.used.sum(now) / usageDecay.Seconds()})
+	for name, b := range l.teams {
+		l.refill(now, b)
+		out = append(out, Balance{Team: name, Quota: b.quota, Left: b.level, Used: b.used.sum(now) / usageDecay.Seconds()})
 	}
 	return out
 }
@@ -337,18 +337,18 @@
 // start, once nodes have reported shares of an earlier granter, it accrues only the sum
 // of those shares plus the even fraction, because nodes that haven't reported to this
 // granter yet may still spend their shares.
-func (l *Ledger) refill(now time.Time, a *bucket) {
-	dt := now.Sub(a.at)
+func (l *Ledger) refill(now time.Time, b *bucket) {
+	dt := now.Sub(b.at)
 	if dt <= 0 {
 		return
 	}
 	fraction := 1.0
-	if a.inherited > 0 && now.Sub(a.startedAt) < l.Tolerance.Window {
-		fraction = min(1, a.inherited+evenFraction)
+	if b.inherited > 0 && now.Sub(b.startedAt) < l.Tolerance.Window {
+		fraction = min(1, b.inherited+evenFraction)
 	}
-	fraction = max(0, fraction-a.withheld)
-	a.level = min(a.quota.Burst, a.level+a.quota.Rate*fraction*dt.Seconds())
-	a.at = now
+	fraction = max(0, fraction-b.withheld)
+	b.level = min(b.quota.Burst, b.level+b.quota.Rate*fraction*dt.Seconds())
+	b.at = now
 }
 
 // add adds the value v.
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -27,10 +27,10 @@
 	return &quota.Account{Tolerance: tolerance, Rand: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// spend charges a request of team desk at a node that has a leader.
-func spend(t *testing.T, p *quota.Account, cost float64) {
+// spend charges a request of team desk at a node that reaches a granter.
+func spend(t *testing.T, a *quota.Account, cost float64) {
 	t.Helper()
-	ok, _ := p.Spend(start, desk, cost, true)
+	ok, _ := a.Spend(start, desk, cost, true)
 	require.True(t, ok)
 }
 
@@ -64,8 +64,8 @@
 		ok, _ := l.Charge(start, "free", 1e6)
 		require.True(t, ok)
 	}
-	p := newAccount(1)
-	ok, _ := p.Spend(start, fleet.Team{Name: "free"}, 1e6, false)
+	a := newAccount(1)
+	ok, _ := a.Spend(start, fleet.Team{Name: "free"}, 1e6, false)
 	require.True(t, ok)
 }
 
@@ -86,27 +86,27 @@
 func TestUnacknowledgedAndDuplicateReportsCountOnce(t *testing.T) {
 	l := newLedger()
 	left := func(l *quota.Ledger) float64 { return l.Balances(start)[0].Left }
-	p := newAccount(1)
-	spend(t, p, 200)
-	lost := p.Report()
+	a := newAccount(1)
+	spend(t, a, 200)
+	lost := a.Report()
 	l.Report(start, "n1", "a", lost) // the reply is lost
 	require.Equal(t, 800.0, left(l))
-	spend(t, p, 100)
-	second := p.Report()
+	spend(t, a, 100)
+	second := a.Report()
 	l.Report(start, "n1", "a", second)
-	p.Acknowledge(second.Number)
+	a.Acknowledge(second.Number)
 	require.Equal(t, 700.0, left(l))
 	l.Report(start, "n1", "a", lost)
 	require.Equal(t, 700.0, left(l), "a delayed report must not be counted again")
 
 	other := newLedger()
-	spend(t, p, 50)
-	other.Report(start, "n1", "a", p.Report())
+	spend(t, a, 50)
+	other.Report(start, "n1", "a", a.Report())
 	require.Equal(t, 950.0, left(other), "another granter must charge what none has acknowledged")
 
-	p = newAccount(2)
-	spend(t, p, 40)
-	l.Report(start, "n1", "b", p.Report())
+	a = newAccount(2)
+	spend(t, a, 40)
+	l.Report(start, "n1", "b", a.Report())
 	require.Equal(t, 660.0, left(l), "the sums of the node's next process start at zero")
 }
 
@@ -154,14 +154,14 @@
 // TestShareSurvivesGranterChange lets another granter take over, which has not assigned
 // shares yet, and then lets no granter reply.
 func TestShareSurvivesGranterChange(t *testing.T) {
-	p := newAccount(1)
-	p.Update(start, map[string]quota.State{"desk": {Share: 1}}, 1)
-	p.Update(start, map[string]quota.State{"desk": {Scarce: true}}, 1)
-	p.Update(start, nil, 1)
-	spend(t, p, 200)
-	require.Equal(t, 1.0, p.Report().Uses[0].Share)
-	p.Update(start.Add(time.Minute), nil, 1)
-	require.Zero(t, p.Report().Uses[0].Share, "the share must expire")
+	a := newAccount(1)
+	a.Update(start, map[string]quota.State{"desk": {Share: 1}}, 1)
+	a.Update(start, map[string]quota.State{"desk": {Scarce: true}}, 1)
+	a.Update(start, nil, 1)
+	spend(t, a, 200)
+	require.Equal(t, 1.0, a.Report().Uses[0].Share)
+	a.Update(start.Add(time.Minute), nil, 1)
+	require.Zero(t, a.Report().Uses[0].Share, "the share must expire")
 }
 
 // TestUsageStaysWithinTolerance simulates a team whose demand is four times its quota, at
@@ -199,13 +199,13 @@
 					}
 				}
 			}
-			for i, p := range accounts {
+			for i, a := range accounts {
 				if now.Before(disconnectedUntil[i]) || rnd.IntN(16) != 0 {
 					continue
 				}
-				r := p.Report()
-				p.Update(now, l.Report(now, string(rune('A'+i)), "x", r), nodes)
-				p.Acknowledge(r.Number)
+				r := a.Report()
+				a.Update(now, l.Report(now, string(rune('A'+i)), "x", r), nodes)
+				a.Acknowledge(r.Number)
 			}
 			for spent := 0.0; spent < demand; {
 				i, cost, plain := rnd.IntN(nodes), 200+2800*rnd.Float64(), rnd.IntN(3) == 0
@@ -214,12 +214,12 @@
 				}
 				spent += cost
 				var ok bool
-				switch p := accounts[i]; {
+				switch a := accounts[i]; {
 				case now.Before(disconnectedUntil[i]), plain:
-					ok, _ = p.Spend(now, team, cost, !now.Before(disconnectedUntil[i]))
+					ok, _ = a.Spend(now, team, cost, !now.Before(disconnectedUntil[i]))
 				default:
 					if ok, _ = l.Charge(now, "desk", cost); ok {
-						p.RecordCharge("desk", cost)
+						a.RecordCharge("desk", cost)
 					}
 				}
 				if ok {
