--- a/core/claim/evaluate_test.go
+++ b/core/claim/evaluate_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestAsk(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	own := claim.Claim{Team: "corella", BodyHash: "h", Attempt: "mine"}
 	other := claim.Claim{
@@ -56,7 +56,7 @@
 		"past deadline and margin unknown": {expired, nil, outcome.Unknown, outcome.PeerLost},
 		"dead node unknown at once":        {other, dead, outcome.Unknown, outcome.PeerLost},
 		"other body refused":               {body, nil, outcome.RefusedNotRun, outcome.KeyReused},
-		"lost answer tells its reason":     {lost, nil, outcome.Unknown, outcome.BackendLost},
+		"lost answer keeps its reason":     {lost, nil, outcome.Unknown, outcome.BackendLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v, err := claim.Evaluate(stored(c.current), own, now, c.dead)
--- a/core/claim/invariant_test.go
+++ b/core/claim/invariant_test.go
@@ -102,17 +102,17 @@
 // or the change remains in transit.
 func (w *simulation) write(rt *rapid.T, t *attempt, result string) {
 	switch result {
-	case "flies":
+	case "in transit":
 		w.inFlight = append(w.inFlight, delayedWrite{t, t.change})
-	case "answer lost":
+	case "reply lost":
 		w.apply(t.change)
 	default:
-		res, standing := w.apply(t.change)
+		res, current := w.apply(t.change)
 		if res.Committed {
 			w.committed(t, res.Revision)
 			return
 		}
-		w.resolve(rt, t, standing)
+		w.resolve(rt, t, current)
 	}
 }
 
@@ -198,16 +198,16 @@
 
 // drawAttempt draws a live attempt for which f returns true.
 func (w *simulation) drawAttempt(rt *rapid.T, f func(*attempt) bool) *attempt {
-	var some []*attempt
+	var live []*attempt
 	for _, t := range w.attempts {
 		if !t.died && f(t) {
-			some = append(some, t)
+			live = append(live, t)
 		}
 	}
-	if len(some) == 0 {
+	if len(live) == 0 {
 		rt.Skip("no such attempt")
 	}
-	return rapid.SampledFrom(some).Draw(rt, "try")
+	return rapid.SampledFrom(live).Draw(rt, "attempt")
 }
 
 // hasPendingWrite reports whether t has a change to commit.
@@ -235,14 +235,14 @@
 				rapid.SampledFrom([]string{"b1", "b1", "b1", "b2"}).Draw(rt, "body"))
 		},
 		"write": func(rt *rapid.T) {
-			callOutcome := rapid.SampledFrom([]string{"answered", "answered", "answered", "answer lost", "flies"}).Draw(rt, "fate")
+			callOutcome := rapid.SampledFrom([]string{"answered", "answered", "answered", "reply lost", "in transit"}).Draw(rt, "outcome")
 			w.write(rt, w.drawAttempt(rt, hasPendingWrite), callOutcome)
 		},
 		"arrive": func(rt *rapid.T) {
 			if len(w.inFlight) == 0 {
 				rt.Skip("nothing in transit")
 			}
-			i := rapid.IntRange(0, len(w.inFlight)-1).Draw(rt, "copy")
+			i := rapid.IntRange(0, len(w.inFlight)-1).Draw(rt, "write")
 			w.apply(w.inFlight[i].c)
 			w.inFlight = slices.Delete(w.inFlight, i, i+1)
 		},
