--- a/core/lease/doc.go
+++ b/core/lease/doc.go
@@ -47,6 +47,5 @@
 //	if epoch, ok := registry.MaySend(now, server); ok { ... }
 //
 // All times are monotonic and relative to an arbitrary fixed moment in the
-// process.
-// A Registry is not safe for concurrent use.
+// process. A Registry is not safe for concurrent use.
 package lease
--- a/core/lease/registry.go
+++ b/core/lease/registry.go
@@ -107,8 +107,8 @@
 		if !wall.IsZero() && !b.lastWall.IsZero() {
 			// Round strips the monotonic clock reading, so that Sub compares
 			// wall clock readings.
-			real := wall.Round(0).Sub(b.lastWall.Round(0))
-			paused = paused || real-step > b.settings.MaxPause
+			wallStep := wall.Round(0).Sub(b.lastWall.Round(0))
+			paused = paused || wallStep-step > b.settings.MaxPause
 		}
 	}
 	b.ticked, b.lastTick, b.lastWall = true, now, wall
--- a/core/lease/registry_test.go
+++ b/core/lease/registry_test.go
@@ -214,9 +214,9 @@
 	}
 }
 
-// TestTakeRequiresUnchangedSession checks that a node can't acquire a server if
+// TestAcquireRequiresUnchangedSession checks that a node can't acquire a server if
 // the owner's session was renewed after the node last read its row.
-func TestTakeRequiresUnchangedSession(t *testing.T) {
+func TestAcquireRequiresUnchangedSession(t *testing.T) {
 	b, tab := heldServer(t)
 	c := newRegistry("n2")
 	tab.transact(0, c, c.Renew(0))
