--- a/core/ledger/invariant_test.go
+++ b/core/ledger/invariant_test.go
@@ -100,7 +100,7 @@
 	case 0:
 		return fault{callLost: true}
 	case 1, 2:
-		return fault{answerLost: true}
+		return fault{replyLost: true}
 	case 3:
 		return fault{transitDelay: callTimeout + 1 + upTo(r, 20*time.Second)}
 	}
@@ -112,7 +112,7 @@
 // lease was checked. On a server that doesn't, orders take effect within their
 // lifetime or never.
 func (w *simulation) orderFault(r *rand.Rand, n *node) fault {
-	f := fault{callLost: r.IntN(8) == 0, answerLost: r.IntN(3) == 0}
+	f := fault{callLost: r.IntN(8) == 0, replyLost: r.IntN(3) == 0}
 	if r.IntN(3) == 0 {
 		f.transitDelay = upTo(r, 14*time.Second)
 	}
@@ -204,7 +204,7 @@
 		require.Equal(t, ledger.Uncertain, a.ledger.Entry(items[0]).State)
 		require.Equal(t, int64(capacity-55), a.ledger.Free(), "the call timed out, but the memory stays reserved")
 		if checks { // a new epoch invalidates the order immediately
-			a.take(fault{answerLost: true})
+			a.take(fault{replyLost: true})
 			a.poll()
 			require.Equal(t, int64(capacity), a.ledger.Free())
 		}
@@ -344,8 +344,8 @@
 		want ledger.Reason
 	}{
 		{"fits", resident(old), backend.Load, model, false, ""},
-		{"too much", resident(old, adapter), backend.Load, model, false, ledger.NoMemory},
-		{"there already", resident(model), backend.Load, model, false, ledger.Present},
+		{"not enough memory", resident(old, adapter), backend.Load, model, false, ledger.NoMemory},
+		{"already present", resident(model), backend.Load, model, false, ledger.Present},
 		{"adapter without model", resident(), backend.Load, adapter, false, ledger.NoBase},
 		{"adapter with model", resident(old), backend.Load, adapter, false, ""},
 		{"model with adapter", resident(old, adapter), backend.Unload, old, false, ledger.BaseInUse},
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -51,31 +51,32 @@
 // been read after the server was acquired and, on a server that checks fencing
 // numbers, after the fence was raised to the epoch. Inherited are the records in
 // the server's row at its acquisition; they are used only on a server that
-// doesn't check. Taken is a time after the acquisition.
-func (l *Ledger) Adopt(taken time.Duration, epoch uint64, inv backend.Inventory, inherited []Record) {
+// doesn't check. AcquiredAt is a time after the acquisition, from which their
+// lifetime counts.
+func (l *Ledger) Adopt(acquiredAt time.Duration, epoch uint64, inv backend.Inventory, inherited []Record) {
 	if epoch <= l.epoch {
 		panic(fmt.Sprintf("ledger: adopted epoch %d is not higher than %d", epoch, l.epoch))
 	}
-	l.epoch, l.seq, l.bootID, l.requestedAt = epoch, 0, inv.BootID, taken
+	l.epoch, l.seq, l.bootID, l.requestedAt = epoch, 0, inv.BootID, acquiredAt
 	clear(l.entries)
 	if !l.settings.Checks {
 		for _, r := range inherited {
-			l.inherit(taken, r)
+			l.inherit(acquiredAt, r)
 		}
 	}
-	l.apply(taken, taken, inv)
+	l.apply(acquiredAt, acquiredAt, inv)
 }
 
 // inherit adds an unsettled order of an earlier owner.
-func (l *Ledger) inherit(taken time.Duration, r Record) {
+func (l *Ledger) inherit(acquiredAt time.Duration, r Record) {
 	sends := 1
 	if r.Resent {
 		sends = 2
 	}
 	l.entries[r.Order.Item] = &Entry{
 		Item: r.Order.Item, State: Uncertain, Cost: Cost{Bytes: r.Order.Bytes, Peak: r.Peak},
-		Order: r.Order, Since: taken, Sends: sends, inherited: true,
-		lastCallEnd: taken, expires: taken + l.settings.Lifetime,
+		Order: r.Order, Since: acquiredAt, Sends: sends, inherited: true,
+		lastCallEnd: acquiredAt, expires: acquiredAt + l.settings.Lifetime,
 	}
 }
 
--- a/core/ledger/simulation_test.go
+++ b/core/ledger/simulation_test.go
@@ -28,8 +28,8 @@
 	{Name: "a", Version: "1"}, {Name: "b", Version: "1"}, {Name: "c", Version: "1"}, {Name: "b", Version: "2"},
 }
 
-// cost is chosen so that any two items fit, but neither three items nor two that
-// load at the same time.
+// cost lets any two items fit, but neither three items nor two that load at the
+// same time.
 func cost(backend.Item) ledger.Cost { return ledger.Cost{Bytes: 40, Peak: 15} }
 
 // TestMain sets a fixed seed for the property tests unless one is given.
@@ -95,7 +95,7 @@
 	// fault is the set of faults that affect one call. The zero value is none.
 	fault struct {
 		sendDelay, transitDelay time.Duration // from the lease check to the send, and from there to the effect
-		callLost, answerLost    bool          // whether the call or its reply is lost
+		callLost, replyLost     bool          // whether the call or its reply is lost
 		duplicateAfter          time.Duration // delay of a duplicate of the call; zero means none
 	}
 )
@@ -281,7 +281,7 @@
 	}
 	r := t.commit(tx)
 	switch {
-	case f.answerLost:
+	case f.replyLost:
 		n.registry.Observe(n.w.now, t.read(n.registry.WriteKeys(tx)...)...)
 	case r.Committed:
 		n.registry.Committed(n.w.now, tx, r.Revision)
@@ -310,7 +310,7 @@
 	}
 	n.registry.Observe(n.w.now, n.w.table.read(n.registry.KeysToWatch(server)...)...)
 	_, held := n.registry.Held(server)
-	if tx, ok := n.registry.Acquire(n.w.now, server, 0); ok && (!held || f.answerLost) { // sometimes moves to the next epoch
+	if tx, ok := n.registry.Acquire(n.w.now, server, 0); ok && (!held || f.replyLost) { // sometimes moves to the next epoch
 		n.transact(tx, f)
 	}
 }
@@ -416,7 +416,7 @@
 			if boot != n.w.engine.boot {
 				return
 			}
-			if a := n.w.order(o); !f.answerLost {
+			if a := n.w.order(o); !f.replyLost {
 				answer(a)()
 			}
 		}
