--- a/core/suspect/invariant_test.go
+++ b/core/suspect/invariant_test.go
@@ -30,7 +30,7 @@
 	servers          = 4
 	harmlessRequests = 10
 	rounds           = 3 // number of times that a harmless request is to be served
-	crashing         = suspect.Fingerprint("guilty")
+	crashing         = suspect.Fingerprint("crashing")
 )
 
 type (
@@ -98,7 +98,7 @@
 		w.requests = append(w.requests, &request{fp: crashing, avoid: -1})
 	}
 	for i := range harmlessRequests {
-		w.requests = append(w.requests, &request{fp: suspect.Fingerprint(fmt.Sprint("innocent", i)), avoid: -1})
+		w.requests = append(w.requests, &request{fp: suspect.Fingerprint(fmt.Sprint("harmless", i)), avoid: -1})
 	}
 	return w
 }
@@ -356,15 +356,15 @@
 // steps returns the possible actions, optionally with node failures and with
 // outages of the table.
 func (w *simulation) steps(failures, outages bool) map[string]func(*rapid.T) {
-	some := func(rt *rapid.T) { w.advance(rt, rapid.SampledFrom(w.requests).Draw(rt, "request")) }
+	advanceAny := func(rt *rapid.T) { w.advance(rt, rapid.SampledFrom(w.requests).Draw(rt, "request")) }
 	deliver := func(rt *rapid.T) {
 		for range min(len(w.messages), rapid.IntRange(1, 12).Draw(rt, "messages")) {
 			w.deliver(rapid.IntRange(0, len(w.messages)-1).Draw(rt, "message"))
 		}
 	}
 	all := map[string]func(*rapid.T){
-		"request": some, "request again": some, "deliver": deliver, "deliver again": deliver,
-		"guilty": func(rt *rapid.T) { w.advance(rt, rapid.SampledFrom(w.requests[:w.copies]).Draw(rt, "copy")) },
+		"request": advanceAny, "request again": advanceAny, "deliver": deliver, "deliver again": deliver,
+		"next step of crashing request": func(rt *rapid.T) { w.advance(rt, rapid.SampledFrom(w.requests[:w.copies]).Draw(rt, "copy")) },
 		"write": func(rt *rapid.T) {
 			if len(w.writes) > 0 {
 				w.write(rapid.IntRange(0, len(w.writes)-1).Draw(rt, "record"))
@@ -373,7 +373,7 @@
 		"": w.check,
 	}
 	if failures {
-		all["die"] = func(rt *rapid.T) {
+		all["fail node"] = func(rt *rapid.T) {
 			if rapid.IntRange(0, 9).Draw(rt, "rarely") == 0 {
 				w.failNode(rapid.IntRange(0, nodes-1).Draw(rt, "peer"))
 			}
--- a/core/suspect/set_test.go
+++ b/core/suspect/set_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func BenchmarkOf(b *testing.B) {
+func BenchmarkFingerprintOf(b *testing.B) {
 	body := make([]byte, 4096)
 	for b.Loop() {
 		suspect.FingerprintOf("corella", "plan-draft", body)
