--- a/core/ledger/invariant_test.go
+++ b/core/ledger/invariant_test.go
@@ -70,7 +70,7 @@
 	}
 	switch {
 	case choice < 20:
-		n.take(tableFault(r))
+		n.acquire(tableFault(r))
 	case choice < 40:
 		n.poll()
 	case choice < 90:
@@ -134,7 +134,7 @@
 	w := newSimulation(checks)
 	a, b := w.nodes[0], w.nodes[1]
 	a.renew(fault{})
-	a.take(fault{})
+	a.acquire(fault{})
 	a.poll()
 	require.Equal(t, uint64(1), a.ledger.Epoch())
 	return w, a, b
@@ -144,11 +144,11 @@
 // and then acquire the server.
 func (w *simulation) takeOver(t *testing.T, b *node) {
 	b.renew(fault{})
-	b.take(fault{}) // observes the owner of the server
-	b.take(fault{}) // observes the owner's session
+	b.acquire(fault{}) // observes the owner of the server
+	b.acquire(fault{}) // observes the owner's session
 	w.advance(8 * time.Second)
 	b.renew(fault{})
-	b.take(fault{})
+	b.acquire(fault{})
 	b.poll()
 	require.Equal(t, uint64(2), b.ledger.Epoch())
 }
@@ -204,7 +204,7 @@
 		require.Equal(t, ledger.Uncertain, a.ledger.Entry(items[0]).State)
 		require.Equal(t, int64(capacity-55), a.ledger.Free(), "the call timed out, but the memory stays reserved")
 		if checks { // a new epoch invalidates the order immediately
-			a.take(fault{replyLost: true})
+			a.acquire(fault{replyLost: true})
 			a.poll()
 			require.Equal(t, int64(capacity), a.ledger.Free())
 		}
--- a/core/ledger/simulation_test.go
+++ b/core/ledger/simulation_test.go
@@ -223,13 +223,13 @@
 	if !e.raiseFence(o.Fence) {
 		return ledger.NotDone
 	}
-	w.tracef("engine does %s %s %s, has %d", o.OrderID, o.Op, o.Item, len(e.items))
+	w.tracef("engine executes %s %s %s, holds %d items", o.OrderID, o.Op, o.Item, len(e.items))
 	e.done[o.OrderID] = true
-	_, there := e.items[o.Item]
+	_, present := e.items[o.Item]
 	switch {
 	case o.Op == backend.Unload:
 		delete(e.items, o.Item)
-	case !there:
+	case !present:
 		h := &loadedItem{state: backend.Loading}
 		e.items[o.Item] = h
 		e.loads++
@@ -304,7 +304,7 @@
 
 func (n *node) renew(f fault) { n.transact(n.registry.Renew(n.w.now), f) }
 
-func (n *node) take(f fault) {
+func (n *node) acquire(f fault) {
 	if n.w.table.down {
 		return
 	}
