--- a/core/config/capacity.go
+++ b/core/config/capacity.go
@@ -96,7 +96,7 @@
 	for _, u := range order {
 		covered := func(s unit) bool { return s.bytes >= u.bytes && s.peak >= u.peak }
 		if !slices.ContainsFunc(spares, covered) {
-			spares = append(spares, unit{label: "room for a version change of " + u.label, bytes: u.bytes, peak: u.peak})
+			spares = append(spares, unit{label: "space for a version change of " + u.label, bytes: u.bytes, peak: u.peak})
 		}
 	}
 	return spares
@@ -205,7 +205,7 @@
 // pack places the units on copies of the empty bins in decreasing order of size,
 // each on the preferred bin among those that it fits on. If a unit fits on none,
 // pack returns that unit and the largest free space on one bin.
-func pack(units []unit, empty []bin, prefers preference) (remaining unit, free int64, ok bool) {
+func pack(units []unit, empty []bin, prefers preference) (unplaced unit, free int64, ok bool) {
 	bins := slices.Clone(empty)
 	for i := range bins {
 		bins[i].models = make(map[string]bool)
@@ -229,13 +229,13 @@
 
 // maxRemaining returns the largest free space on a bin that doesn't hold u's model.
 func maxRemaining(bins []bin, u unit) int64 {
-	var most int64
+	var largest int64
 	for _, b := range bins {
 		if u.model == "" || !b.models[u.model] {
-			most = max(most, b.remaining())
+			largest = max(largest, b.remaining())
 		}
 	}
-	return most
+	return largest
 }
 
 func (b bin) remaining() int64 { return b.capacity - b.used }
--- a/core/config/capacity_test.go
+++ b/core/config/capacity_test.go
@@ -122,7 +122,7 @@
 func TestInvariantLeastCopiesFit(t *testing.T) {
 	rejected, missed := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		capacities := rapid.SliceOfN(rapid.Int64Range(1, 40), 1, 4).Draw(t, "rooms")
+		capacities := rapid.SliceOfN(rapid.Int64Range(1, 40), 1, 4).Draw(t, "capacities")
 		var models []config.Model
 		for i := range rapid.IntRange(1, 5).Draw(t, "models") {
 			models = append(models, model(fmt.Sprintf("m%d", i),
--- a/core/config/head/head.go
+++ b/core/config/head/head.go
@@ -18,7 +18,7 @@
 )
 
 // errIncompleteRef means that a head lacks its version or hash.
-var errIncompleteRef = errors.New("it names no version or no hash")
+var errIncompleteRef = errors.New("the version or the hash is missing")
 
 type (
 	// Ref identifies an accepted document.
@@ -50,7 +50,9 @@
 )
 
 // Error returns the key of the malformed row and the cause.
-func (e *MalformedError) Error() string { return fmt.Sprintf("row %s holds no head: %v", e.Key, e.Err) }
+func (e *MalformedError) Error() string {
+	return fmt.Sprintf("row %s holds no valid head: %v", e.Key, e.Err)
+}
 
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Err }
--- a/core/config/head/head_test.go
+++ b/core/config/head/head_test.go
@@ -30,19 +30,19 @@
 // competition.
 func nodeActions(s *simulation) map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"operator applies":       s.operatorApplies,
-		"outage":                 s.outage,
-		"node catches up":        s.nodeCatchesUp,
-		"node reads":             s.nodeReads,
-		"node asks a peer":       s.nodeQueriesPeer,
-		"node sends a hint":      s.nodeSendsHint,
-		"message arrives":        s.messageArrives,
-		"node fetches":           s.nodeFetches,
-		"body arrives":           s.bodyArrives,
-		"node restarts":          s.nodeRestarts,
-		"node pauses":            s.nodePauses,
-		"node wakes up":          s.nodeResumes,
-		"node trusts its target": s.nodeAssumesConfirmed,
+		"operator applies":                    s.operatorApplies,
+		"outage":                              s.outage,
+		"node catches up":                     s.nodeCatchesUp,
+		"node reads":                          s.nodeReads,
+		"node asks a peer":                    s.nodeQueriesPeer,
+		"node sends a hint":                   s.nodeSendsHint,
+		"message arrives":                     s.messageArrives,
+		"node fetches":                        s.nodeFetches,
+		"body arrives":                        s.bodyArrives,
+		"node restarts":                       s.nodeRestarts,
+		"node pauses":                         s.nodePauses,
+		"node wakes up":                       s.nodeResumes,
+		"node treats its target as confirmed": s.nodeAssumesConfirmed,
 	}
 }
 
--- a/core/config/head/simulation_test.go
+++ b/core/config/head/simulation_test.go
@@ -125,7 +125,7 @@
 		}
 		o.proposal = &p
 	}
-	callOutcome := rapid.SampledFrom([]string{"answered", "answer lost", "call lost", "late"}).Draw(t, "fate")
+	callOutcome := rapid.SampledFrom([]string{"answered", "answer lost", "call lost", "late"}).Draw(t, "outcome")
 	switch {
 	case callOutcome == "late":
 		s.inFlight = append(s.inFlight, *o.proposal)
