--- a/core/fleet/team.go
+++ b/core/fleet/team.go
@@ -69,10 +69,10 @@
 
 // WithTeams returns a configuration in which only the given teams may call routes
 // that aren't public.
-func (c *Config) WithTeams(members []TeamKeys) *Config {
+func (c *Config) WithTeams(teams []TeamKeys) *Config {
 	d := *c
 	a := access{required: true, digests: map[apikey.Digest]bool{}}
-	for _, m := range members {
+	for _, m := range teams {
 		t := m.Team
 		a.teams = append(a.teams, t)
 		for _, k := range m.Keys {
