--- a/core/ledger/invariant_test.go
+++ b/core/ledger/invariant_test.go
@@ -70,7 +70,7 @@
 	}
 	switch {
 	case choice < 20:
-		n.take(tableFault(r))
+		n.acquire(tableFault(r))
 	case choice < 40:
 		n.poll()
 	case choice < 90:
@@ -100,7 +100,7 @@
 	case 0:
 		return fault{callLost: true}
 	case 1, 2:
-		return fault{answerLost: true}
+		return fault{replyLost: true}
 	case 3:
 		return fault{transitDelay: callTimeout + 1 + upTo(r, 20*time.Second)}
 	}
@@ -112,7 +112,7 @@
 // lease was checked. On a server that doesn't, orders take effect within their
 // lifetime or never.
 func (w *simulation) orderFault(r *rand.Rand, n *node) fault {
-	f := fault{callLost: r.IntN(8) == 0, answerLost: r.IntN(3) == 0}
+	f := fault{callLost: r.IntN(8) == 0, replyLost: r.IntN(3) == 0}
 	if r.IntN(3) == 0 {
 		f.transitDelay = upTo(r, 14*time.Second)
 	}
@@ -134,7 +134,7 @@
 	w := newSimulation(checks)
 	a, b := w.nodes[0], w.nodes[1]
 	a.renew(fault{})
-	a.take(fault{})
+	a.acquire(fault{})
 	a.poll()
 	require.Equal(t, uint64(1), a.ledger.Epoch())
 	return w, a, b
@@ -144,11 +144,11 @@
 // and then acquire the server.
 func (w *simulation) takeOver(t *testing.T, b *node) {
 	b.renew(fault{})
-	b.take(fault{}) // observes the owner of the server
-	b.take(fault{}) // observes the owner's session
+	b.acquire(fault{}) // observes the owner of the server
+	b.acquire(fault{}) // observes the owner's session
 	w.advance(8 * time.Second)
 	b.renew(fault{})
-	b.take(fault{})
+	b.acquire(fault{})
 	b.poll()
 	require.Equal(t, uint64(2), b.ledger.Epoch())
 }
@@ -204,7 +204,7 @@
 		require.Equal(t, ledger.Uncertain, a.ledger.Entry(items[0]).State)
 		require.Equal(t, int64(capacity-55), a.ledger.Free(), "the call timed out, but the memory stays reserved")
 		if checks { // a new epoch invalidates the order immediately
-			a.take(fault{answerLost: true})
+			a.acquire(fault{replyLost: true})
 			a.poll()
 			require.Equal(t, int64(capacity), a.ledger.Free())
 		}
@@ -344,8 +344,8 @@
 		want ledger.Reason
 	}{
 		{"fits", resident(old), backend.Load, model, false, ""},
-		{"too much", resident(old, adapter), backend.Load, model, false, ledger.NoMemory},
-		{"there already", resident(model), backend.Load, model, false, ledger.Present},
+		{"not enough memory", resident(old, adapter), backend.Load, model, false, ledger.NoMemory},
+		{"already present", resident(model), backend.Load, model, false, ledger.Present},
 		{"adapter without model", resident(), backend.Load, adapter, false, ledger.NoBase},
 		{"adapter with model", resident(old), backend.Load, adapter, false, ""},
 		{"model with adapter", resident(old, adapter), backend.Unload, old, false, ledger.BaseInUse},
