--- a/core/config/capacity.go
+++ b/core/config/capacity.go
@@ -96,7 +96,7 @@
 	for _, u := range order {
 		covered := func(s unit) bool { return s.bytes >= u.bytes && s.peak >= u.peak }
 		if !slices.ContainsFunc(spares, covered) {
-			spares = append(spares, unit{label: "space for a version change of " + u.label, bytes: u.bytes, peak: u.peak})
+			spares = append(spares, unit{label: "room for a version change of " + u.label, bytes: u.bytes, peak: u.peak})
 		}
 	}
 	return spares
--- a/core/config/head/head.go
+++ b/core/config/head/head.go
@@ -18,7 +18,7 @@
 )
 
 // errIncompleteRef means that a head lacks its version or hash.
-var errIncompleteRef = errors.New("the version or the hash is missing")
+var errIncompleteRef = errors.New("it names no version or no hash")
 
 type (
 	// Ref identifies an accepted document.
@@ -51,7 +51,7 @@
 
 // Error returns the key of the malformed row and the cause.
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("row %s holds no valid head: %v", e.Key, e.Err)
+	return fmt.Sprintf("row %s holds no head: %v", e.Key, e.Err)
 }
 
 // Unwrap returns the cause.
