--- a/internal/follow/confirmation_test.go
+++ b/internal/follow/confirmation_test.go
@@ -152,11 +152,11 @@
 	for i := range nodes {
 		n := &confirmNode{}
 		nodes[i] = n
-		role := follow.Alone
+		role := follow.Standalone
 		if i == 0 {
-			role = follow.Holder
+			role = follow.Leader
 		}
-		n.follower = &follow.Follower{Store: confirmView{store, i}, Log: zap.NewNop(), ProofWithin: confirmBound,
+		n.follower = &follow.Follower{Store: confirmView{store, i}, Log: zap.NewNop(), MaxConfigAge: confirmBound,
 			Clock:     func() time.Duration { return time.Since(began) + time.Second },
 			Role:      func() follow.Role { return role },
 			OnServers: func([]fleet.Server) {},
@@ -216,11 +216,11 @@
 		if !delay() {
 			return
 		}
-		u := from.follower.Since(time.Now(), to.follower.Known())
+		u := from.follower.ChangesSince(time.Now(), to.follower.Versions())
 		if !delay() {
 			return
 		}
-		to.follower.Take(time.Now(), u)
-		to.follower.Proved(u.Operator, requestedAt-u.ConfigAge)
+		to.follower.ApplyUpdate(time.Now(), u)
+		to.follower.ConfirmConfig(u.Operator, requestedAt-u.ConfigAge)
 	}
 }
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -16,7 +16,7 @@
 	// Grace is how long after the store's return an entry may be missing before
 	// its server counts as gone; live servers' entries are back within about two
 	// seconds.
-	Grace = 1800 * time.Millisecond
+	MissingGrace = 1800 * time.Millisecond
 	// feedWait is how long a feed call waits for a change. A call without a
 	// response is detected after feedWait + responseMargin, which must be well below
 	// the two seconds within which a leaving server has to be known.
@@ -91,17 +91,17 @@
 		OnServers func([]fleet.Server)
 		// Fed reports whether this node receives changes from another one, and so
 		// doesn't need to query the store; nil for never.
-		Fed func() bool
+		HasFeed func() bool
 		// Led reports whether this node has a leader that would pass changes on if it
 		// could read the store; nil for never.
-		Led func() bool
+		HasLeader func() bool
 		// Role returns the node's role, nil for Alone.
 		Role func() Role
 
 		// ProofWithin is the maximum age of the last confirmation that the configuration is
 		// the newest, zero for no limit. The leader and its deputy query the store often
 		// enough for all nodes to keep to it.
-		ProofWithin time.Duration
+		MaxConfigAge time.Duration
 
 		// Heartbeat is how often servers write their entries, zero for 1.2 s.
 		Heartbeat time.Duration
@@ -111,7 +111,7 @@
 		Clock func() time.Duration
 
 		// Ask fetches another node's copy when a table can't be read, nil for never.
-		Ask func(ctx context.Context)
+		FetchCopy func(ctx context.Context)
 
 		operator     table
 		server       table
@@ -127,9 +127,9 @@
 
 const (
 	// Alone is a standalone node, which passes nothing on.
-	Alone Role = iota
+	Standalone Role = iota
 	// Holder is the leader, which passes changes on to all nodes.
-	Holder
+	Leader
 	// Deputy passes changes on to the leader.
 	Deputy
 )
@@ -153,7 +153,7 @@
 
 // Contact returns the time since the store last responded to this node itself,
 // for the table whose last response is older.
-func (f *Follower) Contact(now time.Time) time.Duration {
+func (f *Follower) StoreAge(now time.Time) time.Duration {
 	_, operator := f.operator.ages(now)
 	_, server := f.server.ages(now)
 	return max(operator, server)
@@ -171,7 +171,7 @@
 // role returns the node's role.
 func (f *Follower) role() Role {
 	if f.Role == nil {
-		return Alone
+		return Standalone
 	}
 	return f.Role()
 }
@@ -190,7 +190,7 @@
 
 // Proved records that a version of the configuration's row was the newest at a time of
 // Clock.
-func (f *Follower) Proved(version int64, at time.Duration) {
+func (f *Follower) ConfirmConfig(version int64, at time.Duration) {
 	t := &f.operator
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,8 +205,8 @@
 	if f.role() == Deputy {
 		wait = deputyWait
 	}
-	if t == &f.operator && f.ProofWithin > 0 && f.role() != Alone {
-		wait = min(wait, f.ProofWithin/waitsPerConfigAge)
+	if t == &f.operator && f.MaxConfigAge > 0 && f.role() != Standalone {
+		wait = min(wait, f.MaxConfigAge/waitsPerConfigAge)
 	}
 	return wait
 }
@@ -214,7 +214,7 @@
 // gap returns the minimum time between a response of a feed and the next call.
 func (f *Follower) gap() time.Duration {
 	switch f.role() {
-	case Holder:
+	case Leader:
 		return gapLeader
 	case Deputy:
 		return gapDeputy
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	n := &node{}
 	n.Follower = &follow.Follower{
-		Store: &platform.Store{Client: &jsonhttp.Client{Address: s.Address()}}, Log: zap.NewNop(), Fed: fed,
+		Store: &platform.Store{Client: &jsonhttp.Client{Address: s.Address()}}, Log: zap.NewNop(), HasFeed: fed,
 		OnConfig: func(c *fleet.Config) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -146,7 +146,7 @@
 	require.True(t, n.has("i-1") && n.has("i-2"), "they may come back")
 	s.Put(platform.TableServers, "i-2", entry("ready"))
 	eventually(t, "a missing entry is dropped after Grace", func() bool { return !n.has("i-1") })
-	require.WithinDuration(t, outageEnd.Add(follow.Grace), time.Now(), 1500*time.Millisecond)
+	require.WithinDuration(t, outageEnd.Add(follow.MissingGrace), time.Now(), 1500*time.Millisecond)
 	require.True(t, n.has("i-2"))
 }
 
@@ -162,14 +162,14 @@
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":6}`))
 	eventually(t, "holder", func() bool { return leader.leaving("i-1") && leader.version() == 6 })
 	require.EqualValues(t, 5, n.version())
-	n.Take(time.Now(), leader.Since(time.Now(), n.Known()))
+	n.ApplyUpdate(time.Now(), leader.ChangesSince(time.Now(), n.Versions()))
 	require.True(t, n.has("i-2") && n.leaving("i-1"))
 	eventually(t, "configuration", func() bool { return n.version() == 6 })
 	s.Drop(platform.TableServers, "i-2")
 	eventually(t, "gone at the leader", func() bool { return !leader.has("i-2") })
-	n.Take(time.Now(), leader.Since(time.Now(), n.Known()))
+	n.ApplyUpdate(time.Now(), leader.ChangesSince(time.Now(), n.Versions()))
 	require.False(t, n.has("i-2"))
-	n.Take(time.Now(), follow.Update{Servers: []platform.Row{{Table: platform.TableServers, Key: "i-1", Version: 2, Value: entry("ready")}}, Version: 2})
+	n.ApplyUpdate(time.Now(), follow.Update{Servers: []platform.Row{{Table: platform.TableServers, Key: "i-1", Version: 2, Value: entry("ready")}}, Version: 2})
 	require.True(t, n.leaving("i-1"), "an older row never replaces a newer one")
 }
 
@@ -184,16 +184,16 @@
 		return leader.version() == 5 && leader.has("i-1") && deputy.version() == 5 && deputy.has("i-1")
 	})
 	leaderStore.Outage(true)
-	eventually(t, "the leader's own contact is old", func() bool { return leader.Contact(time.Now()) > 1500*time.Millisecond })
+	eventually(t, "the leader's own contact is old", func() bool { return leader.StoreAge(time.Now()) > 1500*time.Millisecond })
 	s.Put(platform.TableServers, "i-1", entry("draining"))
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":6}`))
 	eventually(t, "deputy", func() bool { return deputy.leaving("i-1") && deputy.version() == 6 })
-	u := deputy.Since(time.Now(), leader.Known())
-	leader.Take(time.Now(), u)
+	u := deputy.ChangesSince(time.Now(), leader.Versions())
+	leader.ApplyUpdate(time.Now(), u)
 	require.True(t, leader.leaving("i-1"))
 	require.LessOrEqual(t, leader.Age(time.Now()), u.Age+time.Second, "its copy is as young as the deputy's")
-	require.Greater(t, leader.Contact(time.Now()), 1500*time.Millisecond)
-	require.Equal(t, u.Operator, leader.Since(time.Now(), follow.Known{}).Operator, "it announces a configuration that it can't read")
+	require.Greater(t, leader.StoreAge(time.Now()), 1500*time.Millisecond)
+	require.Equal(t, u.Operator, leader.ChangesSince(time.Now(), follow.Versions{}).Operator, "it announces a configuration that it can't read")
 }
 
 func TestNodeWithFeedKeepsMissingEntriesAsLongAsLeader(t *testing.T) {
@@ -203,7 +203,7 @@
 	eventually(t, "start", func() bool { return n.has("i-1") })
 	gone := platform.Row{Table: platform.TableServers, Key: "i-1", Version: 100, Gone: true}
 	began := time.Now()
-	n.Take(began, follow.Update{Servers: []platform.Row{gone}, Version: 100, Grace: 500 * time.Millisecond})
+	n.ApplyUpdate(began, follow.Update{Servers: []platform.Row{gone}, Version: 100, Grace: 500 * time.Millisecond})
 	require.True(t, n.has("i-1"), "the store has just come back")
 	eventually(t, "gone", func() bool { return !n.has("i-1") })
 	require.GreaterOrEqual(t, time.Since(began), 500*time.Millisecond)
@@ -229,7 +229,7 @@
 	n := startNode(t, s, nil)
 	eventually(t, "start", func() bool { return n.has("i-1") })
 	outage(t, s)
-	n.Take(time.Now(), follow.Update{Age: 4 * time.Second}) // of the leader, which can't read the store either
+	n.ApplyUpdate(time.Now(), follow.Update{Age: 4 * time.Second}) // of the leader, which can't read the store either
 	s.Drop(platform.TableServers, "i-1")
 	s.Outage(false)
 	s.Put(platform.TableServers, "i-2", entry("ready"))
@@ -250,9 +250,9 @@
 	old := s.Row(platform.TableServers, "i-1")
 	s.Drop(platform.TableServers, "i-1")
 	eventually(t, "gone", func() bool { return !n.has("i-1") })
-	n.Take(time.Now(), follow.Update{Servers: []platform.Row{old}, Version: old.Version})
+	n.ApplyUpdate(time.Now(), follow.Update{Servers: []platform.Row{old}, Version: old.Version})
 	require.False(t, n.has("i-1"), "from an update")
-	n.Load(time.Now(), follow.Copy{Servers: []platform.Row{old}, Version: old.Version}, 0)
+	n.ApplyCopy(time.Now(), follow.Snapshot{Servers: []platform.Row{old}, Version: old.Version}, 0)
 	require.False(t, n.has("i-1"), "from a full copy")
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	eventually(t, "a newer entry is applied", func() bool { return n.has("i-1") })
@@ -273,7 +273,7 @@
 	s.Outage(false)
 	eventually(t, "contact", func() bool { return n.has("i-2") })
 	require.True(t, n.has("i-1"), "it may come back")
-	n.Take(time.Now(), follow.Update{Servers: []platform.Row{old}, Version: old.Version})
+	n.ApplyUpdate(time.Now(), follow.Update{Servers: []platform.Row{old}, Version: old.Version})
 	eventually(t, "it is dropped", func() bool { return !n.has("i-1") })
 }
 
@@ -311,7 +311,7 @@
 			r := s.Row(platform.TableServers, last)
 			for b.Loop() {
 				r.Version++
-				n.Take(time.Now(), follow.Update{Servers: []platform.Row{r}, After: r.Version - 1, Version: r.Version})
+				n.ApplyUpdate(time.Now(), follow.Update{Servers: []platform.Row{r}, After: r.Version - 1, Version: r.Version})
 			}
 		})
 	}
--- a/internal/follow/share.go
+++ b/internal/follow/share.go
@@ -8,13 +8,13 @@
 
 type (
 	// Known holds the versions up to which a node has the tables.
-	Known struct {
+	Versions struct {
 		Operator int64
 		Servers  int64
 	}
 
 	// Copy is a node's full copy of the tables.
-	Copy struct {
+	Snapshot struct {
 		Operator []platform.Row `json:"operator"`
 		Servers  []platform.Row `json:"servers"`
 		Version  int64          `json:"version"` // of the table of servers
@@ -38,10 +38,10 @@
 )
 
 // Known returns the versions up to which this node has the tables.
-func (f *Follower) Known() Known {
+func (f *Follower) Versions() Versions {
 	f.operator.mu.Lock()
 	defer f.operator.mu.Unlock()
-	return Known{Operator: f.operator.own(), Servers: f.server.Version()}
+	return Versions{Operator: f.operator.own(), Servers: f.server.Version()}
 }
 
 // Version returns the version up to which this node has all changes.
@@ -52,7 +52,7 @@
 }
 
 // Behind reports whether another node announced a newer configuration than this node has.
-func (f *Follower) Behind() bool { return f.operator.behind() }
+func (f *Follower) IsBehind() bool { return f.operator.behind() }
 
 // newest returns the version of the newest row that this node has or that another
 // node announced.
@@ -74,14 +74,14 @@
 // Since returns the changes that this node has and another one, with the given
 // versions, lacks. The configuration is large and seldom changes, so only its
 // version is included.
-func (f *Follower) Since(now time.Time, k Known) Update {
+func (f *Follower) ChangesSince(now time.Time, k Versions) Update {
 	age := f.ConfigAge() // read before the version: a version read earlier might be older than the one confirmed
 	u := Update{Operator: f.operator.newest(), After: k.Servers, Age: f.Age(now), ConfigAge: age}
 	t := &f.server
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u.Version = t.version
-	u.Grace = max(0, t.outageEnd.Add(Grace).Sub(now))
+	u.Grace = max(0, t.outageEnd.Add(MissingGrace).Sub(now))
 	u.Whole = k.Servers < t.removedAfter
 	for _, r := range t.rows {
 		if _, missing := t.missing[r.Key]; !missing && (u.Whole || r.Version > k.Servers) {
@@ -100,7 +100,7 @@
 // don't advance its version. A node reports the changes that the leader lacked at its last
 // reply, and the copy of a new leader may be older; if its version advanced, the leader
 // would never get the changes in between.
-func (f *Follower) Take(now time.Time, u Update) {
+func (f *Follower) ApplyUpdate(now time.Time, u Update) {
 	f.operator.recordAnnounced(now, u)
 	t := &f.server
 	t.mu.Lock()
@@ -139,15 +139,15 @@
 	if at := now.Add(-u.Age); at.After(t.lastComplete) {
 		t.lastComplete = at
 	}
-	if outageEnd := now.Add(u.Grace - Grace); u.Grace > 0 && outageEnd.After(t.outageEnd) {
+	if outageEnd := now.Add(u.Grace - MissingGrace); u.Grace > 0 && outageEnd.After(t.outageEnd) {
 		t.outageEnd = outageEnd
 	}
 }
 
 // Copy returns this node's copy of the tables, and false if either table is empty.
-func (f *Follower) Copy(now time.Time) (Copy, bool) {
+func (f *Follower) Snapshot(now time.Time) (Snapshot, bool) {
 	age := f.ConfigAge()
-	c := Copy{ConfigAge: age, Operator: f.operator.allRows(), Servers: f.server.allRows(), Version: f.server.Version(), Age: f.Age(now)}
+	c := Snapshot{ConfigAge: age, Operator: f.operator.allRows(), Servers: f.server.allRows(), Version: f.server.Version(), Age: f.Age(now)}
 	return c, len(c.Operator) > 0 && len(c.Servers) > 0
 }
 
@@ -164,14 +164,14 @@
 
 // Load applies another node's copy, which this node requested at a boot time. Newer local
 // rows stay.
-func (f *Follower) Load(now time.Time, c Copy, requestedAt time.Duration) {
+func (f *Follower) ApplyCopy(now time.Time, c Snapshot, requestedAt time.Duration) {
 	f.operator.applyRows(c.Operator, 0)
 	for _, r := range c.Operator {
 		if r.Key == platform.KeyConfig {
-			f.Proved(r.Version, requestedAt-c.ConfigAge)
+			f.ConfirmConfig(r.Version, requestedAt-c.ConfigAge)
 		}
 	}
-	f.Take(now, Update{Servers: c.Servers, Version: c.Version, Age: c.Age})
+	f.ApplyUpdate(now, Update{Servers: c.Servers, Version: c.Version, Age: c.Age})
 }
 
 // applyRows applies rows of another node's copy.
--- a/internal/follow/sim_test.go
+++ b/internal/follow/sim_test.go
@@ -115,7 +115,7 @@
 func (f *simFleet) start(ctx context.Context, i int) {
 	n := &simNode{fleet: f, index: i}
 	n.Follower = &follow.Follower{Store: n, Log: zap.NewNop(), OnConfig: func(*fleet.Config) {}, OnServers: n.servers,
-		Fed: n.hasFeed, Led: func() bool { return n.role() == follow.Alone && n.hasFeed() }, Role: n.role}
+		HasFeed: n.hasFeed, HasLeader: func() bool { return n.role() == follow.Standalone && n.hasFeed() }, Role: n.role}
 	f.nodes = append(f.nodes, n)
 	f.wg.Go(func() { n.Run(ctx) })
 	f.wg.Go(func() { n.exchange(ctx) })
@@ -136,15 +136,15 @@
 	defer n.fleet.mu.Unlock()
 	switch n.index {
 	case n.fleet.leader:
-		return follow.Holder
+		return follow.Leader
 	case (n.fleet.leader + 1) % simNodes:
 		return follow.Deputy
 	}
-	return follow.Alone
+	return follow.Standalone
 }
 
 func (n *simNode) hasFeed() bool {
-	if n.role() != follow.Alone {
+	if n.role() != follow.Standalone {
 		return false
 	}
 	n.mu.Lock()
@@ -168,15 +168,15 @@
 		if target == n {
 			continue
 		}
-		known := n.Known()
-		update := n.Since(time.Now(), follow.Known{Operator: known.Operator, Servers: leaderVersion})
+		known := n.Versions()
+		update := n.ChangesSince(time.Now(), follow.Versions{Operator: known.Operator, Servers: leaderVersion})
 		clock.Sleep(ctx, max(pause, there)) // a suspended node reports what it had read before
 		if leaderVersion != 0 {
-			target.Take(time.Now(), update)
+			target.ApplyUpdate(time.Now(), update)
 		}
-		answer := target.Since(time.Now(), known)
+		answer := target.ChangesSince(time.Now(), known)
 		clock.Sleep(ctx, back)
-		n.Take(time.Now(), answer)
+		n.ApplyUpdate(time.Now(), answer)
 		n.mu.Lock()
 		n.leaderVersion = answer.Version
 		if answer.Age <= 1300*time.Millisecond {
--- a/internal/follow/table.go
+++ b/internal/follow/table.go
@@ -76,8 +76,8 @@
 		}
 		if err != nil {
 			t.recordFailure(err)
-			if (full || t.behind()) && t.f.Ask != nil {
-				t.f.Ask(ctx)
+			if (full || t.behind()) && t.f.FetchCopy != nil {
+				t.f.FetchCopy(ctx)
 				full = t.empty()
 			}
 			if !full && t.hasLeader() {
@@ -99,11 +99,11 @@
 }
 
 // hasFeed reports whether this node receives changes from another one.
-func (t *table) hasFeed() bool { return t.f.Fed != nil && t.f.Fed() }
+func (t *table) hasFeed() bool { return t.f.HasFeed != nil && t.f.HasFeed() }
 
 // hasLeader reports whether this node has a leader, which passes changes on when the store is
 // back.
-func (t *table) hasLeader() bool { return t.f.Led != nil && t.f.Led() }
+func (t *table) hasLeader() bool { return t.f.HasLeader != nil && t.f.HasLeader() }
 
 // pause waits for a duration, but only while this node has a leader and until the
 // leader passes changes on again.
@@ -120,9 +120,9 @@
 // nodes may start at once and call the store.
 func (t *table) awaitFeed(ctx context.Context) {
 	t.mu.Lock()
-	t.quick = t.f.role() == Alone
+	t.quick = t.f.role() == Standalone
 	t.mu.Unlock()
-	for until := time.Now().Add(maxFirstGap); time.Now().Before(until) && t.f.role() == Alone && !t.hasFeed(); {
+	for until := time.Now().Add(maxFirstGap); time.Now().Before(until) && t.f.role() == Standalone && !t.hasFeed(); {
 		if !clock.Sleep(ctx, feedCheckInterval) {
 			return
 		}
@@ -279,8 +279,8 @@
 			continue
 		}
 		t.recordRemoval(r)
-		if _, ok := t.rows[r.Key]; ok && now.Before(t.outageEnd.Add(Grace)) {
-			t.missing[r.Key] = t.outageEnd.Add(Grace)
+		if _, ok := t.rows[r.Key]; ok && now.Before(t.outageEnd.Add(MissingGrace)) {
+			t.missing[r.Key] = t.outageEnd.Add(MissingGrace)
 			continue
 		}
 		delete(t.rows, r.Key)
--- a/internal/front/deputy.go
+++ b/internal/front/deputy.go
@@ -22,7 +22,7 @@
 // lease has expired, so that their selections collide at engines with few slots, and all
 // nodes follow the store.
 func (n *Node) isActing() bool {
-	acting := n.isDeputy.Load() && !n.placer.Holding() && n.leaderSuspected()
+	acting := n.isDeputy.Load() && !n.placer.IsLeading() && n.leaderSuspected()
 	if n.acting.Swap(acting) == acting {
 		return acting
 	}
@@ -34,8 +34,8 @@
 }
 
 // replyAsDeputy replies to another node's report while the leader can't be reached.
-func (n *Node) replyAsDeputy(r hub.Report, lease platform.Row) hub.Picture {
-	p := n.hub.Take(time.Now(), r)
+func (n *Node) replyAsDeputy(r hub.Report, lease platform.Row) hub.ReportReply {
+	p := n.hub.Merge(time.Now(), r)
 	p.Leading, p.Acting, p.Deputy, p.Lease = false, true, false, lease
 	p.Nodes = max(p.Nodes, int(n.nodeCount.Load())) // some nodes haven't reported yet
 	return p
@@ -58,7 +58,7 @@
 // reportToDeputy reports to the deputy and returns whether the deputy accepted the report.
 func (n *Node) reportToDeputy(ctx context.Context, l leader.Lease, r hub.Report) bool {
 	if n.isActing() {
-		n.applyReply(r, n.Report(r))
+		n.applyReply(r, n.HandleReport(r))
 		return true
 	}
 	at, ok := n.availableDeputy()
@@ -77,7 +77,7 @@
 	n.deputyReplyAt.Store(int64(clock.Boot()))
 	n.applyReply(r, p)
 	n.onFeed(p.Update, sentAt)
-	n.placer.Learn(p.Lease)
+	n.placer.ObserveLease(p.Lease)
 	return true
 }
 
@@ -94,15 +94,15 @@
 }
 
 // acquireFromDeputy requests a slot at an engine from the deputy.
-func (n *Node) acquireFromDeputy(ctx context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
+func (n *Node) acquireFromDeputy(ctx context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 	if n.isActing() {
-		return n.Place(ctx, p, func() {})
+		return n.AcquireSlot(ctx, p, func() {})
 	}
 	at, ok := n.availableDeputy()
 	if !ok {
-		return hub.Placed{}, nil, context.Canceled
+		return hub.SlotReply{}, nil, context.Canceled
 	}
-	reply, grant, err := (&hub.Client{Endpoint: n.endpoint}).Place(ctx, at.Address, p)
+	reply, grant, err := (&hub.Client{Endpoint: n.endpoint}).AcquireSlot(ctx, at.Address, p)
 	if err != nil && ctx.Err() == nil {
 		n.recordRefusal(at, err)
 	}
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -67,8 +67,8 @@
 			n.onLeaderReply(l, r, p, sentAt)
 			continue
 		}
-		if err == nil && n.placer.Learn(p.Lease) {
-			n.gateway.Keep(r.Marks)
+		if err == nil && n.placer.ObserveLease(p.Lease) {
+			n.gateway.RestoreMarks(r.Marks)
 			n.log.Info("leader-left", zap.String("leader", l.Node), zap.Int64("epoch", l.Epoch))
 			continue
 		}
@@ -76,8 +76,8 @@
 		if n.reportToDeputy(ctx, l, r) {
 			continue
 		}
-		n.gateway.Keep(r.Marks)
-		n.gateway.Unled()
+		n.gateway.RestoreMarks(r.Marks)
+		n.gateway.LeaderLost()
 		wait = b.NextBackOff()
 	}
 }
@@ -86,12 +86,12 @@
 func (n *Node) newReport(l leader.Lease) hub.Report {
 	r := n.gateway.Report(n.settings.Node, l.Epoch)
 	r.At = hub.Contact{Address: n.settings.Peers, Key: n.key.Fingerprint(), Cores: n.settings.Cores}
-	r.Known = n.follower.Known()
-	r.Contact = n.follower.Contact(time.Now())
+	r.Known = n.follower.Versions()
+	r.Contact = n.follower.StoreAge(time.Now())
 	r.Heard, r.Roster, r.Lease = n.ack, n.roster, n.placer.LeaseVersion()
 	r.Update = n.recentUpdate(r)
 	r.Echo = n.echo
-	r.Quotas = n.gateway.Spent()
+	r.Quotas = n.gateway.QuotaUsage()
 	r.Departed = n.undeclaredLeaving()
 	r.Echo.After = clock.Boot() - n.follower.ConfigAge() - n.echoAt
 	return r
@@ -104,14 +104,14 @@
 	if r.Update == nil || r.Echo.Hub == 0 || r.Echo.Hub != id {
 		return
 	}
-	n.follower.Proved(r.Update.Operator, r.Echo.Stamp+r.Echo.After)
+	n.follower.ConfirmConfig(r.Update.Operator, r.Echo.Stamp+r.Echo.After)
 }
 
 // sendReport reports to the leader. A silent leader gets a shorter timeout, because the
 // report must reach its deputy in time too.
-func (n *Node) sendReport(ctx context.Context, l leader.Lease, r hub.Report) (hub.Picture, error) {
+func (n *Node) sendReport(ctx context.Context, l leader.Lease, r hub.Report) (hub.ReportReply, error) {
 	if l.Key == n.key.Fingerprint() {
-		return n.Report(r), nil
+		return n.HandleReport(r), nil
 	}
 	timeout := exchangeTimeout
 	if n.leaderReached() {
@@ -124,7 +124,7 @@
 
 // onLeaderReply processes the leader's reply to a report. sentAt is the boot time at which
 // the report was sent.
-func (n *Node) onLeaderReply(l leader.Lease, r hub.Report, p hub.Picture, sentAt time.Duration) {
+func (n *Node) onLeaderReply(l leader.Lease, r hub.Report, p hub.ReportReply, sentAt time.Duration) {
 	n.nodeCount.Store(int64(p.Nodes))
 	if was := n.leaderReplyAt.Swap(int64(clock.Boot())); was == 0 || time.Duration(int64(clock.Boot())-was) > n.leaderTimeout() {
 		n.log.Info("leader-reached", zap.String("leader", l.Node), zap.Int64("epoch", l.Epoch), zap.Int("nodes", p.Nodes))
@@ -140,18 +140,18 @@
 	n.applyReply(r, p)
 	if l.Key != n.key.Fingerprint() {
 		n.onFeed(p.Update, sentAt)
-		n.placer.Learn(p.Lease)
+		n.placer.ObserveLease(p.Lease)
 	}
 }
 
 // applyReply processes the part of a reply to a report that the leader and its deputy have
 // in common.
-func (n *Node) applyReply(r hub.Report, p hub.Picture) {
+func (n *Node) applyReply(r hub.Report, p hub.ReportReply) {
 	n.ack = p.Heard
-	n.echo, n.echoAt = hub.Echo{Hub: p.Heard.Hub, Stamp: p.Stamp}, clock.Boot()
-	n.gateway.Take(p)
+	n.echo, n.echoAt = hub.ClockEcho{Hub: p.Heard.Hub, Stamp: p.Stamp}, clock.Boot()
+	n.gateway.ApplyReply(p)
 	n.addLeaving(p.Departed...)
-	n.gateway.Told(r.Quotas.Number, p.Quotas, p.Nodes)
+	n.gateway.UpdateQuotas(r.Quotas.Number, p.Quotas, p.Nodes)
 	n.leaderServersVersion.Store(p.Update.Version)
 }
 
@@ -162,7 +162,7 @@
 	if version == 0 || r.Contact > n.maxFeedAge() && r.Known.Servers <= version {
 		return nil
 	}
-	u := n.follower.Since(time.Now(), follow.Known{Operator: r.Known.Operator, Servers: version})
+	u := n.follower.ChangesSince(time.Now(), follow.Versions{Operator: r.Known.Operator, Servers: version})
 	return &u
 }
 
@@ -176,8 +176,8 @@
 // keep this node from following the store. sentAt is the boot time at which the report was
 // sent that the copy answers.
 func (n *Node) onFeed(u follow.Update, sentAt time.Duration) {
-	n.follower.Take(time.Now(), u)
-	n.follower.Proved(u.Operator, sentAt-u.ConfigAge)
+	n.follower.ApplyUpdate(time.Now(), u)
+	n.follower.ConfirmConfig(u.Operator, sentAt-u.ConfigAge)
 	if u.Age <= n.maxFeedAge() {
 		n.feedAt.Store(int64(clock.Boot()))
 	}
@@ -187,7 +187,7 @@
 // need not follow the store.
 func (n *Node) hasFeed() bool {
 	at := n.feedAt.Load()
-	return n.role() == follow.Alone && at != 0 && clock.Boot()-time.Duration(at) < n.leaderTimeout() && !n.confirmationDue()
+	return n.role() == follow.Standalone && at != 0 && clock.Boot()-time.Duration(at) < n.leaderTimeout() && !n.confirmationDue()
 }
 
 // confirmationDue reports whether this node should query the store itself for the newest
@@ -198,18 +198,18 @@
 }
 
 // hasLeader reports whether another node is the leader and replies.
-func (n *Node) hasLeader() bool { return n.role() == follow.Alone && n.leaderReached() }
+func (n *Node) hasLeader() bool { return n.role() == follow.Standalone && n.leaderReached() }
 
 // role returns the role in which this node follows the store.
 func (n *Node) role() follow.Role {
 	l, ok := n.placer.Leader()
 	switch {
 	case ok && l.Key == n.key.Fingerprint(), n.isActing():
-		return follow.Holder
+		return follow.Leader
 	case n.isDeputy.Load() && n.leaderReached():
 		return follow.Deputy
 	default:
-		return follow.Alone
+		return follow.Standalone
 	}
 }
 
@@ -248,15 +248,15 @@
 func (n *Node) leaderSuspected() bool { return !n.leaderReached() || n.leaderSuspect.Load() }
 
 // requestLoad requests a model or adapter from the leader.
-func (n *Node) requestLoad(ctx context.Context, w hub.Want) hub.Offer {
+func (n *Node) requestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
 	l, ok := n.placer.Leader()
 	if !ok || l.Node == "" {
-		return hub.Offer{Why: "no-leader"}
+		return hub.LoadReply{Why: "no-leader"}
 	}
 	if l.Key == n.key.Fingerprint() {
-		return n.Want(ctx, w)
+		return n.RequestLoad(ctx, w)
 	}
-	o, err := n.leaderClient().Want(ctx, l.Address, w)
+	o, err := n.leaderClient().RequestLoad(ctx, l.Address, w)
 	if err != nil {
 		n.log.Info("want-failed", zap.String("leader", l.Node), zap.String("model", w.Model), zap.String("adapter", w.Adapter), zap.Error(err))
 	}
@@ -264,7 +264,7 @@
 }
 
 // Report processes another node's report and returns the reply.
-func (n *Node) Report(r hub.Report) hub.Picture {
+func (n *Node) HandleReport(r hub.Report) hub.ReportReply {
 	p := n.placer.Report(r)
 	if n.placer.LeaseVersion() != r.Lease {
 		p.Lease = n.placer.LeaseRow() // also if the lease was released
@@ -275,21 +275,21 @@
 	if !p.Leading && !p.Acting {
 		return p
 	}
-	p.Quotas = n.granter.Spent(r)
-	n.granter.LearnLimits(r.Limits)
+	p.Quotas = n.granter.ReportUsage(r)
+	n.granter.MergeLimits(r.Limits)
 	n.addLeaving(r.Departed...)
 	p.Departed = n.undeclaredLeaving()
 	if r.Update != nil {
-		n.follower.Take(time.Now(), *r.Update)
+		n.follower.ApplyUpdate(time.Now(), *r.Update)
 		n.confirmConfig(r, p.Heard.Hub)
 	}
-	p.Update = n.follower.Since(time.Now(), r.Known)
+	p.Update = n.follower.ChangesSince(time.Now(), r.Known)
 	p.Stamp = clock.Boot()
 	return p
 }
 
 // Want serves another node's load request.
-func (n *Node) Want(ctx context.Context, w hub.Want) hub.Offer { return n.placer.Want(ctx, w) }
+func (n *Node) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply { return n.placer.RequestLoad(ctx, w) }
 
 // get returns the client for an address.
 func (c *clientCache) get(address string) *jsonhttp.Client {
--- a/internal/front/join.go
+++ b/internal/front/join.go
@@ -33,7 +33,7 @@
 
 	// joinReply is the replying node's copy of the store.
 	joinReply struct {
-		Copy  follow.Copy  `json:"copy"`
+		Copy  follow.Snapshot  `json:"copy"`
 		Lease platform.Row `json:"lease"`
 	}
 )
@@ -59,8 +59,8 @@
 			continue
 		}
 		n.log.Info("joined", zap.String("seed", seed), zap.Int64("version", a.Copy.Version), zap.Duration("age", a.Copy.Age))
-		n.follower.Load(time.Now(), a.Copy, sentAt)
-		n.placer.Learn(a.Lease)
+		n.follower.ApplyCopy(time.Now(), a.Copy, sentAt)
+		n.placer.ObserveLease(a.Lease)
 		return
 	}
 }
@@ -83,7 +83,7 @@
 		http.Error(w, "no node", http.StatusBadRequest)
 		return
 	}
-	c, ok := n.follower.Copy(time.Now())
+	c, ok := n.follower.Snapshot(time.Now())
 	if !ok {
 		http.Error(w, "no copy", http.StatusServiceUnavailable)
 		return
--- a/internal/front/members.go
+++ b/internal/front/members.go
@@ -67,7 +67,7 @@
 func (n *Node) cleanUpRows(ctx context.Context) {
 	var w roster.Watcher
 	for clock.Sleep(ctx, roster.Refresh) {
-		if !n.placer.Holding() {
+		if !n.placer.IsLeading() {
 			w = roster.Watcher{}
 			continue
 		}
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -41,7 +41,7 @@
 const (
 	// Notice is how long a stopping node goes on serving: the balancer probes each second
 	// and removes a node after two failed probes.
-	Notice = 3 * time.Second
+	DrainTime = 3 * time.Second
 	// killMargin is the time kept in reserve before the platform kills the process.
 	killMargin = 500 * time.Millisecond
 	// taskMargin is the part of killMargin in which tasks that don't serve clients may still
@@ -90,9 +90,9 @@
 	deputyReplyAt        atomic.Int64                    // boot time of the deputy's last reply to a report
 	deputyRefusedAt      atomic.Int64                    // boot time of the deputy's last refusal
 	acting               atomic.Bool                     // this node is the deputy and grants slots
-	ack                  hub.Heard                       // what the leader has acknowledged; used by runExchange only
+	ack                  hub.Ack                       // what the leader has acknowledged; used by runExchange only
 	roster               uint64                          // version of the leader's roster that a deputy has; likewise
-	echo                 hub.Echo                        // clock echo of the last reply to a report; likewise
+	echo                 hub.ClockEcho                        // clock echo of the last reply to a report; likewise
 	echoAt               time.Duration                   // boot time of the arrival of that reply; likewise
 	refresher            refresher
 	peerKeys             trustedKeys
@@ -113,23 +113,23 @@
 	n.store = n.newStore()
 	m := gateway.NewMetrics()
 	n.registry.MustRegister(m.Collectors()...)
-	n.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: s.DataCentre, Metrics: m, Want: n.requestLoad, Place: n.acquireSlot,
+	n.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: s.DataCentre, Metrics: m, RequestLoad: n.requestLoad, AcquireSlot: n.acquireSlot,
 		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Repeats: n.retryBudget(), Refresh: n.refresh,
-		OnDeparture: func(i departure.Incarnation) bool { return n.addLeaving(i) }, KeyAge: s.keyAge(), Tolerance: s.tolerance()}
+		RetryBudget: n.retryBudget(), Refresh: n.refresh,
+		OnLeaving: func(i departure.Incarnation) bool { return n.addLeaving(i) }, KeyAge: s.keyAge(), Tolerance: s.tolerance()}
 	n.gateway.Run(balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
 	n.endpoint = &peer.Endpoint{Address: s.Peers, TLS: key, DialTimeout: exchangeTimeout, IdleTimeout: peerIdleTimeout,
 		OnMessage: func(string, peer.Frame) {},
 		OnCall: func(ctx context.Context, _ string, f peer.Frame, st *peer.Stream) {
 			hub.Serve(ctx, n, f, st)
 		}}
-	n.hub.Granted = n.isGranted
+	n.hub.HasGranter = n.isGranted
 	n.granter = &granter.Granter{Log: log, Counts: n.hub.Counts, Limits: n.gateway.Limits, Tolerance: s.tolerance()}
 	n.registry.MustRegister(n.granter)
 	n.placer = n.newPlacer()
-	n.granter.Adapter = n.placer.Want
-	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, Fed: n.hasFeed, Led: n.hasLeader,
-		Role: n.role, Ask: n.join, Heartbeat: time.Duration(s.HeartbeatMS) * time.Millisecond, ProofWithin: n.gateway.KeyAge}
+	n.granter.LoadAdapter = n.placer.RequestLoad
+	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, HasFeed: n.hasFeed, HasLeader: n.hasLeader,
+		Role: n.role, FetchCopy: n.join, Heartbeat: time.Duration(s.HeartbeatMS) * time.Millisecond, MaxConfigAge: n.gateway.KeyAge}
 	n.gateway.ConfigAge = n.follower.ConfigAge
 	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, Refused: n.refused, AcceptFailed: n.acceptFailed,
 		Most: int(float64(s.Descriptors-reservedDescriptors) * clientShare)}
@@ -168,19 +168,19 @@
 	engines := &clientCache{}
 	return &placer.Placer{
 		Store: n.store, Engines: &platform.Engines{Client: engines.get}, Hub: n.hub, Log: n.log, Clock: clock.Boot,
-		Keeper: &leader.Elector{
+		Elector: &leader.Elector{
 			Self: leader.Lease{Node: n.settings.Node, Incarnation: n.key.Fingerprint()[:16],
 				Address: n.settings.Peers, Key: n.key.Fingerprint(), Cores: n.settings.Cores},
 			TTL: time.Duration(n.settings.LeaseMS) * time.Millisecond,
 		},
 		Fencing:   n.settings.CheckEpochs,
 		Window:    time.Duration(n.settings.LoadWindowS * float64(time.Second)),
-		Reachable: n.hasCoordinator,
-		Ordered:   func(v string) { orders.WithLabelValues(v).Inc() },
-		Began:     n.granter.Reset,
-		Lacking:   n.granter.Waiting,
-		Limited:   n.granter.Limited,
-		Noted:     n.granter.Note,
+		LeaderReachable: n.hasCoordinator,
+		OnVerdict:   func(v string) { orders.WithLabelValues(v).Inc() },
+		OnElected:     n.granter.Reset,
+		WaitingWithoutCopy:   n.granter.Waiting,
+		LimitedModels:   n.granter.LimitedModels,
+		OnResidency:     n.granter.SetResidency,
 	}
 }
 
@@ -275,7 +275,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), started.Add(grace))
 	defer cancel()
 	n.placer.Release(ctx)
-	drainCtx, cancelDrain := context.WithDeadline(ctx, started.Add(min(Notice, grace/2)))
+	drainCtx, cancelDrain := context.WithDeadline(ctx, started.Add(min(DrainTime, grace/2)))
 	defer cancelDrain()
 	<-drainCtx.Done()
 	n.gateway.Stop()
@@ -293,8 +293,8 @@
 
 func (n *Node) onConfig(c *fleet.Config) {
 	n.gateway.SetConfig(c)
-	n.placer.Config(n.gateway.Config())
-	n.granter.Teams(n.gateway.Config().Teams())
+	n.placer.SetConfig(n.gateway.Config())
+	n.granter.SetTeams(n.gateway.Config().Teams())
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
 	n.updateEngines(n.servers.list)
--- a/internal/front/refresh.go
+++ b/internal/front/refresh.go
@@ -93,6 +93,6 @@
 	if !n.refresher.request(ctx) {
 		return
 	}
-	for n.follower.Behind() && clock.Sleep(ctx, refreshPoll) {
+	for n.follower.IsBehind() && clock.Sleep(ctx, refreshPoll) {
 	}
 }
--- a/internal/front/servers.go
+++ b/internal/front/servers.go
@@ -51,8 +51,8 @@
 	}
 	list := n.servers.leaving.MarkLeaving(n.servers.list)
 	n.gateway.SetServers(list)
-	n.placer.Servers(list)
-	n.granter.Servers(list)
+	n.placer.SetServers(list)
+	n.granter.SetServers(list)
 	n.updateEngines(list)
 }
 
--- a/internal/front/slots.go
+++ b/internal/front/slots.go
@@ -21,27 +21,27 @@
 }
 
 // Place grants a slot at an engine to another node's request.
-func (n *Node) Place(ctx context.Context, p hub.Place, queued func()) (hub.Placed, hub.Grant, error) {
+func (n *Node) AcquireSlot(ctx context.Context, p hub.SlotRequest, queued func()) (hub.SlotReply, hub.SlotGrant, error) {
 	l, _ := n.placer.Leader()
 	granter := l.Epoch
-	if !n.placer.Holding() {
+	if !n.placer.IsLeading() {
 		if !n.isActing() {
-			return hub.Placed{}, nil, context.Canceled
+			return hub.SlotReply{}, nil, context.Canceled
 		}
 		granter = actingEpoch(l)
 	}
-	d, grant, err := n.granter.Place(ctx, p, queued)
-	return hub.Placed{Granted: d.Granted, Granter: granter, Server: d.Selection.Server.ID, Wait: d.Selection.Wait, Why: string(d.Reason), After: d.RetryAfter}, grant, err
+	d, grant, err := n.granter.AcquireSlot(ctx, p, queued)
+	return hub.SlotReply{Granted: d.Granted, Granter: granter, Server: d.Selection.Server.ID, Wait: d.Selection.Wait, Why: string(d.Reason), After: d.RetryAfter}, grant, err
 }
 
 // acquireSlot requests a slot at an engine from the leader.
-func (n *Node) acquireSlot(ctx context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
+func (n *Node) acquireSlot(ctx context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 	l, ok := n.placer.Leader()
 	if !ok || l.Node == "" {
-		return hub.Placed{}, nil, context.Canceled
+		return hub.SlotReply{}, nil, context.Canceled
 	}
 	if l.Key == n.key.Fingerprint() {
-		return n.Place(ctx, p, func() {})
+		return n.AcquireSlot(ctx, p, func() {})
 	}
 	if n.leaderSuspected() {
 		return n.acquireFromDeputy(ctx, p)
@@ -50,14 +50,14 @@
 	defer cancel()
 	defer context.AfterFunc(n.leaderCalls.context(), cancel)()
 	sentAt := clock.Boot()
-	reply, grant, err := n.leaderClient().Place(ctx, l.Address, p)
+	reply, grant, err := n.leaderClient().AcquireSlot(ctx, l.Address, p)
 	n.suspectLeader(l, sentAt, err)
 	return reply, grant, err
 }
 
 // leaderClient returns a client that records each message from the leader.
 func (n *Node) leaderClient() *hub.Client {
-	return &hub.Client{Endpoint: n.endpoint, Heard: n.onLeaderMessage}
+	return &hub.Client{Endpoint: n.endpoint, OnReply: n.onLeaderMessage}
 }
 
 // onLeaderMessage records a message from the leader.
@@ -70,7 +70,7 @@
 // slot request that it should have replied to. Until its next message, slots are requested
 // from the deputy, or this node selects servers by itself.
 func (n *Node) suspectLeader(l leader.Lease, sentAt time.Duration, err error) {
-	var silent *hub.SilentError
+	var silent *hub.AckTimeoutError
 	if !errors.As(err, &silent) || time.Duration(n.leaderMessageAt.Load()) >= sentAt || n.leaderSuspect.Swap(true) {
 		return
 	}
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -102,9 +102,9 @@
 	r := newRig(t, w)
 	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
-	r.gateway.Place = func(context.Context, hub.Place) (hub.Placed, hub.Grant, error) {
+	r.gateway.AcquireSlot = func(context.Context, hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 		r.gateway.SetConfig(configWithKeys(3, fleet.Quota{}, "k-new"))
-		return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
+		return hub.SlotReply{Granted: true, Server: "i-1"}, noGrant{}, nil
 	}
 	require.Equal(t, 401, r.do("GET", "/stream/x", "id", "", deskAuth, "X-Guavapaddle-Model: m").status)
 	require.Empty(t, w.Runs())
@@ -151,16 +151,16 @@
 	r.gateway.SetServers([]fleet.Server{{ID: "i-1", Service: "plain", Address: w.Address(), Zone: "z", Slots: 4, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 	r.gateway.SetConfig(configWithKeys(2, smallQuota, deskKey))
 	var charges []hub.Charge
-	r.gateway.Place = func(_ context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
+	r.gateway.AcquireSlot = func(_ context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 		charges = append(charges, p.Charge)
-		return hub.Placed{Why: string(granter.OverQuota), After: 2 * time.Second}, noGrant{}, nil
+		return hub.SlotReply{Why: string(granter.OverQuota), After: 2 * time.Second}, noGrant{}, nil
 	}
 	got := r.do("GET", "/stream/x", "id", "", deskAuth, "X-Guavapaddle-Model: m", "X-Guavapaddle-Token-Count: 70,30")
 	require.Equal(t, 429, got.status)
 	require.Regexp(t, `^[23]\.\d\d$`, got.header.Get("Retry-After"))
 	require.Empty(t, w.Runs())
 	require.Equal(t, []hub.Charge{{Team: "desk", Cost: 100}}, charges)
-	require.Empty(t, r.gateway.Spent().Uses)
+	require.Empty(t, r.gateway.QuotaUsage().Uses)
 }
 
 // TestChargeOfUnrunRequestIsRefunded guards against charging a request more than once when
@@ -169,19 +169,19 @@
 	w := startWorker(t, "i-1", standin.OK, standin.Shed)
 	r := newRig(t, w)
 	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{Rate: 1e6, Burst: 1e6, CountTokens: true, DefaultTokens: 200}, deskKey))
-	r.gateway.Told(0, nil, 1)
+	r.gateway.UpdateQuotas(0, nil, 1)
 	require.Equal(t, 200, r.do("GET", "/safe/x", "a", "", deskAuth).status)
 	require.Equal(t, 503, r.do("GET", "/safe/x", "b", "", deskAuth).status)
 	require.Eventually(t, func() bool { return strings.Contains(r.log.String(), "event=request request-id=b") }, 2*time.Second, time.Millisecond)
-	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: 200, Owed: 200}}}, r.gateway.Spent().Uses)
+	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: 200, Owed: 200}}}, r.gateway.QuotaUsage().Uses)
 }
 
 func TestNodeWithoutGranterUsesItsShare(t *testing.T) {
 	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
 	r.gateway.SetConfig(configWithKeys(2, smallQuota, deskKey))
-	r.gateway.Told(0, map[string]quota.State{"desk": {Share: 1}}, 1)
-	r.gateway.Unled()
+	r.gateway.UpdateQuotas(0, map[string]quota.State{"desk": {Share: 1}}, 1)
+	r.gateway.LeaderLost()
 	served := 0
 	for i := range 10 {
 		if r.do("GET", "/safe/x", string(rune('a'+i)), "", deskAuth).status == 200 {
@@ -205,15 +205,15 @@
 		}
 		return got
 	}
-	r.gateway.Told(0, map[string]quota.State{"desk": {Share: 1, Scarce: true}}, 1)
+	r.gateway.UpdateQuotas(0, map[string]quota.State{"desk": {Share: 1, Scarce: true}}, 1)
 	low := statuses("scarce")
 	require.LessOrEqual(t, low[200], 1, "a request costs two seconds of the rate")
 	require.Equal(t, 10, low[200]+low[429])
 	require.Contains(t, r.log.String(), "reason="+string(gateway.Quota))
-	r.gateway.Told(0, map[string]quota.State{"desk": {Share: 1}}, 1)
+	r.gateway.UpdateQuotas(0, map[string]quota.State{"desk": {Share: 1}}, 1)
 	require.Equal(t, map[int]int{200: 10}, statuses("enough"))
 	spent := float64(200 * (low[200] + 10))
-	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: spent, Owed: spent}, Share: 1}}, r.gateway.Spent().Uses)
+	require.Equal(t, []quota.TeamUsage{{Team: "desk", Now: quota.Usage{Spent: spent, Owed: spent}, Share: 1}}, r.gateway.QuotaUsage().Uses)
 }
 
 // TestServerLeavingBetweenPickAndSendGetsNoRequest guards against sending a request to a
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,10 +44,10 @@
 		Metrics *Metrics
 		// Want requests a model or adapter that no server holds. It returns when
 		// that may have changed.
-		Want func(ctx context.Context, w hub.Want) hub.Offer
+		RequestLoad func(ctx context.Context, w hub.LoadRequest) hub.LoadReply
 		// Place requests a slot from the leader: when and at which server a request
 		// to a model engine may begin. An error means that the leader is unreachable.
-		Place func(ctx context.Context, p hub.Place) (hub.Placed, hub.Grant, error)
+		AcquireSlot func(ctx context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error)
 		// Tolerance is how far the usage of a quota may exceed it.
 		Tolerance quota.Tolerance
 		// Refresh queries another node for a newer configuration, and returns when that is
@@ -60,9 +60,9 @@
 		Rand      *rand.Rand
 		// OnDeparture is called when a server announces that it is leaving, and reports
 		// whether that is new. It may be nil.
-		OnDeparture func(departure.Incarnation) bool
+		OnLeaving func(departure.Incarnation) bool
 		// Repeats is the budget of a service for retries: sends beyond the first of each request.
-		Repeats retry.ServiceBudget
+		RetryBudget retry.ServiceBudget
 
 		configMu sync.Mutex // serializes SetConfig
 		config   atomic.Pointer[fleet.Config]
@@ -75,7 +75,7 @@
 		nodes            int  // number of nodes that share the retry budgets, 0 if unknown
 		demand           map[hub.Item]*hub.Demand
 		crashMarks       map[uint64]map[string]bool
-		newMarks         []hub.Mark
+		newMarks         []hub.CrashMark
 		changed          chan struct{} // closed when the picker's data changes
 		stopped          chan struct{}
 	}
@@ -101,7 +101,7 @@
 		lacking           []string      // servers found not to hold the model or adapter
 		runs              int           // sends after which the request may have run
 		retryAfter        time.Duration // Retry-After of a refusal
-		slot              hub.Grant     // the slot granted to the request, nil if none
+		slot              hub.SlotGrant     // the slot granted to the request, nil if none
 		granter           int64         // the granter that counts the send until its end
 		sends             int
 		queued            time.Duration // time until the first send
@@ -197,7 +197,7 @@
 	}
 	r.fingerprint = fingerprint(x)
 	if g.crashCount(r.fingerprint) >= maxCrashes {
-		r.respond(http.StatusServiceUnavailable, Crashes, 0)
+		r.respond(http.StatusServiceUnavailable, CrashSuspect, 0)
 		return
 	}
 	g.creditRetryBudget(r.service)
@@ -255,7 +255,7 @@
 	b := g.retryBudgets[service]
 	if b == nil {
 		b = &retry.Budget{}
-		g.Repeats.Apply(b, g.nodes)
+		g.RetryBudget.Apply(b, g.nodes)
 		g.retryBudgets[service] = b
 	}
 	return b
@@ -272,7 +272,7 @@
 func (g *Gateway) recordCrash(fp uint64, server string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.newMarks = append(g.newMarks, hub.Mark{Fingerprint: fp, Server: server})
+	g.newMarks = append(g.newMarks, hub.CrashMark{Fingerprint: fp, Server: server})
 	g.addCrashMark(fp, server)
 }
 
@@ -300,9 +300,9 @@
 	r := hub.Report{Node: node, Counts: g.picker.LocalCounts(granter), Marks: g.newMarks, Limits: g.limits()}
 	g.newMarks = nil
 	for k, d := range g.demand {
-		if d.Tokens > 0 || d.Waiting > 0 || d.Ran != (hub.Ran{}) {
+		if d.Tokens > 0 || d.Waiting > 0 || d.Ran != (hub.StreamTotals{}) {
 			r.Demand = append(r.Demand, *d)
-			d.Tokens, d.Ran = 0, hub.Ran{}
+			d.Tokens, d.Ran = 0, hub.StreamTotals{}
 		} else {
 			delete(g.demand, k)
 		}
@@ -320,7 +320,7 @@
 // limits returns the rate limits that servers announced; g.mu is held.
 func (g *Gateway) limits() []hub.Limit {
 	now := time.Now()
-	return hub.Limits(now, g.picker.KnownLimits(now.Add(-hub.LimitLife)))
+	return hub.EncodeLimits(now, g.picker.KnownLimits(now.Add(-hub.LimitTTL)))
 }
 
 // Counts returns this node's requests at each server, and how many of them a granter counts.
@@ -331,21 +331,21 @@
 }
 
 // Keep restores crash marks that could not be reported.
-func (g *Gateway) Keep(marks []hub.Mark) {
+func (g *Gateway) RestoreMarks(marks []hub.CrashMark) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.newMarks = append(g.newMarks, marks...)
 }
 
 // Take applies the leader's reply to a report, with the data of the other nodes.
-func (g *Gateway) Take(p hub.Picture) {
+func (g *Gateway) ApplyReply(p hub.ReportReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.setNodes(p.Nodes)
 	g.picker.SetRemoteCounts(now, p.Counts)
 	for _, l := range p.Limits {
-		g.picker.LearnLimit(l.Server, l.Said(now))
+		g.picker.LearnLimit(l.Server, l.Local(now))
 	}
 	for _, n := range p.Notes {
 		g.picker.SetResidency(now, n.Server, n.Model, n.Adapter, n.Held)
@@ -363,7 +363,7 @@
 	g.nodes = nodes
 	g.picker.SetNodes(nodes)
 	for _, b := range g.retryBudgets {
-		g.Repeats.Apply(b, nodes)
+		g.RetryBudget.Apply(b, nodes)
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -80,9 +80,9 @@
 	log, err := logging.New(r.log, "info")
 	require.NoError(t, err)
 	r.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: "z", Metrics: gateway.NewMetrics(),
-		Want: func(context.Context, hub.Want) hub.Offer { return hub.Offer{} },
-		Place: func(context.Context, hub.Place) (hub.Placed, hub.Grant, error) {
-			return hub.Placed{}, nil, io.EOF
+		RequestLoad: func(context.Context, hub.LoadRequest) hub.LoadReply { return hub.LoadReply{} },
+		AcquireSlot: func(context.Context, hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
+			return hub.SlotReply{}, nil, io.EOF
 		},
 		Rand: rand.New(rand.NewPCG(1, 1))}
 	r.gateway.Run(balance.New(rand.New(rand.NewPCG(1, 1))))
@@ -407,9 +407,9 @@
 
 func TestWaitingRequestsAreRefusedOnStop(t *testing.T) {
 	r := newRig(t, startWorker(t, "i-1"))
-	r.gateway.Place = func(ctx context.Context, _ hub.Place) (hub.Placed, hub.Grant, error) {
+	r.gateway.AcquireSlot = func(ctx context.Context, _ hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 		<-ctx.Done()
-		return hub.Placed{}, nil, ctx.Err()
+		return hub.SlotReply{}, nil, ctx.Err()
 	}
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m", LoadTime: time.Minute}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
@@ -431,8 +431,8 @@
 	})
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
-	r.gateway.Place = func(context.Context, hub.Place) (hub.Placed, hub.Grant, error) {
-		return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
+	r.gateway.AcquireSlot = func(context.Context, hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
+		return hub.SlotReply{Granted: true, Server: "i-1"}, noGrant{}, nil
 	}
 	require.Equal(t, 200, r.do("GET", "/stream/", "r1", "", "X-Guavapaddle-Model: m").status)
 	require.Empty(t, leaving.Runs())
@@ -443,10 +443,10 @@
 type countedGrant struct{ done *atomic.Int64 }
 
 // NamedRate implements hub.Grant.
-func (countedGrant) NamedRate(*float64) {}
+func (countedGrant) SetRate(*float64) {}
 
 // Begun implements hub.Grant.
-func (countedGrant) Begun() {}
+func (countedGrant) PrefillDone() {}
 
 // Done implements hub.Grant.
 func (c countedGrant) Done(balance.Result) { c.done.Add(1) }
@@ -464,9 +464,9 @@
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
 	var placed, done atomic.Int64
-	r.gateway.Place = func(_ context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
+	r.gateway.AcquireSlot = func(_ context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 		n := placed.Add(1)
-		return hub.Placed{Granted: true, Server: fmt.Sprint("i-", n%4)}, countedGrant{&done}, nil
+		return hub.SlotReply{Granted: true, Server: fmt.Sprint("i-", n%4)}, countedGrant{&done}, nil
 	}
 	for i := range 20 {
 		require.Equal(t, 503, r.do("GET", "/stream/", fmt.Sprint("r", i), "", "X-Guavapaddle-Model: m").status)
@@ -479,10 +479,10 @@
 type noGrant struct{}
 
 // NamedRate implements hub.Grant.
-func (noGrant) NamedRate(*float64) {}
+func (noGrant) SetRate(*float64) {}
 
 // Begun implements hub.Grant.
-func (noGrant) Begun() {}
+func (noGrant) PrefillDone() {}
 
 // Done implements hub.Grant.
 func (noGrant) Done(balance.Result) {}
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -28,7 +28,7 @@
 	// Quota means that the team has used up its quota.
 	Quota Reason = "quota"
 	// Crashes means that the request crashed several servers.
-	Crashes Reason = "crashes"
+	CrashSuspect Reason = "crashes"
 	// NoServer means that the service has no server left to try.
 	NoServer Reason = "no-server"
 	// NoModel means that no server holds the model, or will in time.
@@ -39,7 +39,7 @@
 	// that they announced.
 	Limited Reason = "limited"
 	// Resting means that the servers that could run the request asked for a backoff by this node.
-	Resting Reason = "resting"
+	Backoff Reason = "resting"
 	// Leaving means that the server announced that it is leaving after it was picked.
 	Leaving Reason = "leaving"
 	// Stopping means that the node stops before a server is free for the request.
@@ -55,13 +55,13 @@
 	// Reset means that a connection was closed before a byte was written.
 	Reset Reason = "reset"
 	// Cut means that a connection broke after the request was written.
-	Cut Reason = "cut"
+	ConnLost Reason = "cut"
 	// Full means that the server was at capacity and didn't run the request.
 	Full Reason = "full"
 	// Misdirected means that another incarnation of the server uses the address.
 	Misdirected Reason = "misdirected"
 	// Lacking means that the server doesn't hold the model or adapter.
-	Lacking Reason = "lacking"
+	NotResident Reason = "lacking"
 	// WrongAnswer means that a response belonged to another request.
 	WrongAnswer Reason = "wrong-answer"
 	// Unsigned means that a response didn't carry a server's stamp.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -113,7 +113,7 @@
 	t.g.picker.FirstByte(time.Now(), t.ticket)
 	t.g.mu.Unlock()
 	if !t.respMeta.NotRun && t.slot != nil {
-		t.slot.Begun()
+		t.slot.PrefillDone()
 	}
 	result, state, reason := t.classifyResponse()
 	if state == answered && reason == Served && t.usesEngine() {
@@ -132,7 +132,7 @@
 	changed := t.g.picker.LearnLimit(t.selection.Server.ID, l)
 	t.g.mu.Unlock()
 	if t.slot != nil && (l.Active || changed) {
-		t.slot.NamedRate(t.respMeta.Rate)
+		t.slot.SetRate(t.respMeta.Rate)
 	}
 	if changed {
 		t.g.Log.Info("server-limit", zap.String("request-id", t.meta.ID), zap.String("server", t.selection.Server.ID),
@@ -144,7 +144,7 @@
 // leaving or asked for a backoff.
 func (t *try) recordServerState() {
 	s := t.selection.Server
-	if t.respMeta.Leaving && t.g.OnDeparture != nil && t.g.OnDeparture(departure.IncarnationOf(s)) {
+	if t.respMeta.Leaving && t.g.OnLeaving != nil && t.g.OnLeaving(departure.IncarnationOf(s)) {
 		t.g.Log.Info("server-departs", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.String("rule", t.rule))
 	}
 	if t.respMeta.Rest > 0 {
@@ -251,7 +251,7 @@
 	}
 	t.g.Pool.Drop(t.selection.Server.Address)
 	t.g.recordCrash(t.fingerprint, t.selection.Server.ID)
-	return balance.ConnFailed, unknown, Cut
+	return balance.ConnFailed, unknown, ConnLost
 }
 
 // classifyResponse classifies a response by its header, and forwards it if it is final.
@@ -298,7 +298,7 @@
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
 	t.g.picker.SetResidency(time.Now(), id, t.meta.Model, t.meta.Adapter, false)
-	return Lacking
+	return NotResident
 }
 
 // discardBody reads a response that isn't forwarded to its end and keeps the connection.
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -119,7 +119,7 @@
 			}
 		}
 		lastTry = reason
-		if reason != Lacking {
+		if reason != NotResident {
 			r.excluded[c.Server.ID] = true
 		}
 	}
@@ -247,14 +247,14 @@
 
 // requestSlot requests a slot from the leader.
 func (r *request) requestSlot(b balance.Request, w hub.Item) (c balance.Selection, reason Reason, result slotResult) {
-	p := hub.Place{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacking, Priority: r.urgency(),
+	p := hub.SlotRequest{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacking, Priority: r.urgency(),
 		Waited: time.Since(r.x.Received),
 		Target: time.Until(r.x.Received.Add(r.route.TargetLatency * targetPercent / 100)), Expire: r.maxWait(b.Model)}
 	p.Charge = r.pendingCharge()
 	p.Exclude = r.unusable()
 	ctx, cancel := r.waitContext()
 	defer cancel()
-	reply, grant, err := r.g.Place(ctx, p)
+	reply, grant, err := r.g.AcquireSlot(ctx, p)
 	if ctx.Err() != nil {
 		if err == nil {
 			grant.Done(balance.Abandoned)
@@ -274,7 +274,7 @@
 		grant.Done(balance.Abandoned)
 		r.retryAfter = reply.After
 		if reply.Why == string(balance.NoServer) && len(p.Exclude) > len(r.excluded) {
-			return c, Resting, decided
+			return c, Backoff, decided
 		}
 		return c, Reason(reply.Why), decided
 	}
@@ -332,7 +332,7 @@
 func (r *request) requestAdapter(w hub.Item) {
 	ctx, cancel := context.WithTimeout(r.x.Context(), recheckInterval)
 	defer cancel()
-	reply := r.g.Want(ctx, hub.Want{Item: w, Lacks: r.lacking, Exclude: r.unusable()})
+	reply := r.g.RequestLoad(ctx, hub.LoadRequest{Item: w, Lacks: r.lacking, Exclude: r.unusable()})
 	if !reply.Found {
 		return
 	}
--- a/internal/gateway/spend.go
+++ b/internal/gateway/spend.go
@@ -89,14 +89,14 @@
 }
 
 // Spent returns this node's usage of the quotas, for a report.
-func (g *Gateway) Spent() quota.UsageReport {
+func (g *Gateway) QuotaUsage() quota.UsageReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.account.Report()
 }
 
 // Told applies a granter's reply to a report of the usage.
-func (g *Gateway) Told(number uint64, states map[string]quota.State, nodes int) {
+func (g *Gateway) UpdateQuotas(number uint64, states map[string]quota.State, nodes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.account.Acknowledge(number)
@@ -105,7 +105,7 @@
 }
 
 // Unled records that no granter replies.
-func (g *Gateway) Unled() {
+func (g *Gateway) LeaderLost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.granterReachable = false
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -29,7 +29,7 @@
 
 const (
 	// Tick is the interval at which waiting requests are checked for expiry.
-	Tick = 50 * time.Millisecond
+	TickPeriod = 50 * time.Millisecond
 
 	// deputyRateFraction is the fraction of the servers' rate limits that a deputy grants. The
 	// leader, which it can't reach, may be granting all of them to other nodes, and servers
@@ -50,7 +50,7 @@
 	Granter struct {
 		Log      *zap.Logger
 		Settings grant.Settings
-		Adapter  func(ctx context.Context, w hub.Want) hub.Offer // loads an adapter
+		LoadAdapter  func(ctx context.Context, w hub.LoadRequest) hub.LoadReply // loads an adapter
 		Counts   func() map[string]balance.Count                 // counts over all nodes, by server; may be nil
 		Limits   func() []hub.Limit                              // known rate limits of servers; may be nil
 		// Tolerance is how far a team's usage may exceed its quota.
@@ -70,7 +70,7 @@
 	}
 
 	waiter struct {
-		slot      hub.Place
+		slot      hub.SlotRequest
 		arrivedAt time.Time
 		ahead     int // requests that were waiting when it arrived
 		decision  chan grant.Decision
@@ -110,7 +110,7 @@
 }
 
 // Servers sets the list of backend servers.
-func (g *Granter) Servers(list []fleet.Server) {
+func (g *Granter) SetServers(list []fleet.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.servers = list
@@ -125,13 +125,13 @@
 // Run expires waiting requests and updates the counts of requests that nodes started
 // without a grant, until ctx ends.
 func (g *Granter) Run(ctx context.Context) {
-	t := time.NewTicker(Tick)
+	t := time.NewTicker(TickPeriod)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			if g.Counts != nil {
-				g.Running(g.Counts())
+				g.SetCounts(g.Counts())
 			}
 			g.tick()
 		case <-ctx.Done():
@@ -153,7 +153,7 @@
 }
 
 // Note applies a residency update, which overrides the server's entry.
-func (g *Granter) Note(n hub.Note) {
+func (g *Granter) SetResidency(n hub.ResidencyUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.picker == nil {
@@ -165,7 +165,7 @@
 }
 
 // LearnLimits merges rate limits that servers set in responses to another node.
-func (g *Granter) LearnLimits(list []hub.Limit) {
+func (g *Granter) MergeLimits(list []hub.Limit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.picker == nil {
@@ -182,14 +182,14 @@
 	changed := false
 	now := time.Now()
 	for _, l := range list {
-		changed = g.picker.LearnLimit(l.Server, l.Said(now)) || changed
+		changed = g.picker.LearnLimit(l.Server, l.Local(now)) || changed
 	}
 	return changed
 }
 
 // Running sets how many streams all nodes have at each server. Those that this
 // granter has granted are subtracted, since they are counted already.
-func (g *Granter) Running(counts map[string]balance.Count) {
+func (g *Granter) SetCounts(counts map[string]balance.Count) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.picker == nil {
@@ -205,7 +205,7 @@
 
 // Place waits until a request is granted a slot or refused, and calls queued if
 // that isn't decided immediately.
-func (g *Granter) Place(ctx context.Context, p hub.Place, queued func()) (grant.Decision, hub.Grant, error) {
+func (g *Granter) AcquireSlot(ctx context.Context, p hub.SlotRequest, queued func()) (grant.Decision, hub.SlotGrant, error) {
 	w := waiter{slot: p, arrivedAt: time.Now(), decision: make(chan grant.Decision, 1)}
 	g.mu.Lock()
 	if g.scheduler == nil {
@@ -226,7 +226,7 @@
 	}
 	w.ahead = g.scheduler.Waiting()
 	g.waiters[id] = w
-	g.scheduler.Enqueue(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
+	g.scheduler.Enqueue(grant.Request{ID: id, Pick: p.PickRequest(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
 		TargetStart: now.Add(p.Target), Deadline: now.Add(p.Expire)})
 	g.grantSlots()
 	g.loadMissing()
@@ -267,7 +267,7 @@
 }
 
 // NamedRate implements hub.Grant.
-func (s *slot) NamedRate(perSecond *float64) {
+func (s *slot) SetRate(perSecond *float64) {
 	s.g.mu.Lock()
 	defer s.g.mu.Unlock()
 	s.g.scheduler.LearnLimit(time.Now(), s.id, perSecond)
@@ -275,7 +275,7 @@
 }
 
 // Begun implements hub.Grant.
-func (s *slot) Begun() {
+func (s *slot) PrefillDone() {
 	s.g.mu.Lock()
 	defer s.g.mu.Unlock()
 	s.g.scheduler.PrefillDone(time.Now(), s.id)
@@ -312,7 +312,7 @@
 
 // Limited returns the models of which requests were recently refused because all their
 // servers had reached their rate limits.
-func (g *Granter) Limited() map[string]bool {
+func (g *Granter) LimitedModels() map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
@@ -341,9 +341,9 @@
 func (g *Granter) loadAdapter(item hub.Item) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	reply := g.Adapter(ctx, g.loadRequest(item))
+	reply := g.LoadAdapter(ctx, g.loadRequest(item))
 	if !reply.Found {
-		clock.Sleep(ctx, Tick)
+		clock.Sleep(ctx, TickPeriod)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -357,10 +357,10 @@
 
 // loadRequest returns the load request for an item, with the servers that the requests
 // waiting for it exclude or found without it.
-func (g *Granter) loadRequest(i hub.Item) hub.Want {
+func (g *Granter) loadRequest(i hub.Item) hub.LoadRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := hub.Want{Item: i}
+	out := hub.LoadRequest{Item: i}
 	for _, w := range g.waiters {
 		if w.slot.Item == i {
 			out.Lacks = append(out.Lacks, w.slot.Lacks...)
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -19,9 +19,9 @@
 	"guavapaddle/internal/testbed/await"
 )
 
-func startGranter(t *testing.T, adapter func(context.Context, hub.Want) hub.Offer) *granter.Granter {
+func startGranter(t *testing.T, adapter func(context.Context, hub.LoadRequest) hub.LoadReply) *granter.Granter {
 	t.Helper()
-	g := &granter.Granter{Log: zap.NewNop(), Adapter: adapter}
+	g := &granter.Granter{Log: zap.NewNop(), LoadAdapter: adapter}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -32,24 +32,24 @@
 		cancel()
 		await.Value(t, done, "the granter's end")
 	})
-	g.Servers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}}})
+	g.SetServers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 	g.Reset()
 	return g
 }
 
-func slotRequest(model, adapter string, tokens int) hub.Place {
-	return hub.Place{Item: hub.Item{Service: "llm", Model: model, Adapter: adapter}, Tokens: tokens,
+func slotRequest(model, adapter string, tokens int) hub.SlotRequest {
+	return hub.SlotRequest{Item: hub.Item{Service: "llm", Model: model, Adapter: adapter}, Tokens: tokens,
 		Target: time.Second, Expire: 3 * time.Second}
 }
 
 func TestReleaseFreesSlot(t *testing.T) {
 	g := startGranter(t, nil)
-	d, grant, err := g.Place(context.Background(), slotRequest("m", "", 1500), func() {})
+	d, grant, err := g.AcquireSlot(context.Background(), slotRequest("m", "", 1500), func() {})
 	require.NoError(t, err)
 	require.True(t, d.Granted)
 	second := make(chan bool, 1)
 	go func() {
-		d, grant, err := g.Place(context.Background(), slotRequest("m", "", 1500), func() {})
+		d, grant, err := g.AcquireSlot(context.Background(), slotRequest("m", "", 1500), func() {})
 		if err == nil {
 			grant.Done(balance.Succeeded)
 		}
@@ -64,22 +64,22 @@
 	g := startGranter(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, _, err := g.Place(ctx, slotRequest("none", "", 100), func() {})
+	_, _, err := g.AcquireSlot(ctx, slotRequest("none", "", 100), func() {})
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.Empty(t, g.Waiting())
 }
 
 func TestMissingAdapterIsLoadedOnce(t *testing.T) {
 	var loads atomic.Int64
-	g := startGranter(t, func(_ context.Context, w hub.Want) hub.Offer {
+	g := startGranter(t, func(_ context.Context, w hub.LoadRequest) hub.LoadReply {
 		loads.Add(1)
-		return hub.Offer{Found: w.Adapter == "a1", Server: "i-1"}
+		return hub.LoadReply{Found: w.Adapter == "a1", Server: "i-1"}
 	})
-	d, grant, err := g.Place(context.Background(), slotRequest("m", "a1", 100), func() {})
+	d, grant, err := g.AcquireSlot(context.Background(), slotRequest("m", "a1", 100), func() {})
 	require.NoError(t, err)
 	require.True(t, d.Granted)
 	grant.Done(balance.Succeeded)
-	d, grant, err = g.Place(context.Background(), slotRequest("m", "a1", 100), func() {})
+	d, grant, err = g.AcquireSlot(context.Background(), slotRequest("m", "a1", 100), func() {})
 	require.NoError(t, err)
 	require.True(t, d.Granted)
 	grant.Done(balance.Succeeded)
@@ -89,18 +89,18 @@
 // TestLoadRequestCarriesExcludedServers checks that the load request carries the servers
 // that the waiting request excludes, here the one that holds the adapter.
 func TestLoadRequestCarriesExcludedServers(t *testing.T) {
-	requests := make(chan hub.Want, 1)
-	g := startGranter(t, func(_ context.Context, w hub.Want) hub.Offer {
+	requests := make(chan hub.LoadRequest, 1)
+	g := startGranter(t, func(_ context.Context, w hub.LoadRequest) hub.LoadReply {
 		requests <- w
-		return hub.Offer{Found: true, Server: "i-2"}
+		return hub.LoadReply{Found: true, Server: "i-2"}
 	})
-	g.Servers([]fleet.Server{
+	g.SetServers([]fleet.Server{
 		{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m", Adapters: []string{"a1"}}}},
 		{ID: "i-2", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}},
 	})
 	p := slotRequest("m", "a1", 100)
 	p.Exclude = []string{"i-1"}
-	d, grant, err := g.Place(context.Background(), p, func() {})
+	d, grant, err := g.AcquireSlot(context.Background(), p, func() {})
 	require.NoError(t, err)
 	defer grant.Done(balance.Succeeded)
 	require.True(t, d.Granted)
@@ -114,7 +114,7 @@
 	p.Target, p.Expire = 0, 200*time.Millisecond
 	waiting := make(chan map[string]int, 1)
 	time.AfterFunc(100*time.Millisecond, func() { waiting <- g.Waiting() })
-	d, grant, err := g.Place(context.Background(), p, func() {})
+	d, grant, err := g.AcquireSlot(context.Background(), p, func() {})
 	require.NoError(t, err)
 	defer grant.Done(balance.Abandoned)
 	require.False(t, d.Granted)
@@ -130,13 +130,13 @@
 	g := startGranter(t, nil)
 	g.Limits = func() []hub.Limit { return []hub.Limit{{Server: "i-1", Rate: 0.5, Active: true, Age: time.Minute}} }
 	g.Reset()
-	granted := make(chan hub.Grant, requests)
+	granted := make(chan hub.SlotGrant, requests)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	var all sync.WaitGroup
 	for range requests {
 		all.Go(func() {
-			if d, grant, err := g.Place(ctx, slotRequest("m", "", 1), func() {}); err == nil && d.Granted {
+			if d, grant, err := g.AcquireSlot(ctx, slotRequest("m", "", 1), func() {}); err == nil && d.Granted {
 				granted <- grant
 			}
 		})
@@ -166,13 +166,13 @@
 			g := &granter.Granter{Log: zap.NewNop(), Limits: func() []hub.Limit {
 				return []hub.Limit{{Server: "i-1", Rate: rate, Active: true}}
 			}}
-			g.Servers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}}})
+			g.SetServers([]fleet.Server{{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}}})
 			reset(g)
 			all.Go(func() { g.Run(ctx) })
 			for range requesters {
 				all.Go(func() {
 					for ctx.Err() == nil {
-						d, grant, err := g.Place(ctx, slotRequest("m", "", 1), func() {})
+						d, grant, err := g.AcquireSlot(ctx, slotRequest("m", "", 1), func() {})
 						if err != nil || !d.Granted {
 							<-time.After(100 * time.Millisecond)
 							continue
@@ -208,7 +208,7 @@
 	waits := make(chan error, 1)
 	queued := make(chan struct{})
 	go func() {
-		_, _, err := g.Place(context.Background(), slotRequest("other", "", 100), func() { close(queued) })
+		_, _, err := g.AcquireSlot(context.Background(), slotRequest("other", "", 100), func() { close(queued) })
 		waits <- err
 	}()
 	<-queued
--- a/internal/granter/quotas.go
+++ b/internal/granter/quotas.go
@@ -20,7 +20,7 @@
 )
 
 // Teams sets the quotas of teams.
-func (g *Granter) Teams(teams []fleet.Team) {
+func (g *Granter) SetTeams(teams []fleet.Team) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.teams = teams
@@ -29,14 +29,14 @@
 }
 
 // Spent records the usage that a node reports and returns the quota states to send to it.
-func (g *Granter) Spent(r hub.Report) map[string]quota.State {
+func (g *Granter) ReportUsage(r hub.Report) map[string]quota.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Report(time.Now(), r.Node, r.At.Key, r.Quotas)
 }
 
 // Accounts returns the usage of all teams with a quota.
-func (g *Granter) Accounts() []quota.Balance {
+func (g *Granter) Balances() []quota.Balance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Balances(time.Now())
@@ -51,7 +51,7 @@
 
 // Collect implements prometheus.Collector.
 func (g *Granter) Collect(c chan<- prometheus.Metric) {
-	for _, a := range g.Accounts() {
+	for _, a := range g.Balances() {
 		for d, v := range map[*prometheus.Desc]float64{quotaLeft: a.Left, quotaUsed: a.Used, quotaRate: a.Quota.Rate} {
 			c <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, a.Team)
 		}
--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -31,7 +31,7 @@
 
 type (
 	// Want asks the leader to load a model or adapter immediately.
-	Want struct {
+	LoadRequest struct {
 		Item
 		Lacks   []string // servers that recently responded that it isn't resident
 		Exclude []string // servers that the waiting requests exclude
@@ -40,7 +40,7 @@
 	// Place asks the leader for a slot of an engine. The reply comes when the
 	// request may start. The caller then reports the end of the prefill, and the
 	// result of the request in a Released.
-	Place struct {
+	SlotRequest struct {
 		Item
 		Request  string // request id, for the log
 		Tokens   int    // length of the prompt
@@ -62,7 +62,7 @@
 	}
 
 	// Placed is the reply to a Place.
-	Placed struct {
+	SlotReply struct {
 		Granted bool
 		Server  string // incarnation
 		Granter int64  // granter that counts the request until it ends
@@ -73,21 +73,21 @@
 
 	// Grant is a granted slot, or a wait that ended without one. Done must be
 	// called exactly once.
-	Grant interface {
-		NamedRate(perSecond *float64) // the server's response sets a rate limit, or removes it if nil
-		Begun()                       // the prefill is done and the response has started
+	SlotGrant interface {
+		SetRate(perSecond *float64) // the server's response sets a rate limit, or removes it if nil
+		PrefillDone()                       // the prefill is done and the response has started
 		Done(r balance.Result)        // the request has ended
 	}
 
 	// Released frees a granted slot.
-	Released struct{ Result balance.Result }
+	Release struct{ Result balance.Result }
 
 	// Rated carries the rate limit of a server's response, nil for none.
-	Rated struct{ PerSecond *float64 }
+	RateUpdate struct{ PerSecond *float64 }
 
 	// Offer is the reply to a Want: the server that holds the item, or why none
 	// can.
-	Offer struct {
+	LoadReply struct {
 		Found  bool
 		Server string // incarnation
 		Why    string
@@ -96,26 +96,26 @@
 	// Client calls the leader.
 	Client struct {
 		Endpoint *peer.Endpoint
-		Heard    func() // called for each frame received from the leader, may be nil
+		OnReply    func() // called for each frame received from the leader, may be nil
 	}
 
 	// SilentError means that the leader didn't reply within AckTimeout.
-	SilentError struct{ Address string }
+	AckTimeoutError struct{ Address string }
 
 	// Holder serves the calls of other nodes.
-	Holder interface {
-		Report(r Report) Picture
-		Want(ctx context.Context, w Want) Offer
+	Leader interface {
+		HandleReport(r Report) ReportReply
+		RequestLoad(ctx context.Context, w LoadRequest) LoadReply
 		// Place waits for a slot, and calls queued if the request has to wait.
-		Place(ctx context.Context, p Place, queued func()) (Placed, Grant, error)
+		AcquireSlot(ctx context.Context, p SlotRequest, queued func()) (SlotReply, SlotGrant, error)
 	}
 )
 
 // Error implements error.
-func (e *SilentError) Error() string { return "hub: no reply from " + e.Address }
+func (e *AckTimeoutError) Error() string { return "hub: no reply from " + e.Address }
 
 // Pick returns the request for which a server is picked.
-func (p Place) Pick() balance.Request {
+func (p SlotRequest) PickRequest() balance.Request {
 	r := balance.Request{Service: p.Service, Model: p.Model, Adapter: p.Adapter, Tokens: p.Tokens, Segments: p.Parts, Zone: p.Zone}
 	if len(p.Exclude) > 0 {
 		r.Exclude = make(map[string]bool, len(p.Exclude))
@@ -127,41 +127,41 @@
 }
 
 // Exchange reports to the leader and returns its reply.
-func (c *Client) Exchange(ctx context.Context, address string, r Report) (Picture, error) {
-	var p Picture
+func (c *Client) Exchange(ctx context.Context, address string, r Report) (ReportReply, error) {
+	var p ReportReply
 	err := c.call(ctx, address, kindReport, r, &p)
 	return p, err
 }
 
 // Want asks the leader to load a model or adapter.
-func (c *Client) Want(ctx context.Context, address string, w Want) (Offer, error) {
-	var o Offer
+func (c *Client) RequestLoad(ctx context.Context, address string, w LoadRequest) (LoadReply, error) {
+	var o LoadReply
 	err := c.call(ctx, address, kindLoadRequest, w, &o)
 	return o, err
 }
 
 // Place asks the leader for a slot and waits until it is granted or refused.
-func (c *Client) Place(ctx context.Context, address string, p Place) (Placed, Grant, error) {
+func (c *Client) AcquireSlot(ctx context.Context, address string, p SlotRequest) (SlotReply, SlotGrant, error) {
 	f, err := peer.Encode(kindSlotRequest, p)
 	if err != nil {
-		return Placed{}, nil, err
+		return SlotReply{}, nil, err
 	}
 	s, err := c.Endpoint.Open(ctx, address, f)
 	if err != nil {
-		return Placed{}, nil, err
+		return SlotReply{}, nil, err
 	}
 	stop := context.AfterFunc(ctx, s.Cancel)
 	frame, err := c.readSlotReply(s, address)
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
-	var reply Placed
+	var reply SlotReply
 	if err == nil {
 		err = frame.Decode(&reply)
 	}
 	if err != nil {
 		s.Cancel()
-		return Placed{}, nil, err
+		return SlotReply{}, nil, err
 	}
 	return reply, &streamGrant{s}, nil
 }
@@ -170,15 +170,15 @@
 type streamGrant struct{ s *peer.Stream }
 
 // NamedRate implements Grant.
-func (g *streamGrant) NamedRate(perSecond *float64) {
-	f, err := peer.Encode(kindRateUpdate, Rated{perSecond})
+func (g *streamGrant) SetRate(perSecond *float64) {
+	f, err := peer.Encode(kindRateUpdate, RateUpdate{perSecond})
 	if err != nil || g.s.Write(f) != nil {
 		g.s.Cancel()
 	}
 }
 
 // Begun implements Grant.
-func (g *streamGrant) Begun() {
+func (g *streamGrant) PrefillDone() {
 	if g.s.Write(peer.Frame{Kind: kindPrefillDone}) != nil {
 		g.s.Cancel()
 	}
@@ -187,7 +187,7 @@
 // Done implements Grant. If the result can't be sent, the end of the stream frees
 // the slot all the same.
 func (g *streamGrant) Done(r balance.Result) {
-	f, err := peer.Encode(kindRelease, Released{r})
+	f, err := peer.Encode(kindRelease, Release{r})
 	if err == nil {
 		err = g.s.Write(f)
 	}
@@ -205,7 +205,7 @@
 	s.ReadBy(deadline)
 	f, err := c.readFrame(s)
 	if err != nil && !time.Now().Before(deadline) {
-		return f, &SilentError{Address: address}
+		return f, &AckTimeoutError{Address: address}
 	}
 	if err != nil || f.Kind != kindQueued {
 		return f, err
@@ -217,8 +217,8 @@
 // readFrame reads a frame and calls Heard.
 func (c *Client) readFrame(s *peer.Stream) (peer.Frame, error) {
 	f, err := s.Read()
-	if err == nil && c.Heard != nil {
-		c.Heard()
+	if err == nil && c.OnReply != nil {
+		c.OnReply()
 	}
 	return f, err
 }
@@ -246,7 +246,7 @@
 }
 
 // Serve handles one call of another node.
-func Serve(ctx context.Context, h Holder, f peer.Frame, s *peer.Stream) {
+func Serve(ctx context.Context, h Leader, f peer.Frame, s *peer.Stream) {
 	defer s.CancelRead()
 	defer func() { _ = s.Close() }()
 	var reply peer.Frame
@@ -257,15 +257,15 @@
 		if f.Decode(&r) != nil {
 			return
 		}
-		reply, err = peer.Encode(kindReportReply, h.Report(r))
+		reply, err = peer.Encode(kindReportReply, h.HandleReport(r))
 	case kindLoadRequest:
-		var w Want
+		var w LoadRequest
 		if f.Decode(&w) != nil {
 			return
 		}
 		ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 		defer cancel()
-		reply, err = peer.Encode(kindLoadReply, h.Want(ctx, w))
+		reply, err = peer.Encode(kindLoadReply, h.RequestLoad(ctx, w))
 	case kindSlotRequest:
 		serveSlotRequest(ctx, h, f, s)
 		return
@@ -283,13 +283,13 @@
 
 // serveSlotRequest handles one Place and keeps the granted slot until it is released or
 // the stream ends.
-func serveSlotRequest(ctx context.Context, h Holder, f peer.Frame, s *peer.Stream) {
-	var p Place
+func serveSlotRequest(ctx context.Context, h Leader, f peer.Frame, s *peer.Stream) {
+	var p SlotRequest
 	if f.Decode(&p) != nil {
 		return
 	}
 	queued := func() { _ = s.Write(peer.Frame{Kind: kindQueued}) } // a failed write cancels ctx
-	placed, grant, err := h.Place(ctx, p, queued)
+	placed, grant, err := h.AcquireSlot(ctx, p, queued)
 	if err != nil {
 		s.Cancel()
 		return
@@ -308,16 +308,16 @@
 		}
 		switch f.Kind {
 		case kindRateUpdate:
-			var r Rated
+			var r RateUpdate
 			if f.Decode(&r) != nil {
 				return
 			}
-			grant.NamedRate(r.PerSecond)
+			grant.SetRate(r.PerSecond)
 		case kindPrefillDone:
-			grant.Begun()
+			grant.PrefillDone()
 			s.ReadBy(time.Now().Add(maxRunTime))
 		case kindRelease:
-			var r Released
+			var r Release
 			if f.Decode(&r) == nil {
 				result = r.Result
 			}
--- a/internal/hub/client_test.go
+++ b/internal/hub/client_test.go
@@ -18,26 +18,26 @@
 // slotServer grants a slot once decide is closed. If mute is set it doesn't confirm that the
 // request is queued.
 type slotServer struct {
-	hub.Holder
+	hub.Leader
 	unresponsive bool
 	decided      chan struct{}
 }
 
 // Place implements hub.Holder.
-func (h *slotServer) Place(ctx context.Context, _ hub.Place, queued func()) (hub.Placed, hub.Grant, error) {
+func (h *slotServer) AcquireSlot(ctx context.Context, _ hub.SlotRequest, queued func()) (hub.SlotReply, hub.SlotGrant, error) {
 	if !h.unresponsive {
 		queued()
 	}
 	select {
 	case <-h.decided:
-		return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
+		return hub.SlotReply{Granted: true, Server: "i-1"}, noGrant{}, nil
 	case <-ctx.Done():
-		return hub.Placed{}, nil, ctx.Err()
+		return hub.SlotReply{}, nil, ctx.Err()
 	}
 }
 
 // endpoint runs an endpoint that trusts every key.
-func endpoint(t testing.TB, name string, h hub.Holder) *peer.Endpoint {
+func endpoint(t testing.TB, name string, h hub.Leader) *peer.Endpoint {
 	t.Helper()
 	key, err := keys.NewMemory(name)
 	require.NoError(t, err)
@@ -59,10 +59,10 @@
 func TestSlotRequestFailsWithoutAcknowledgement(t *testing.T) {
 	unresponsive := endpoint(t, "mute", &slotServer{unresponsive: true})
 	replies := 0
-	c := &hub.Client{Endpoint: endpoint(t, "node", nil), Heard: func() { replies++ }}
+	c := &hub.Client{Endpoint: endpoint(t, "node", nil), OnReply: func() { replies++ }}
 	start := time.Now()
-	_, _, err := c.Place(context.Background(), unresponsive.Address, hub.Place{})
-	var silent *hub.SilentError
+	_, _, err := c.AcquireSlot(context.Background(), unresponsive.Address, hub.SlotRequest{})
+	var silent *hub.AckTimeoutError
 	require.ErrorAs(t, err, &silent)
 	require.Equal(t, unresponsive.Address, silent.Address)
 	require.GreaterOrEqual(t, time.Since(start), hub.AckTimeout)
@@ -73,9 +73,9 @@
 	h := &slotServer{decided: make(chan struct{})}
 	e := endpoint(t, "holder", h)
 	replies := make(chan struct{}, 8)
-	c := &hub.Client{Endpoint: endpoint(t, "node", nil), Heard: func() { replies <- struct{}{} }}
+	c := &hub.Client{Endpoint: endpoint(t, "node", nil), OnReply: func() { replies <- struct{}{} }}
 	time.AfterFunc(2*hub.AckTimeout, func() { close(h.decided) })
-	p, grant, err := c.Place(context.Background(), e.Address, hub.Place{})
+	p, grant, err := c.AcquireSlot(context.Background(), e.Address, hub.SlotRequest{})
 	require.NoError(t, err)
 	require.True(t, p.Granted)
 	grant.Done(balance.Succeeded)
@@ -86,20 +86,20 @@
 type noGrant struct{}
 
 // NamedRate implements hub.Grant.
-func (noGrant) NamedRate(*float64) {}
+func (noGrant) SetRate(*float64) {}
 
 // Begun implements hub.Grant.
-func (noGrant) Begun() {}
+func (noGrant) PrefillDone() {}
 
 // Done implements hub.Grant.
 func (noGrant) Done(balance.Result) {}
 
 // grantingServer grants every slot request immediately.
-type grantingServer struct{ hub.Holder }
+type grantingServer struct{ hub.Leader }
 
 // Place implements hub.Holder.
-func (grantingServer) Place(context.Context, hub.Place, func()) (hub.Placed, hub.Grant, error) {
-	return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
+func (grantingServer) AcquireSlot(context.Context, hub.SlotRequest, func()) (hub.SlotReply, hub.SlotGrant, error) {
+	return hub.SlotReply{Granted: true, Server: "i-1"}, noGrant{}, nil
 }
 
 // BenchmarkPlace measures slot requests from the call to the release, with both ends of
@@ -107,13 +107,13 @@
 func BenchmarkPlace(b *testing.B) {
 	e := endpoint(b, "holder", grantingServer{})
 	c := &hub.Client{Endpoint: endpoint(b, "node", nil)}
-	p := hub.Place{Item: hub.Item{Service: "drafter", Model: "mizi247a5b"}, Request: "9c41d07be2a35f68", Tokens: 1460, Zone: "seq-a", Priority: 2,
+	p := hub.SlotRequest{Item: hub.Item{Service: "drafter", Model: "mizi247a5b"}, Request: "9c41d07be2a35f68", Tokens: 1460, Zone: "seq-a", Priority: 2,
 		Parts:  []balance.Segment{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}, {ID: "e4402b7d", Tokens: 250}},
 		Target: 360 * time.Millisecond, Expire: 2 * time.Second}
 	for b.Loop() {
-		_, grant, err := c.Place(context.Background(), e.Address, p)
+		_, grant, err := c.AcquireSlot(context.Background(), e.Address, p)
 		require.NoError(b, err)
-		grant.Begun()
+		grant.PrefillDone()
 		grant.Done(balance.Succeeded)
 	}
 }
--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -22,7 +22,7 @@
 	reportTTL = 1500 * time.Millisecond
 	// LimitLife is how long nodes exchange a server's rate limit after it was last
 	// reported.
-	LimitLife = 10 * time.Second
+	LimitTTL = 10 * time.Second
 	// markTTL is how long the crash marks of a request are kept.
 	markTTL = 60 * time.Second
 	// maxMarks bounds the number of crash marks that are kept.
@@ -41,18 +41,18 @@
 		Item
 		Tokens  int // prompt tokens
 		Waiting int // requests that wait for it now
-		Ran     Ran // streams that ended
+		Ran     StreamTotals // streams that ended
 	}
 
 	// Ran sums up streams that ended successfully.
-	Ran struct {
+	StreamTotals struct {
 		Tokens int           // prompt tokens
 		Time   time.Duration // for which they occupied a slot of an engine
 	}
 
 	// Note is a residency update: it says whether a server holds a model or adapter
 	// before the server's entry in the store does.
-	Note struct {
+	ResidencyUpdate struct {
 		Server  string
 		Model   string
 		Adapter string
@@ -61,7 +61,7 @@
 
 	// Mark is a crash mark: a server ended while it ran the request with this
 	// fingerprint.
-	Mark struct {
+	CrashMark struct {
 		Fingerprint uint64
 		Server      string // incarnation that ended
 	}
@@ -80,15 +80,15 @@
 		At     Contact
 		Counts map[string]balance.Count // by server
 		Demand []Demand
-		Marks  []Mark // added since the last report
-		Known  follow.Known
+		Marks  []CrashMark // added since the last report
+		Known  follow.Versions
 		Update *follow.Update // changes that this node has read and the leader lacks
 
 		Contact  time.Duration // since the store last responded to this node
-		Heard    Heard         // residency updates and crash marks that this node has received
+		Heard    Ack         // residency updates and crash marks that this node has received
 		Lease    int64         // version of the lease's row that this node has
 		Roster   uint64        // version of the list of reporting nodes that this node has
-		Echo     Echo
+		Echo     ClockEcho
 		Quotas   quota.UsageReport
 		Limits   []Limit                 // rate limits that servers set or removed in responses to this node
 		Departed []departure.Incarnation // servers that announced that they leave but whose entries don't say so yet
@@ -105,7 +105,7 @@
 	// Echo relates the time at which a node read the store to the clock of the node to
 	// which it reports, independently of the report's delay: it names the last reply
 	// received from that node.
-	Echo struct {
+	ClockEcho struct {
 		Hub   uint64        // that replied, 0 for none
 		Stamp time.Duration // of its reply
 		After time.Duration // from the arrival of the reply until the configuration was last confirmed as the newest
@@ -113,13 +113,13 @@
 
 	// Heard acknowledges the residency updates and crash marks of a hub up to a
 	// number.
-	Heard struct {
+	Ack struct {
 		Hub    uint64 // that numbered them
 		Number uint64
 	}
 
 	// Picture is the leader's reply to a report.
-	Picture struct {
+	ReportReply struct {
 		Leading  bool     // the replying node holds the lease
 		Acting   bool     // the replying node is the deputy, and grants slots while nobody holds the lease
 		Deputy   bool     // the reporting node is the deputy and follows the store
@@ -128,9 +128,9 @@
 		Roster   uint64   // version of Keys
 		Nodes    int      // nodes with a recent report, including the reporting one
 		Counts   map[string]balance.Count
-		Notes    []Note // those that the reporting node hasn't acknowledged
-		Marks    []Mark // likewise
-		Heard    Heard
+		Notes    []ResidencyUpdate // those that the reporting node hasn't acknowledged
+		Marks    []CrashMark // likewise
+		Heard    Ack
 		Stamp    time.Duration           // boot time of the replying node
 		Quotas   map[string]quota.State  // by team
 		Limits   []Limit                 // rate limits that servers set or removed in responses to any node
@@ -146,7 +146,7 @@
 		// Granted reports whether requests to a server start only by a granter's
 		// decision, so that nodes don't need the counts of others there; nil for no
 		// server.
-		Granted func(server string) bool
+		HasGranter func(server string) bool
 
 		mu            sync.Mutex
 		deputy        deputy.Selector
@@ -154,8 +154,8 @@
 		cleanedAt     time.Time
 		nodes         map[string]nodeReport
 		total         map[string]balance.Count // over all nodes, by server
-		updates       []numbered[Note]
-		marks         []numbered[Mark]
+		updates       []numbered[ResidencyUpdate]
+		marks         []numbered[CrashMark]
 		demand        []Demand                  // since the last call of Demand
 		limits        map[string]throttle.Limit // by server
 		reportedAt    map[string]time.Time      // when a node last reported a server's limit
@@ -177,7 +177,7 @@
 )
 
 // Take merges a node's report and returns the reply: what the other nodes reported.
-func (h *Hub) Take(now time.Time, r Report) Picture {
+func (h *Hub) Merge(now time.Time, r Report) ReportReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.nodes == nil {
@@ -186,7 +186,7 @@
 	}
 	h.demand = append(h.demand, r.Demand...)
 	for _, m := range r.Marks {
-		h.marks = append(h.marks, numbered[Mark]{m, now, h.nextNumber()})
+		h.marks = append(h.marks, numbered[CrashMark]{m, now, h.nextNumber()})
 	}
 	h.mergeLimits(now, r.Limits)
 	r.Demand, r.Marks, r.Update, r.Limits = nil, nil, nil, nil
@@ -202,7 +202,7 @@
 		h.removeExpired(now)
 		h.selectDeputy(now)
 	}
-	reply := Picture{Leading: true, Nodes: len(h.nodes), Counts: h.countsOfOthers(r.Counts), Deputy: h.deputyNode == r.Node,
+	reply := ReportReply{Leading: true, Nodes: len(h.nodes), Counts: h.countsOfOthers(r.Counts), Deputy: h.deputyNode == r.Node,
 		DeputyAt: h.nodes[h.deputyNode].report.At}
 	if h.id == 0 {
 		h.id = 1 + rand.Uint64N(math.MaxUint64)
@@ -211,20 +211,20 @@
 	if reply.Roster = h.rosterVersion; reply.Deputy && r.Roster != h.rosterVersion {
 		reply.Keys = h.nodeKeys()
 	}
-	reply.Heard = Heard{h.id, h.lastNumber}
+	reply.Heard = Ack{h.id, h.lastNumber}
 	acknowledged := uint64(0)
 	if r.Heard.Hub == h.id {
 		acknowledged = r.Heard.Number
 	}
 	reply.Notes = numberedAfter(h.updates, acknowledged)
 	reply.Marks = numberedAfter(h.marks, acknowledged)
-	reply.Limits = Limits(now, h.limits)
+	reply.Limits = EncodeLimits(now, h.limits)
 	return reply
 }
 
 // Limits converts rate limits to the form in which they are sent to another node,
 // with ages instead of times.
-func Limits(now time.Time, limits map[string]throttle.Limit) []Limit {
+func EncodeLimits(now time.Time, limits map[string]throttle.Limit) []Limit {
 	out := make([]Limit, 0, len(limits))
 	for id, l := range limits {
 		out = append(out, Limit{Server: id, Rate: l.Rate, Active: l.Active, Age: now.Sub(l.At)})
@@ -233,7 +233,7 @@
 }
 
 // Said converts a received limit to one on the local clock.
-func (l Limit) Said(now time.Time) throttle.Limit {
+func (l Limit) Local(now time.Time) throttle.Limit {
 	return throttle.Limit{Rate: l.Rate, Active: l.Active, At: now.Add(-l.Age)}
 }
 
@@ -244,7 +244,7 @@
 		h.limits, h.reportedAt = map[string]throttle.Limit{}, map[string]time.Time{}
 	}
 	for _, l := range list {
-		if limit := l.Said(now); limit.At.After(h.limits[l.Server].At) {
+		if limit := l.Local(now); limit.At.After(h.limits[l.Server].At) {
 			h.limits[l.Server] = limit
 		}
 		h.reportedAt[l.Server] = now
@@ -293,10 +293,10 @@
 }
 
 // Note adds a residency update, which is sent to all nodes until it expires.
-func (h *Hub) Note(now time.Time, n Note) {
+func (h *Hub) AddResidencyUpdate(now time.Time, n ResidencyUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.updates = append(h.updates, numbered[Note]{n, now, h.nextNumber()})
+	h.updates = append(h.updates, numbered[ResidencyUpdate]{n, now, h.nextNumber()})
 }
 
 // Demand returns the demand reported since the last call.
@@ -321,7 +321,7 @@
 func (h *Hub) countsOfOthers(own map[string]balance.Count) map[string]balance.Count {
 	out := map[string]balance.Count{}
 	for id, c := range h.total {
-		if h.Granted != nil && h.Granted(id) {
+		if h.HasGranter != nil && h.HasGranter(id) {
 			continue
 		}
 		if c = addScaled(c, own[id], -1); c != (balance.Count{}) {
@@ -364,7 +364,7 @@
 		}
 	}
 	h.updates = addedSince(h.updates, now.Add(-reportTTL))
-	maps.DeleteFunc(h.reportedAt, func(_ string, at time.Time) bool { return now.Sub(at) > LimitLife })
+	maps.DeleteFunc(h.reportedAt, func(_ string, at time.Time) bool { return now.Sub(at) > LimitTTL })
 	maps.DeleteFunc(h.limits, func(id string, _ throttle.Limit) bool { return h.reportedAt[id].IsZero() })
 	h.marks = addedSince(h.marks, now.Add(-markTTL))
 	if n := len(h.marks) - maxMarks; n > 0 {
--- a/internal/hub/hub_test.go
+++ b/internal/hub/hub_test.go
@@ -15,31 +15,31 @@
 func TestReplyHoldsWhatOtherNodesReported(t *testing.T) {
 	h := &hub.Hub{}
 	now := time.Unix(1000, 0)
-	h.Take(now, hub.Report{Node: "a", Counts: map[string]balance.Count{"i-1": {Pending: 1, Running: 2, Tokens: 300}},
-		Demand: []hub.Demand{{Item: hub.Item{Model: "m"}, Tokens: 500}}, Marks: []hub.Mark{{Fingerprint: 7, Server: "i-9"}}})
-	h.Take(now, hub.Report{Node: "b", Counts: map[string]balance.Count{"i-1": {Pending: 1, Tokens: 100}}})
-	h.Note(now, hub.Note{Server: "i-1", Model: "m", Held: true})
-	p := h.Take(now, hub.Report{Node: "c", Counts: map[string]balance.Count{"i-1": {Pending: 50}}})
+	h.Merge(now, hub.Report{Node: "a", Counts: map[string]balance.Count{"i-1": {Pending: 1, Running: 2, Tokens: 300}},
+		Demand: []hub.Demand{{Item: hub.Item{Model: "m"}, Tokens: 500}}, Marks: []hub.CrashMark{{Fingerprint: 7, Server: "i-9"}}})
+	h.Merge(now, hub.Report{Node: "b", Counts: map[string]balance.Count{"i-1": {Pending: 1, Tokens: 100}}})
+	h.AddResidencyUpdate(now, hub.ResidencyUpdate{Server: "i-1", Model: "m", Held: true})
+	p := h.Merge(now, hub.Report{Node: "c", Counts: map[string]balance.Count{"i-1": {Pending: 50}}})
 	require.True(t, p.Leading)
 	require.Equal(t, 3, p.Nodes)
 	require.Equal(t, balance.Count{Pending: 2, Running: 2, Tokens: 400}, p.Counts["i-1"], "counts of the other nodes only")
-	require.Equal(t, []hub.Mark{{Fingerprint: 7, Server: "i-9"}}, p.Marks)
+	require.Equal(t, []hub.CrashMark{{Fingerprint: 7, Server: "i-9"}}, p.Marks)
 	require.Len(t, p.Notes, 1)
 	require.Len(t, h.Demand(), 1)
 	require.Empty(t, h.Demand(), "each demand is returned once")
 
-	again := h.Take(now, hub.Report{Node: "c", Heard: p.Heard})
+	again := h.Merge(now, hub.Report{Node: "c", Heard: p.Heard})
 	require.Empty(t, again.Marks, "sent once")
 	require.Empty(t, again.Notes)
-	h.Note(now, hub.Note{Server: "i-2", Model: "m", Held: true})
-	again = h.Take(now, hub.Report{Node: "c", Heard: again.Heard})
-	require.Equal(t, []hub.Note{{Server: "i-2", Model: "m", Held: true}}, again.Notes)
+	h.AddResidencyUpdate(now, hub.ResidencyUpdate{Server: "i-2", Model: "m", Held: true})
+	again = h.Merge(now, hub.Report{Node: "c", Heard: again.Heard})
+	require.Equal(t, []hub.ResidencyUpdate{{Server: "i-2", Model: "m", Held: true}}, again.Notes)
 	other := &hub.Hub{}
-	other.Note(now, hub.Note{Server: "i-3"})
-	require.Len(t, other.Take(now, hub.Report{Node: "c", Heard: again.Heard}).Notes, 1, "another hub numbers its own updates")
+	other.AddResidencyUpdate(now, hub.ResidencyUpdate{Server: "i-3"})
+	require.Len(t, other.Merge(now, hub.Report{Node: "c", Heard: again.Heard}).Notes, 1, "another hub numbers its own updates")
 
 	later := now.Add(5 * time.Second)
-	p = h.Take(later, hub.Report{Node: "c"})
+	p = h.Merge(later, hub.Report{Node: "c"})
 	require.Equal(t, 1, p.Nodes, "expired reports are dropped")
 	require.Empty(t, p.Notes, "residency updates expire with the reports")
 	require.Len(t, p.Marks, 1, "crash marks are kept longer")
@@ -52,7 +52,7 @@
 	deputies := func(at time.Time) []string {
 		var out []string
 		for _, n := range []string{"holder", "a", "b", "c"} {
-			if h.Take(at, hub.Report{Node: n, Contact: contact[n]}).Deputy {
+			if h.Merge(at, hub.Report{Node: n, Contact: contact[n]}).Deputy {
 				out = append(out, n)
 			}
 		}
@@ -87,7 +87,7 @@
 		for range rng.IntN(3) {
 			counts[fmt.Sprint("i-", rng.IntN(4))] = balance.Count{Pending: rng.IntN(2), Running: rng.IntN(3), Tokens: rng.IntN(500), Granted: rng.IntN(2)}
 		}
-		got := h.Take(now, hub.Report{Node: node, Counts: counts}).Counts
+		got := h.Merge(now, hub.Report{Node: node, Counts: counts}).Counts
 		last[node], at[node] = counts, now
 		want := map[string]balance.Count{}
 		for n, list := range last {
@@ -111,11 +111,11 @@
 // TestCountsOfGrantedServersAreLeftOut checks that replies leave out the servers whose
 // requests a granter starts: no node picks them by counts.
 func TestCountsOfGrantedServersAreLeftOut(t *testing.T) {
-	h := &hub.Hub{Granted: func(id string) bool { return id == "engine" }}
+	h := &hub.Hub{HasGranter: func(id string) bool { return id == "engine" }}
 	now := time.Unix(1000, 0)
 	counts := map[string]balance.Count{"engine": {Running: 3}, "plain": {Running: 2}}
-	h.Take(now, hub.Report{Node: "a", Counts: counts})
-	require.Equal(t, map[string]balance.Count{"plain": {Running: 2}}, h.Take(now, hub.Report{Node: "b"}).Counts)
+	h.Merge(now, hub.Report{Node: "a", Counts: counts})
+	require.Equal(t, map[string]balance.Count{"plain": {Running: 2}}, h.Merge(now, hub.Report{Node: "b"}).Counts)
 	require.Equal(t, counts, h.Counts())
 }
 
@@ -124,14 +124,14 @@
 func BenchmarkReport(b *testing.B) {
 	for _, size := range []struct{ nodes, servers int }{{8, 16}, {100, 100}, {300, 265}, {350, 600}} {
 		b.Run(fmt.Sprintf("%d-nodes-%d-servers", size.nodes, size.servers), func(b *testing.B) {
-			h := &hub.Hub{Granted: func(id string) bool { return id >= "i-010" }}
+			h := &hub.Hub{HasGranter: func(id string) bool { return id >= "i-010" }}
 			now := time.Unix(1000, 0)
 			for i := 0; b.Loop(); i++ {
 				counts := map[string]balance.Count{}
 				for j := range 6 {
 					counts[fmt.Sprintf("i-%03d", (7*i+j)%size.servers)] = balance.Count{Running: 1}
 				}
-				h.Take(now, hub.Report{Node: fmt.Sprint("n", i%size.nodes), Counts: counts})
+				h.Merge(now, hub.Report{Node: fmt.Sprint("n", i%size.nodes), Counts: counts})
 			}
 		})
 	}
@@ -148,11 +148,11 @@
 	now := setAt
 	for range 100 {
 		now = now.Add(200 * time.Millisecond)
-		h.Take(now, hub.Report{Node: "a", Limits: limit(now)})
-		p := h.Take(now.Add(100*time.Millisecond), hub.Report{Node: "b"})
+		h.Merge(now, hub.Report{Node: "a", Limits: limit(now)})
+		p := h.Merge(now.Add(100*time.Millisecond), hub.Report{Node: "b"})
 		require.Len(t, p.Limits, 1, "%v after the limit was set", now.Sub(setAt))
 		require.Equal(t, now.Add(100*time.Millisecond).Sub(setAt), p.Limits[0].Age)
 	}
-	p := h.Take(now.Add(2*hub.LimitLife), hub.Report{Node: "b"})
+	p := h.Merge(now.Add(2*hub.LimitTTL), hub.Report{Node: "b"})
 	require.Empty(t, p.Limits, "a limit that no node reports expires")
 }
--- a/internal/placer/adapter.go
+++ b/internal/placer/adapter.go
@@ -34,29 +34,29 @@
 )
 
 // publishResidency announces a change of an engine's content before its entry shows it.
-func (p *Placer) publishResidency(n hub.Note) {
-	p.Hub.Note(time.Now(), n)
-	go p.Noted(n)
+func (p *Placer) publishResidency(n hub.ResidencyUpdate) {
+	p.Hub.AddResidencyUpdate(time.Now(), n)
+	go p.OnResidency(n)
 }
 
 // Report processes a node's report and returns the reply. A node that is not the leader
 // returns the zero reply.
-func (p *Placer) Report(r hub.Report) hub.Picture {
-	if !p.Holding() {
-		return hub.Picture{}
+func (p *Placer) Report(r hub.Report) hub.ReportReply {
+	if !p.IsLeading() {
+		return hub.ReportReply{}
 	}
-	return p.Hub.Take(time.Now(), r)
+	return p.Hub.Merge(time.Now(), r)
 }
 
 // Want makes sure that an engine holds an adapter and returns that engine. A model without a
 // copy is left to the plan, which takes into account the waiting request that the node
 // reports.
-func (p *Placer) Want(ctx context.Context, w hub.Want) hub.Offer {
+func (p *Placer) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
 	if _, ok := p.orderEpoch(); !ok {
-		return hub.Offer{Why: "no-lease"}
+		return hub.LoadReply{Why: "no-lease"}
 	}
 	if w.Adapter == "" {
-		return hub.Offer{Why: "planned"}
+		return hub.LoadReply{Why: "planned"}
 	}
 	key := w.Model + "/" + w.Adapter
 	p.markMissing(w.Lacks, key)
@@ -75,13 +75,13 @@
 		if err != nil || v != platform.Begun && v != platform.Already {
 			continue
 		}
-		p.publishResidency(hub.Note{Server: s.ID, Model: w.Model, Adapter: w.Adapter, Held: true})
+		p.publishResidency(hub.ResidencyUpdate{Server: s.ID, Model: w.Model, Adapter: w.Adapter, Held: true})
 		if v == platform.Begun || p.recentlyOrdered(s.ID, key) {
 			clock.Sleep(ctx, adapterLoadTime)
 		}
-		return hub.Offer{Found: true, Server: s.ID}
+		return hub.LoadReply{Found: true, Server: s.ID}
 	}
-	return hub.Offer{Why: "no-engine"}
+	return hub.LoadReply{Why: "no-engine"}
 }
 
 // markMissing has the records read again of engines that replied that they don't hold an
@@ -98,7 +98,7 @@
 
 // candidates returns the engines that could load an adapter: those that hold it first, then
 // the others by increasing cost.
-func (p *Placer) candidates(w hub.Want) []fleet.Server {
+func (p *Placer) candidates(w hub.LoadRequest) []fleet.Server {
 	counts := p.Hub.Counts()
 	now := time.Now()
 	p.mu.Lock()
@@ -165,7 +165,7 @@
 			p.block(e)
 			return v, err
 		}
-		p.publishResidency(hub.Note{Server: s.ID, Model: m, Adapter: a, Held: false})
+		p.publishResidency(hub.ResidencyUpdate{Server: s.ID, Model: m, Adapter: a, Held: false})
 		if v == platform.Begun {
 			// Requests still use it: it keeps its slot until they have ended.
 			p.invalidateAdapters(e)
--- a/internal/placer/adapter_test.go
+++ b/internal/placer/adapter_test.go
@@ -21,11 +21,11 @@
 	s := standin.NewStore(t)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0").Hold("m1").Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.Holding)
-	want := func(adapter string) hub.Offer {
-		return a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}})
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(w)})
+	eventually(t, "holding", a.IsLeading)
+	want := func(adapter string) hub.LoadReply {
+		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}})
 	}
 	for _, adapter := range []string{"a1", "a2"} {
 		o := want(adapter)
@@ -36,7 +36,7 @@
 	eventually(t, "the third replaces the first once that is idle", func() bool { return want("a3").Found })
 	require.Len(t, w.Models()["m0"], 2, "never more than there are slots")
 	require.Contains(t, w.Models()["m0"], "a3")
-	require.False(t, a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: "none", Adapter: "a1"}}).Found)
+	require.False(t, a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "none", Adapter: "a1"}}).Found)
 }
 
 func TestAdapterLoadSkipsExcludedEngines(t *testing.T) {
@@ -44,13 +44,13 @@
 	holds := (&standin.Worker{ID: "i-1"}).Hold("m0", "a1").Hold("m1").Start(t)
 	lacks := (&standin.Worker{ID: "i-2"}).Hold("m0").Hold("m1").Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(holds), entryOf(lacks)})
-	eventually(t, "holding", a.Holding)
-	w := hub.Want{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a1"}}
-	require.Equal(t, "i-1", a.Want(context.Background(), w).Server)
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(holds), entryOf(lacks)})
+	eventually(t, "holding", a.IsLeading)
+	w := hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a1"}}
+	require.Equal(t, "i-1", a.RequestLoad(context.Background(), w).Server)
 	w.Exclude = []string{"i-1"}
-	require.Equal(t, "i-2", a.Want(context.Background(), w).Server)
+	require.Equal(t, "i-2", a.RequestLoad(context.Background(), w).Server)
 	require.Equal(t, []string{"a1"}, lacks.Models()["m0"])
 }
 
@@ -60,11 +60,11 @@
 	w.Use("m0", "a1", true)
 	w.Use("m0", "a2", true)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.Holding)
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(w)})
+	eventually(t, "holding", a.IsLeading)
 	want := func() bool {
-		return a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a3"}}).Found
+		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a3"}}).Found
 	}
 	eventually(t, "both unloads were ordered", func() bool {
 		require.False(t, want())
@@ -81,11 +81,11 @@
 	s := standin.NewStore(t)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0").Hold("m1").SlowAdapters().Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.Holding)
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(w)})
+	eventually(t, "holding", a.IsLeading)
 	want := func(adapter string, lacks ...string) {
-		a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}, Lacks: lacks})
+		a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}, Lacks: lacks})
 	}
 	want("a1")
 	want("a2")
@@ -106,7 +106,7 @@
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0", "a1", "a2").Hold("m1").Hold("m2").SlowUnloads().Start(t)
 	other := (&standin.Worker{ID: "i-2"}).Hold("m0").Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(c)
+	a.SetConfig(c)
 	entries := func() []fleet.Server {
 		remaining := fleet.Server{ID: "i-1", Service: "llm", Address: w.Address(), Slots: 8, Resident: []fleet.ResidentModel{{Model: "m1"}, {Model: "m2"}}}
 		if len(w.Leaving()) == 0 {
@@ -116,20 +116,20 @@
 		full.Resident = []fleet.ResidentModel{{Model: "m0"}, {Model: "mx"}, {Model: "my"}}
 		return []fleet.Server{remaining, full}
 	}
-	a.Servers(entries())
-	eventually(t, "holding", a.Holding)
-	want := func(model, adapter string) hub.Offer {
-		return a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: model, Adapter: adapter}})
+	a.SetServers(entries())
+	eventually(t, "holding", a.IsLeading)
+	want := func(model, adapter string) hub.LoadReply {
+		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: model, Adapter: adapter}})
 	}
 	eventually(t, "the record is read", func() bool { return want("m0", "a1").Found })
 	eventually(t, "m0 is unloaded for m3", func() bool { return slices.Contains(w.Leaving(), "m0") })
-	a.Servers(entries())
+	a.SetServers(entries())
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
 		want("m1", "a1")
 		require.Zero(t, w.MostAdapters(), "both slots are taken until the unload has completed")
 	}
 	w.FinishUnloads()
-	a.Servers(entries())
+	a.SetServers(entries())
 	eventually(t, "the slots are free after the unload", func() bool { return want("m1", "a1").Found })
 }
 
@@ -144,15 +144,15 @@
 }
 
 // Give implements placer.Engines.
-func (l *delayedAdapterLoad) Give(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error) {
+func (l *delayedAdapterLoad) SendOrder(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error) {
 	if o.Adapter != l.adapter || o.Load && l.lost {
-		return l.simEngines.Give(ctx, s, o)
+		return l.simEngines.SendOrder(ctx, s, o)
 	}
 	if o.Load {
 		l.lost, l.delayed = true, o
 		return 0, errNoReply
 	}
-	v, err := l.simEngines.Give(ctx, s, o)
+	v, err := l.simEngines.SendOrder(ctx, s, o)
 	l.world.engine(s.ID).execute(l.delayed)
 	return v, err
 }
@@ -171,9 +171,9 @@
 		l := &delayedAdapterLoad{simEngines: simEngines{w}, adapter: "a8"}
 		n := w.start(l)
 		clock.Sleep(ctx, 2*time.Second)
-		require.True(t, n.Holding())
+		require.True(t, n.IsLeading())
 		want := func(adapter string) bool {
-			return n.Want(ctx, hub.Want{Item: hub.Item{Service: simService, Model: "m0", Adapter: adapter}}).Found
+			return n.RequestLoad(ctx, hub.LoadRequest{Item: hub.Item{Service: simService, Model: "m0", Adapter: adapter}}).Found
 		}
 		for i := range simAdapterSlots - 1 {
 			require.True(t, want(fmt.Sprint("a", i+1)))
@@ -205,11 +205,11 @@
 	c := configWith(fleet.Engine{WeightsMB: 144100, LoadsPerS: 2, AdapterSlots: 2}, 2, 3)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0").Hold("m1").Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(c)
-	a.Servers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.Holding)
+	a.SetConfig(c)
+	a.SetServers([]fleet.Server{entryOf(w)})
+	eventually(t, "holding", a.IsLeading)
 	want := func(adapter string) bool {
-		return a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}}).Found
+		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}}).Found
 	}
 	eventually(t, "the first", func() bool { return want("a1") })
 	eventually(t, "the second replaces it", func() bool { return want("a2") })
--- a/internal/placer/chaos_test.go
+++ b/internal/placer/chaos_test.go
@@ -122,7 +122,7 @@
 	}
 	c.terms++
 	c.leader = startPlacer(c.t, c.store, fmt.Sprint("n", c.terms), leaderUnreachable)
-	c.leader.Config(c.config)
+	c.leader.SetConfig(c.config)
 	c.demand()
 	c.updateEntries()
 }
@@ -134,7 +134,7 @@
 	for _, w := range c.workers {
 		list = append(list, entryOf(w))
 	}
-	c.leader.Servers(list)
+	c.leader.SetServers(list)
 }
 
 // demand sets requests waiting for some models.
@@ -151,7 +151,7 @@
 func (c *chaos) requestAdapter(w *standin.Worker) {
 	for m := range w.Models() {
 		i := hub.Item{Service: "llm", Model: m, Adapter: fmt.Sprint("a", 1+c.rng.IntN(4))}
-		go c.leader.Want(context.Background(), hub.Want{Item: i})
+		go c.leader.RequestLoad(context.Background(), hub.LoadRequest{Item: i})
 		return
 	}
 }
--- a/internal/placer/lease.go
+++ b/internal/placer/lease.go
@@ -63,9 +63,9 @@
 	defer sem.Release(1)
 	p.mu.Lock()
 	now := p.Clock()
-	previous, _ := p.Keeper.Leader()
-	l, version, due := p.Keeper.Propose(now)
-	wasLeader := p.Keeper.IsLeader()
+	previous, _ := p.Elector.Leader()
+	l, version, due := p.Elector.Propose(now)
+	wasLeader := p.Elector.IsLeader()
 	if wasLeader {
 		l = p.withHandover(l)
 	} else {
@@ -86,7 +86,7 @@
 		p.failedAt = p.Clock()
 		p.Log.Warn("lease-write-failed", zap.Int64("epoch", l.Epoch), zap.Int64("version", version), zap.Error(err))
 	case ok:
-		p.Keeper.Acquired(now, l, newVersion)
+		p.Elector.Acquired(now, l, newVersion)
 		p.renewedAt, p.failedAt = now, 0
 		if !wasLeader {
 			p.startTerm(l.Epoch, previous)
@@ -118,34 +118,34 @@
 }
 
 // Learn updates the row from another node's copy and reports whether that copy was newer.
-func (p *Placer) Learn(r platform.Row) bool {
+func (p *Placer) ObserveLease(r platform.Row) bool {
 	if r.Version == 0 {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	oldVersion := p.Keeper.Version()
+	oldVersion := p.Elector.Version()
 	p.observe([]platform.Row{r})
-	return p.Keeper.Version() > oldVersion
+	return p.Elector.Version() > oldVersion
 }
 
 // LeaseRow returns the row as last observed, with version zero if it has never been observed.
 func (p *Placer) LeaseRow() platform.Row {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l, ok := p.Keeper.Leader()
+	l, ok := p.Elector.Leader()
 	value, err := json.Marshal(l)
 	if !ok || err != nil {
 		return platform.Row{}
 	}
-	return platform.Row{Table: leaseTable, Key: leaseKey, Version: p.Keeper.Version(), Value: value}
+	return platform.Row{Table: leaseTable, Key: leaseKey, Version: p.Elector.Version(), Value: value}
 }
 
 // LeaseVersion returns the version of the row as last observed, zero if it has never been observed.
 func (p *Placer) LeaseVersion() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.Keeper.Version()
+	return p.Elector.Version()
 }
 
 // readRow reads the row from the store.
@@ -164,9 +164,9 @@
 
 // observe updates the lease from the row as it is in the store; p.mu is held.
 func (p *Placer) observe(rows []platform.Row) {
-	wasLeader := p.Keeper.IsLeader()
+	wasLeader := p.Elector.IsLeader()
 	if len(rows) == 0 {
-		p.Keeper.Observe(p.Clock(), leader.Lease{}, 0)
+		p.Elector.Observe(p.Clock(), leader.Lease{}, 0)
 	}
 	for _, r := range rows {
 		var l leader.Lease
@@ -175,10 +175,10 @@
 				p.Log.Error("lease-unreadable", zap.Int64("version", r.Version), zap.Error(err))
 			}
 		}
-		p.Keeper.Observe(p.Clock(), l, r.Version)
+		p.Elector.Observe(p.Clock(), l, r.Version)
 	}
-	l, _ := p.Keeper.Leader()
-	switch isLeader := p.Keeper.IsLeader(); {
+	l, _ := p.Elector.Leader()
+	switch isLeader := p.Elector.IsLeader(); {
 	case wasLeader && !isLeader:
 		p.Log.Warn("lease-lost", zap.String("holder", l.Node), zap.Int64("epoch", l.Epoch))
 	case isLeader && !wasLeader: // the reply to the write was lost
@@ -202,7 +202,7 @@
 	p.loads, p.loadOrdered = p.newBudget(), false
 	p.loads.Inherit(p.termStart, previous.RecentLoads, previous.UnackedOrders)
 	p.assumeLoads = previous.Node != ""
-	p.Began()
+	p.OnElected()
 }
 
 // withHandover returns a lease with the loads that the next leader has to know about; p.mu
@@ -229,7 +229,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock()
-	e, ok := p.Keeper.Epoch(now)
+	e, ok := p.Elector.Epoch(now)
 	if !ok && e != 0 && p.Fencing && p.failedAt > p.renewedAt && now-p.renewedAt < maxOutage && now-p.failedAt < 2*storeTimeout {
 		ok = true
 	}
@@ -251,7 +251,7 @@
 
 // Holding reports whether this node acts as leader: its lease is valid, or no other node can
 // acquire it because the store is unavailable.
-func (p *Placer) Holding() bool {
+func (p *Placer) IsLeading() bool {
 	_, ok := p.epoch()
 	return ok
 }
@@ -260,14 +260,14 @@
 func (p *Placer) isLeader() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.Keeper.IsLeader()
+	return p.Elector.IsLeader()
 }
 
 // Leader returns the lease, with the leader's address and key, as last observed.
 func (p *Placer) Leader() (leader.Lease, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.Keeper.Leader()
+	return p.Elector.Leader()
 }
 
 // Release releases the lease so that another node can acquire it at once, and ends this
@@ -299,8 +299,8 @@
 // releaseRow writes the row without a leader and reports whether the release is complete.
 func (p *Placer) releaseRow(ctx context.Context) bool {
 	p.mu.Lock()
-	version, epoch, isLeader := p.Keeper.Release()
-	l := p.withHandover(leader.Lease{Epoch: epoch, Cores: p.Keeper.Self.Cores})
+	version, epoch, isLeader := p.Elector.Release()
+	l := p.withHandover(leader.Lease{Epoch: epoch, Cores: p.Elector.Self.Cores})
 	p.mu.Unlock()
 	if !isLeader {
 		return true
@@ -313,7 +313,7 @@
 	case err != nil:
 		return false
 	case ok:
-		p.Keeper.Observe(p.Clock(), l, newVersion)
+		p.Elector.Observe(p.Clock(), l, newVersion)
 		return true
 	default:
 		p.observe(rows)
--- a/internal/placer/lease_test.go
+++ b/internal/placer/lease_test.go
@@ -14,15 +14,15 @@
 func TestLeasePassesToAnotherNodeOnRelease(t *testing.T) {
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	eventually(t, "first", a.Holding)
+	eventually(t, "first", a.IsLeading)
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	eventually(t, "the second knows the first", func() bool { l, ok := b.Leader(); return ok && l.Node == "a" })
-	require.False(t, b.Holding())
+	require.False(t, b.IsLeading())
 	a.Release(context.Background())
-	eventually(t, "released", b.Holding)
+	eventually(t, "released", b.IsLeading)
 	l, _ := b.Leader()
 	require.EqualValues(t, 2, l.Epoch)
-	eventually(t, "the first stops", func() bool { return !a.Holding() })
+	eventually(t, "the first stops", func() bool { return !a.IsLeading() })
 }
 
 // TestReleaseDuringRenewal stops a leader after the store has executed its renewal but
@@ -30,24 +30,24 @@
 func TestReleaseDuringRenewal(t *testing.T) {
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	eventually(t, "first", a.Holding)
+	eventually(t, "first", a.IsLeading)
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	eventually(t, "the second knows the first", func() bool { l, ok := b.Leader(); return ok && l.Node == "a" })
 	before := s.Row("lease", "orders").Version
 	s.LoseAnswers(1)
 	eventually(t, "a renewal is done", func() bool { return s.Row("lease", "orders").Version > before })
 	a.Release(context.Background())
-	eventually(t, "the second holds it", b.Holding)
+	eventually(t, "the second holds it", b.IsLeading)
 }
 
 func TestLeaseSurvivesLostRenewalReply(t *testing.T) {
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	eventually(t, "first", a.Holding)
+	eventually(t, "first", a.IsLeading)
 	before := s.Row("lease", "orders").Version
 	s.LoseAnswers(2)
 	eventually(t, "renewed", func() bool { return s.Row("lease", "orders").Version >= before+4 })
-	eventually(t, "still holding", a.Holding)
+	eventually(t, "still holding", a.IsLeading)
 	l, _ := a.Leader()
 	require.EqualValues(t, 1, l.Epoch)
 	require.Equal(t, 1, a.terms)
@@ -57,11 +57,11 @@
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.Fencing = false
-	eventually(t, "first", a.Holding)
+	eventually(t, "first", a.IsLeading)
 	s.Outage(true)
-	eventually(t, "stops", func() bool { return !a.Holding() })
+	eventually(t, "stops", func() bool { return !a.IsLeading() })
 	s.Outage(false)
-	eventually(t, "goes on", a.Holding)
+	eventually(t, "goes on", a.IsLeading)
 }
 
 // TestLoadsOfPreviousLeaderCount has a leader start all loads that a window allows and
@@ -85,8 +85,8 @@
 		for _, w := range list {
 			servers = append(servers, entryOf(w))
 		}
-		h.Config(c)
-		h.Servers(servers)
+		h.SetConfig(c)
+		h.SetServers(servers)
 	}
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	configure(a)
@@ -94,7 +94,7 @@
 	a.Release(context.Background())
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	configure(b)
-	eventually(t, "released", b.Holding)
+	eventually(t, "released", b.IsLeading)
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); {
 		require.LessOrEqual(t, loaded(), 6, "a new leader may start one")
 	}
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -27,9 +27,9 @@
 }
 
 // Give implements placer.Engines.
-func (l *delayedLoads) Give(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error) {
+func (l *delayedLoads) SendOrder(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error) {
 	if !o.Load || time.Now().After(l.at) {
-		return l.simEngines.Give(ctx, s, o)
+		return l.simEngines.SendOrder(ctx, s, o)
 	}
 	time.AfterFunc(time.Until(l.at), func() { l.world.engine(s.ID).execute(o) })
 	<-ctx.Done()
@@ -60,7 +60,7 @@
 
 // waitUntilLeader waits until a node is the leader.
 func (n *simNode) waitUntilLeader(ctx context.Context) {
-	for !n.Holding() && clock.Sleep(ctx, 10*time.Millisecond) {
+	for !n.IsLeading() && clock.Sleep(ctx, 10*time.Millisecond) {
 	}
 }
 
@@ -85,7 +85,7 @@
 		b := w.start(nil)
 		clock.Sleep(ctx, time.Second)
 		a.Release(ctx)
-		require.False(t, a.Holding(), "it has released the lease")
+		require.False(t, a.IsLeading(), "it has released the lease")
 		released := time.Now()
 		b.waitUntilLeader(ctx)
 		require.Less(t, time.Since(released), time.Second, "the next leader needn't wait for the lease to expire")
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -60,7 +60,7 @@
 // their slots. What is free is read from the engine's report once it is no longer busy; p.mu
 // is held.
 func (p *Placer) unloadStarted(e *engine, m residency.Move) {
-	p.publishResidency(hub.Note{Server: m.Server.ID, Model: m.Model, Held: false})
+	p.publishResidency(hub.ResidencyUpdate{Server: m.Server.ID, Model: m.Model, Held: false})
 	e.stale = true
 }
 
@@ -79,7 +79,7 @@
 	if !ok {
 		return platform.Fenced, nil
 	}
-	o.Holder, o.Fence, o.Sequence = p.Keeper.Self.Node, epoch, p.sequence(e)
+	o.Holder, o.Fence, o.Sequence = p.Elector.Self.Node, epoch, p.sequence(e)
 	if o.Sequence < 0 {
 		return platform.Conflict, nil
 	}
@@ -88,8 +88,8 @@
 		p.loads.Send(time.Now(), s.ID, o.Sequence)
 		p.mu.Unlock()
 	}
-	v, err := p.Engines.Give(ctx, s, o)
-	p.Ordered(v.String())
+	v, err := p.Engines.SendOrder(ctx, s, o)
+	p.OnVerdict(v.String())
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -110,7 +110,7 @@
 	case v == platform.Already && o.Adapter != "" && !o.Load, v == platform.Conflict:
 		e.sequence = -1
 	case v == platform.Fenced:
-		p.Keeper.RecordFenced(epoch)
+		p.Elector.RecordFenced(epoch)
 	}
 	return v, err
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -50,7 +50,7 @@
 
 	// Engines calls the model engines.
 	Engines interface {
-		Give(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error)
+		SendOrder(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error)
 		Report(ctx context.Context, s fleet.Server) (platform.Report, error)
 	}
 
@@ -60,17 +60,17 @@
 		Store     Store
 		Engines   Engines
 		Hub       *hub.Hub
-		Keeper    *leader.Elector
+		Elector    *leader.Elector
 		Clock     func() time.Duration // monotonic, also runs while the machine is suspended
 		Log       *zap.Logger
 		Fencing   bool          // engines reject orders with an outdated epoch
 		Window    time.Duration // over which loads from the weight store are counted
-		Reachable func() bool   // reports whether the leader replied recently
-		Ordered   func(verdict string)
-		Began     func()                 // called when the lease was acquired
-		Lacking   func() map[string]int  // number of requests waiting for a model without a copy
-		Limited   func() map[string]bool // models all of whose servers are at their rate limit, nil for none
-		Noted     func(n hub.Note)       // called when the content of an engine has changed
+		LeaderReachable func() bool   // reports whether the leader replied recently
+		OnVerdict   func(verdict string)
+		OnElected     func()                 // called when the lease was acquired
+		WaitingWithoutCopy   func() map[string]int  // number of requests waiting for a model without a copy
+		LimitedModels   func() map[string]bool // models all of whose servers are at their rate limit, nil for none
+		OnResidency     func(n hub.ResidencyUpdate)       // called when the content of an engine has changed
 
 		mu           sync.Mutex
 		writeSem     *semaphore.Weighted // serializes writes of the lease row; acquired before mu
@@ -140,7 +140,7 @@
 }
 
 // Config sets the configuration.
-func (p *Placer) Config(c *fleet.Config) {
+func (p *Placer) SetConfig(c *fleet.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config = c
@@ -148,7 +148,7 @@
 
 // Servers sets the list of backend servers. The record of a server that has restarted is
 // deleted: the new process holds nothing and counts its orders from zero.
-func (p *Placer) Servers(list []fleet.Server) {
+func (p *Placer) SetServers(list []fleet.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	previous := p.servers
@@ -188,11 +188,11 @@
 // accepting their connections.
 func (p *Placer) leaderActive() bool {
 	p.mu.Lock()
-	l, known := p.Keeper.Leader()
-	renewed := p.Keeper.RecentlyRenewed(p.Clock())
+	l, known := p.Elector.Leader()
+	renewed := p.Elector.RecentlyRenewed(p.Clock())
 	p.mu.Unlock()
 	free := known && l.Node == ""
-	return !free && (renewed || p.Reachable())
+	return !free && (renewed || p.LeaderReachable())
 }
 
 // engine returns the record of an engine and creates it if necessary; p.mu is held.
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -13,8 +13,8 @@
 	s := standin.NewStore(t)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0").Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(w)})
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(w)})
 	eventually(t, "loaded", func() bool { _, ok := w.Models()["m1"]; return ok })
 	o := w.Orders()[0]
 	require.Equal(t, "model_load", o["operation"])
@@ -28,8 +28,8 @@
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0").Start(t)
 	w.LoseOrders(1)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(w)})
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(w)})
 	eventually(t, "sent again", func() bool { return len(w.Orders()) >= 2 })
 	for _, o := range w.Orders()[:2] {
 		require.EqualValues(t, 0, o["expected"], "both carry the same sequence number")
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -46,10 +46,10 @@
 // updateDemand decays the recorded demand and adds what nodes have reported since.
 func (p *Placer) updateDemand(now time.Time) {
 	list := p.Hub.Demand()
-	lacking := p.Lacking()
+	lacking := p.WaitingWithoutCopy()
 	var limited map[string]bool
-	if p.Limited != nil {
-		limited = p.Limited()
+	if p.LimitedModels != nil {
+		limited = p.LimitedModels()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placer/report.go
+++ b/internal/placer/report.go
@@ -15,13 +15,13 @@
 // UnsettledError reports that the memory use of an engine can't be computed, because the
 // engine is executing an order, has restarted since its entry was written, or holds other
 // models than its entry lists.
-type UnsettledError struct {
+type EngineUnsettledError struct {
 	Server string
 	Busy   bool
 }
 
 // Error implements error and names the engine.
-func (e *UnsettledError) Error() string { return "placer: engine " + e.Server + " is changing" }
+func (e *EngineUnsettledError) Error() string { return "placer: engine " + e.Server + " is changing" }
 
 // enginesToRead returns the engines whose state has to be read from a report before they can
 // get an order, and marks them as being read.
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.reading = false
-	var unsettled *UnsettledError
+	var unsettled *EngineUnsettledError
 	if err == nil || errors.As(err, &unsettled) {
 		return
 	}
@@ -133,7 +133,7 @@
 	now := time.Now()
 	if r.Busy || r.Born != p.servers[s.ID].StartedAtMS || !sameModels(r.Held, p.servers[s.ID].Resident) {
 		e.blockedUntil = now.Add(engineBackoff)
-		return &UnsettledError{Server: s.ID, Busy: r.Busy}
+		return &EngineUnsettledError{Server: s.ID, Busy: r.Busy}
 	}
 	e.sequence = r.Sequence
 	p.loads.Acknowledged(now, s.ID, r.Sequence)
--- a/internal/placer/report_test.go
+++ b/internal/placer/report_test.go
@@ -22,21 +22,21 @@
 	c := configWith(fleet.Engine{WeightsMB: 230000, LoadsPerS: 1}, 4, 0)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0").Hold("m1").SlowLoads().Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(c)
-	a.Servers([]fleet.Server{entryOf(w)})
+	a.SetConfig(c)
+	a.SetServers([]fleet.Server{entryOf(w)})
 	eventually(t, "a load is in progress", func() bool { return w.Loading() != "" })
 	a.Release(context.Background())
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	b.mu.Lock()
 	b.waiting = map[string]int{"m3": 5}
 	b.mu.Unlock()
-	b.Config(c)
-	b.Servers([]fleet.Server{entryOf(w)})
+	b.SetConfig(c)
+	b.SetServers([]fleet.Server{entryOf(w)})
 	busy := w.Reports() + 2
 	w.OnReport(func() {
 		if w.Reports() > busy {
 			w.FinishLoad()
-			b.Servers([]fleet.Server{entryOf(w)})
+			b.SetServers([]fleet.Server{entryOf(w)})
 		}
 	})
 	eventually(t, "the load has ended", func() bool { return w.Loading() == "" })
@@ -52,11 +52,11 @@
 	s := standin.NewStore(t)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0").Hold("m1").Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.Holding)
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(w)})
+	eventually(t, "holding", a.IsLeading)
 	want := func(adapter string) bool {
-		return a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}}).Found
+		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}}).Found
 	}
 	eventually(t, "the record is read", func() bool { return want("a1") })
 	w.Accept()
@@ -77,24 +77,24 @@
 	first := (&standin.Worker{ID: "i-1"}).Hold("m0").Hold("m1").SlowLoads().Start(t)
 	other := (&standin.Worker{ID: "i-2"}).Hold("m0").Hold("m1").SlowLoads().Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(c)
-	a.Servers([]fleet.Server{entryOf(first)})
+	a.SetConfig(c)
+	a.SetServers([]fleet.Server{entryOf(first)})
 	eventually(t, "a load is in progress", func() bool { return first.Loading() == "m2" })
 	a.Release(context.Background())
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	b.mu.Lock()
 	b.waiting = map[string]int{"m2": 5}
 	b.mu.Unlock()
-	b.Config(c)
-	b.Servers([]fleet.Server{entryOf(first), entryOf(other)})
-	eventually(t, "the next node holds the lease", b.Holding)
+	b.SetConfig(c)
+	b.SetServers([]fleet.Server{entryOf(first), entryOf(other)})
+	eventually(t, "the next node holds the lease", b.IsLeading)
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); {
 		require.Empty(t, other.Orders(), "a copy is loading already")
 		require.Len(t, first.Orders(), 1, "it is busy")
 		time.Sleep(time.Millisecond)
 	}
 	first.Restart() // the load never completes: its copy is missing again
-	b.Servers([]fleet.Server{entryOf(first), entryOf(other)})
+	b.SetServers([]fleet.Server{entryOf(first), entryOf(other)})
 	eventually(t, "then it is loaded again", func() bool { return other.Loading() == "m2" || first.Loading() == "m2" })
 }
 
@@ -104,23 +104,23 @@
 	s := standin.NewStore(t)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0", "a1").Start(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	a.Config(twoModelConfig())
-	a.Servers([]fleet.Server{entryOf(w)})
+	a.SetConfig(twoModelConfig())
+	a.SetServers([]fleet.Server{entryOf(w)})
 	eventually(t, "m1 is loaded", func() bool { _, ok := w.Models()["m1"]; return ok })
-	a.Servers([]fleet.Server{entryOf(w)})
+	a.SetServers([]fleet.Server{entryOf(w)})
 	w.Restart()
 	orders := len(w.Orders())
-	a.Servers([]fleet.Server{entryOf(w)})
+	a.SetServers([]fleet.Server{entryOf(w)})
 	eventually(t, "a model is loaded again", func() bool { return len(w.Orders()) > orders })
 	require.EqualValues(t, 0, w.Orders()[orders]["expected"], "counted from zero")
-	a.Servers([]fleet.Server{entryOf(w)})
+	a.SetServers([]fleet.Server{entryOf(w)})
 	eventually(t, "both are there", func() bool {
-		a.Servers([]fleet.Server{entryOf(w)})
+		a.SetServers([]fleet.Server{entryOf(w)})
 		return len(w.Models()) == 2
 	})
 	eventually(t, "an adapter that it held is loaded again", func() bool {
-		a.Servers([]fleet.Server{entryOf(w)})
-		a.Want(context.Background(), hub.Want{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a1"}})
+		a.SetServers([]fleet.Server{entryOf(w)})
+		a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a1"}})
 		return slices.Contains(w.Models()["m0"], "a1")
 	})
 }
--- a/internal/placer/rig_test.go
+++ b/internal/placer/rig_test.go
@@ -39,25 +39,25 @@
 	h.Placer = &placer.Placer{
 		Store:   &platform.Store{Client: &jsonhttp.Client{Address: s.Address()}},
 		Engines: &platform.Engines{Client: func(a string) *jsonhttp.Client { return &jsonhttp.Client{Address: a} }},
-		Hub:     &hub.Hub{}, Log: zap.NewNop(), Fencing: true, Window: 5 * time.Second, Reachable: reachable,
-		Keeper: &leader.Elector{Self: leader.Lease{Node: node, Incarnation: node, Key: node, Cores: 1}, TTL: ttl},
+		Hub:     &hub.Hub{}, Log: zap.NewNop(), Fencing: true, Window: 5 * time.Second, LeaderReachable: reachable,
+		Elector: &leader.Elector{Self: leader.Lease{Node: node, Incarnation: node, Key: node, Cores: 1}, TTL: ttl},
 		Clock:  func() time.Duration { return time.Since(began) + time.Hour },
-		Ordered: func(v string) {
+		OnVerdict: func(v string) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.verdicts[v]++
 		},
-		Began: func() {
+		OnElected: func() {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.terms++
 		},
-		Lacking: func() map[string]int {
+		WaitingWithoutCopy: func() map[string]int {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return h.waiting
 		},
-		Noted: func(hub.Note) {},
+		OnResidency: func(hub.ResidencyUpdate) {},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/placer/sim_engine_test.go
+++ b/internal/placer/sim_engine_test.go
@@ -152,7 +152,7 @@
 
 // Give implements placer.Engines. Of the lost orders half are executed 2 to 12 s late, a
 // quarter is executed at once, and a quarter is never executed.
-func (s *simEngines) Give(ctx context.Context, f fleet.Server, o platform.Order) (platform.Verdict, error) {
+func (s *simEngines) SendOrder(ctx context.Context, f fleet.Server, o platform.Order) (platform.Verdict, error) {
 	e := s.world.engine(f.ID)
 	wait, lost, how := e.draw(simMaxLatency)
 	if !clock.Sleep(ctx, wait/2) {
--- a/internal/placer/sim_test.go
+++ b/internal/placer/sim_test.go
@@ -145,6 +145,6 @@
 	models := w.requestedModels()
 	for range rng.IntN(4) {
 		i := hub.Item{Service: simService, Model: models[rng.IntN(len(models))], Adapter: fmt.Sprint("a", 1+rng.IntN(20))}
-		w.wg.Go(func() { h.Want(w.ctx, hub.Want{Item: i}) })
+		w.wg.Go(func() { h.RequestLoad(w.ctx, hub.LoadRequest{Item: i}) })
 	}
 }
--- a/internal/placer/sim_world_test.go
+++ b/internal/placer/sim_world_test.go
@@ -171,12 +171,12 @@
 	}
 	n.Placer = &placer.Placer{
 		Store: n, Engines: engines, Hub: &hub.Hub{Self: n.name}, Log: zap.NewNop(), Fencing: true, Window: simWindow,
-		Reachable: n.reachable,
-		Keeper:    &leader.Elector{Self: leader.Lease{Node: n.name, Incarnation: n.name, Key: n.name, Cores: 1}, TTL: simTTL},
+		LeaderReachable: n.reachable,
+		Elector:    &leader.Elector{Self: leader.Lease{Node: n.name, Incarnation: n.name, Key: n.name, Cores: 1}, TTL: simTTL},
 		Clock:     func() time.Duration { return time.Since(w.origin) + time.Hour },
-		Ordered:   func(string) {}, Began: func() { w.logEvent("lease", n.name) }, Lacking: n.waiting, Noted: func(hub.Note) {},
+		OnVerdict:   func(string) {}, OnElected: func() { w.logEvent("lease", n.name) }, WaitingWithoutCopy: n.waiting, OnResidency: func(hub.ResidencyUpdate) {},
 	}
-	n.Config(w.config)
+	n.SetConfig(w.config)
 	w.mu.Lock()
 	w.nodes = append(w.nodes, n)
 	w.mu.Unlock()
@@ -191,7 +191,7 @@
 	nodes := slices.Clone(n.world.nodes)
 	n.world.mu.Unlock()
 	for _, o := range nodes {
-		if o != n && o.Holding() {
+		if o != n && o.IsLeading() {
 			return true
 		}
 	}
@@ -218,7 +218,7 @@
 // feed passes on the entries some hundred milliseconds late, sometimes seconds, and reports
 // the demand to the leader.
 func (n *simNode) feed(ctx context.Context, rng *rand.Rand) {
-	n.Servers(n.world.entries())
+	n.SetServers(n.world.entries())
 	for {
 		list := n.world.entries()
 		wait := time.Duration(20+rng.IntN(400)) * time.Millisecond
@@ -228,8 +228,8 @@
 		if !clock.Sleep(ctx, wait) {
 			return
 		}
-		n.Servers(list)
-		if !n.Holding() {
+		n.SetServers(list)
+		if !n.IsLeading() {
 			continue
 		}
 		r := hub.Report{Node: "entry"}
