--- a/cmd/bench/single.go
+++ b/cmd/bench/single.go
@@ -49,7 +49,7 @@
 	names := slices.Sorted(maps.Keys(experiment.Deployments()))
 	f.StringVar(&c.deployment, "deployment", "corella", strings.Join(names, " or "))
 	f.StringVar(&c.fault, "fault", "", "fault at a third of the run: "+strings.Join(experiment.Faults(), ", "))
-	f.StringVar(&c.limit, "limit", node.LimitCost, "limits of teams: "+strings.Join(node.Limits(), ", "))
+	f.StringVar(&c.limit, "limit", node.LimitCost, "limits of teams: "+strings.Join(node.LimitNames(), ", "))
 	f.Float64Var(&c.load, "load", 0.8, "mean work as a part of the accelerators' capacity")
 	f.DurationVar(&c.duration, "duration", 30*time.Second, "time in which requests arrive")
 	f.IntVar(&c.nodes, "nodes", 8, "nodes")
--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -390,7 +390,7 @@
 		nodes, guards = append(nodes, n), append(guards, g)
 	}
 	for _, g := range guards {
-		g.Spread = mergeInto(guards)
+		g.Broadcast = mergeInto(guards)
 		t.Cleanup(g.Wait)
 	}
 	return nodes
--- a/internal/call/caller.go
+++ b/internal/call/caller.go
@@ -40,7 +40,7 @@
 		Log      *zap.Logger  // may be nil
 		Metrics  *Metrics     // may be nil
 		// Note receives the trace events of a call for explain; it may be nil.
-		Note func(requestID, event string, fields ...zap.Field)
+		Trace func(requestID, event string, fields ...zap.Field)
 
 		once sync.Once
 		mu   sync.Mutex
@@ -101,15 +101,15 @@
 	})
 	if err != nil {
 		e := outcome.From(err)
-		c.Note(r.RequestID, "claim-refused", zap.String("row", row), zap.String("outcome", string(e.Outcome)),
+		c.Trace(r.RequestID, "claim-refused", zap.String("row", row), zap.String("outcome", string(e.Outcome)),
 			zap.String("reason", string(e.Reason)), zap.String("detail", e.Detail))
 		return Answer{}, err
 	}
 	if g.Stored != nil {
-		c.Note(r.RequestID, "stored-answer", zap.String("row", row), zap.Int("status", g.Stored.Status))
+		c.Trace(r.RequestID, "stored-answer", zap.String("row", row), zap.Int("status", g.Stored.Status))
 		return Answer{Status: g.Stored.Status, Header: http.Header(g.Stored.Header), Body: g.Stored.Body, Stored: true}, nil
 	}
-	c.Note(r.RequestID, "claimed", zap.String("row", row), zap.Uint64("revision", g.Held.Revision),
+	c.Trace(r.RequestID, "claimed", zap.String("row", row), zap.Uint64("revision", g.Held.Revision),
 		zap.String("attempt", g.Held.Claim.Attempt))
 	a, err := t.run(ctx)
 	end := claim.Done
@@ -123,7 +123,7 @@
 		end = claim.Unknown
 		c.Claims.MarkUnknown(g.Held, e.Reason)
 	}
-	c.Note(r.RequestID, "claim-ended", zap.String("row", row), zap.String("attempt", g.Held.Claim.Attempt),
+	c.Trace(r.RequestID, "claim-ended", zap.String("row", row), zap.String("attempt", g.Held.Claim.Attempt),
 		zap.String("state", string(end)))
 	return a, err
 }
@@ -133,8 +133,8 @@
 	if c.Log == nil {
 		c.Log = zap.NewNop()
 	}
-	if c.Note == nil {
-		c.Note = func(string, string, ...zap.Field) {}
+	if c.Trace == nil {
+		c.Trace = func(string, string, ...zap.Field) {}
 	}
 	c.rand = rand.New(rand.NewPCG(c.Seed, c.Seed))
 }
--- a/internal/call/execution.go
+++ b/internal/call/execution.go
@@ -115,7 +115,7 @@
 	} else {
 		fields = append(fields, zap.String("outcome", string(e.Outcome)), zap.String("reason", string(e.Reason)))
 	}
-	t.c.Note(t.r.RequestID, "sent", fields...)
+	t.c.Trace(t.r.RequestID, "sent", fields...)
 }
 
 // pick picks a server on which the request may run.
--- a/internal/call/service.go
+++ b/internal/call/service.go
@@ -61,7 +61,7 @@
 }
 
 // Keep closes the clients of all addresses that are not given.
-func (s *Services) Keep(addresses []string) {
+func (s *Services) Retain(addresses []string) {
 	keep := map[string]bool{}
 	for _, a := range addresses {
 		keep[a] = true
--- a/internal/call/service_test.go
+++ b/internal/call/service_test.go
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &call.Services{}
-			t.Cleanup(func() { s.Keep(nil) })
+			t.Cleanup(func() { s.Retain(nil) })
 			to := config.BackendServer{Name: "s1", Address: strings.TrimPrefix(c.url, "http://")}
 			r := request(c.kind, "r1", "k1", "b")
 			r.Path = c.path
--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -274,7 +274,7 @@
 
 // probe reads a row periodically until the table answers.
 func (s *Store) probe(ctx context.Context) {
-	for sleep(ctx, s.Pause) {
+	for sleep(ctx, s.ProbeInterval) {
 		call, cancel := context.WithTimeout(ctx, s.Timeout)
 		_, err := s.Table.Read(call, claim.CursorKey)
 		cancel()
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -23,7 +23,7 @@
 	DefaultWait = time.Second
 	// DefaultPause is the time between reads that check whether a failed table
 	// is available again. Claims are refused without a transaction until then.
-	DefaultPause = 250 * time.Millisecond
+	DefaultProbeInterval = 250 * time.Millisecond
 	// DefaultMaxBatch is the maximum number of changes in one transaction.
 	DefaultMaxBatch = 256
 	// DefaultMaxBatchBytes bounds the total size of the stored answers in one
@@ -94,7 +94,7 @@
 		Spacing       time.Duration
 		Timeout       time.Duration
 		Wait          time.Duration
-		Pause         time.Duration
+		ProbeInterval time.Duration
 		AnswerWait    time.Duration
 		MaxBatch      int
 		MaxBatchBytes int
@@ -323,7 +323,7 @@
 			return a
 		}
 		s.Log.Warn("stored answer not written", zap.String("request-id", h.Claim.RequestID), zap.Error(err))
-		time.Sleep(s.Pause << try)
+		time.Sleep(s.ProbeInterval << try)
 	}
 	a.Lost = true
 	return a
@@ -334,7 +334,7 @@
 	setDefault(&s.Spacing, DefaultSpacing)
 	setDefault(&s.Timeout, DefaultTimeout)
 	setDefault(&s.Wait, DefaultWait)
-	setDefault(&s.Pause, DefaultPause)
+	setDefault(&s.ProbeInterval, DefaultProbeInterval)
 	setDefault(&s.AnswerWait, DefaultAnswerWait)
 	setDefault(&s.MaxBatch, DefaultMaxBatch)
 	setDefault(&s.MaxBatchBytes, DefaultMaxBatchBytes)
@@ -362,5 +362,5 @@
 // backoff returns the delay before a change that must take effect is written again.
 func (s *Store) backoff(tries int) time.Duration {
 	const maxDelay = 5 * time.Second
-	return min(maxDelay, time.Duration(float64(s.Pause)*math.Pow(2, float64(min(tries, 16)))))
+	return min(maxDelay, time.Duration(float64(s.ProbeInterval)*math.Pow(2, float64(min(tries, 16)))))
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -19,7 +19,7 @@
 	// ExitInvalid means a usage error or an invalid document.
 	ExitInvalid = 2
 	// ExitLost means that another operator's document was accepted instead.
-	ExitLost = 3
+	ExitConflict = 3
 	// ExitUnconfirmed means that at least one live node does not report the
 	// version.
 	ExitUnconfirmed = 4
@@ -66,9 +66,9 @@
 
 	// NotFoundError reports a request that no node has events of.
 	NotFoundError struct {
-		RequestID string
-		Asked     int // nodes queried
-		Silent    int // queried nodes that did not answer
+		RequestID  string
+		Queried    int // nodes queried
+		Unanswered int // queried nodes that did not answer
 	}
 
 	// behindError reports live nodes with an older version, after the status
@@ -124,7 +124,7 @@
 
 // Error returns the request ID and how many nodes were queried.
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("nothing is known of request %s: %d nodes asked, %d of them gave no answer", e.RequestID, e.Asked, e.Silent)
+	return fmt.Sprintf("nothing is known of request %s: %d nodes asked, %d of them gave no answer", e.RequestID, e.Queried, e.Unanswered)
 }
 
 // Error returns a fixed text.
@@ -168,14 +168,14 @@
 	}
 	if c, ok := errors.AsType[*configsync.ConflictError](err); ok {
 		f.Type, f.Winner, f.Changes = typeConflict, &c.Winner, c.Changes
-		return ExitLost, f
+		return ExitConflict, f
 	}
 	if u, ok := errors.AsType[*UnconfirmedError](err); ok {
 		f.Type, f.Version, f.Behind = typeUnconfirmed, u.Version, u.Behind
 		return ExitUnconfirmed, f
 	}
 	if u, ok := errors.AsType[*configsync.UnknownError](err); ok {
-		f.Type, f.Sent = typeUnknown, &u.Mine
+		f.Type, f.Sent = typeUnknown, &u.Own
 		return ExitUnknown, f
 	}
 	return ExitFailed, f
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -86,7 +86,7 @@
 	}
 	e := status.Merge(id, a.explanations...)
 	if len(e.Events) == 0 {
-		return &NotFoundError{RequestID: id, Asked: len(queried), Silent: len(a.failures)}
+		return &NotFoundError{RequestID: id, Queried: len(queried), Unanswered: len(a.failures)}
 	}
 	if c.output == outputJSON {
 		c.printJSON(e)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -28,7 +28,7 @@
 
 // Boot returns the time since the VM booted. Unlike the monotonic clock of package
 // time, it includes the time for which the VM was suspended.
-func Boot() time.Duration {
+func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic("clock: cannot read CLOCK_BOOTTIME: " + err.Error())
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -24,9 +24,9 @@
 }
 
 func TestBootIsMonotonic(t *testing.T) {
-	last := clock.Boot()
+	last := clock.SinceBoot()
 	for range 100 {
-		now := clock.Boot()
+		now := clock.SinceBoot()
 		require.GreaterOrEqual(t, now, last)
 		last = now
 	}
--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -55,7 +55,7 @@
 		_ = a.write(forward.Reply{Load: &load}) // acknowledges the job
 	}
 	go a.heartbeat(ctx, c.Local, job.Server)
-	err := c.Local.Do(ctx, job, a.write)
+	err := c.Local.RunJob(ctx, job, a.write)
 	if _, gone := errors.AsType[*engines.SinkError](err); gone {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // Do runs a job at its owner on another node.
-func (c *Cluster) Do(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error {
+func (c *Cluster) RunJob(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error {
 	n, ok := c.Node(owner)
 	if !ok || n.Status != member.Alive {
 		return outcome.Refuse(outcome.PeerUnreachable, "no such live node: "+owner, 0)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -66,7 +66,7 @@
 type (
 	// Local runs jobs on servers that this node owns.
 	Local interface {
-		Do(ctx context.Context, job forward.Job, sink engines.Sink) error
+		RunJob(ctx context.Context, job forward.Job, sink engines.Sink) error
 		Load(server string) (forward.Load, bool)
 	}
 
@@ -93,9 +93,9 @@
 		ConfigHead func() (ref head.Ref, fresh bool)
 		// Spent starts the measurement of control work of a kind and returns the
 		// function that ends it; may be nil.
-		Spent func(w metrics.Work) func()
-		Log   *zap.Logger
-		Seed  uint64
+		TimeWork func(w metrics.Work) func()
+		Log      *zap.Logger
+		Seed     uint64
 
 		viewsOut, viewsIn atomic.Uint64 // bytes of views in messages
 
@@ -186,10 +186,10 @@
 
 // timeWork calls Spent, or does nothing if it is nil.
 func (c *Cluster) timeWork(w metrics.Work) func() {
-	if c.Spent == nil {
+	if c.TimeWork == nil {
 		return func() {}
 	}
-	return c.Spent(w)
+	return c.TimeWork(w)
 }
 
 // Update changes this node's own record.
@@ -214,7 +214,7 @@
 }
 
 // Working returns the sorted names of live nodes that are not leaving.
-func (c *Cluster) Working() []string {
+func (c *Cluster) ActiveNodes() []string {
 	var names []string
 	for _, n := range c.Nodes() {
 		if n.Status <= member.Suspect && !n.Leaving {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -55,7 +55,7 @@
 // AskConfigHead queries a node for its configuration in force, and whether it is
 // certain that none is newer. The reply reflects a time after the query was
 // sent, never before.
-func (c *Cluster) AskConfigHead(ctx context.Context, node string) (ref head.Ref, fresh bool, err error) {
+func (c *Cluster) QueryConfigHead(ctx context.Context, node string) (ref head.Ref, fresh bool, err error) {
 	r, err := c.queryConfig(ctx, node, configRequest{})
 	return head.Ref{Version: r.Version, Hash: r.Hash}, r.Fresh, err
 }
--- a/internal/cluster/send.go
+++ b/internal/cluster/send.go
@@ -12,14 +12,14 @@
 )
 
 // Tell sends v to a node by name, best effort.
-func (c *Cluster) Tell(ctx context.Context, node string, k peer.Kind, v any) {
+func (c *Cluster) Send(ctx context.Context, node string, k peer.Kind, v any) {
 	if n, ok := c.Node(node); ok {
 		c.send(ctx, n.Address, k, v)
 	}
 }
 
 // TellSome gossips v to k random other live nodes, best effort.
-func (c *Cluster) TellSome(ctx context.Context, k int, kind peer.Kind, v any) {
+func (c *Cluster) Gossip(ctx context.Context, k int, kind peer.Kind, v any) {
 	for _, n := range c.randomPeers(k) {
 		go c.send(ctx, n.Address, kind, v)
 	}
@@ -27,7 +27,7 @@
 
 // AskAll sends v as a call to at most limit other live nodes and returns when
 // each has processed it or ctx ends.
-func (c *Cluster) AskAll(ctx context.Context, limit int, kind peer.Kind, v any) {
+func (c *Cluster) CallAll(ctx context.Context, limit int, kind peer.Kind, v any) {
 	f, err := peer.Encode(kind, v)
 	if err != nil {
 		c.Log.Error("encode", zap.Error(err))
--- a/internal/configsync/apply.go
+++ b/internal/configsync/apply.go
@@ -204,7 +204,7 @@
 	case head.Lost:
 		return a.conflict(ctx, j.Winner, own)
 	case head.Forgotten:
-		return &UnknownError{Mine: own, Err: errForgotten}
+		return &UnknownError{Own: own, Err: errForgotten}
 	default:
 		return nil
 	}
@@ -213,7 +213,7 @@
 // conflict returns a *ConflictError. It contains the differences if the winner's
 // body can be read.
 func (a *attempt) conflict(ctx context.Context, winner, own head.Head) error {
-	e := &ConflictError{Winner: winner, Mine: own}
+	e := &ConflictError{Winner: winner, Own: own}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readBackTimeout)
 	defer cancel()
 	if theirs, err := Fetch(ctx, a.Store, winner.Hash); err == nil {
@@ -247,7 +247,7 @@
 
 func transactError(sent bool, own head.Head, err error) error {
 	if sent {
-		return &UnknownError{Mine: own, Err: err}
+		return &UnknownError{Own: own, Err: err}
 	}
 	return &UnavailableError{Step: "advance the head row", Err: err}
 }
--- a/internal/configsync/apply_test.go
+++ b/internal/configsync/apply_test.go
@@ -129,7 +129,7 @@
 		_, err = applyAs(t, p, "kim", 0, 1)
 		var unknown *configsync.UnknownError
 		require.ErrorAs(t, err, &unknown, "the transaction was sent and can't be read back")
-		require.Equal(t, uint64(1), unknown.Mine.Version)
+		require.Equal(t, uint64(1), unknown.Own.Version)
 	})
 }
 
--- a/internal/configsync/errors.go
+++ b/internal/configsync/errors.go
@@ -19,15 +19,15 @@
 	// effect and never will.
 	ConflictError struct {
 		Winner  head.Head       // the accepted head
-		Mine    head.Head       // the rejected proposal; zero if it was not sent
+		Own     head.Head       // the rejected proposal; zero if it was not sent
 		Changes []config.Change // from the winner's document to the own one; nil if the winner's body could not be read
 	}
 
 	// UnknownError means that the document was sent and the outcome could not be
 	// read back in time. It may have taken effect or may still do so.
 	UnknownError struct {
-		Mine head.Head
-		Err  error
+		Own head.Head
+		Err error
 	}
 
 	// UnavailableError means that the platform was not reachable in time and
@@ -56,7 +56,7 @@
 
 // Error implements error.
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("version %d (apply id %s, hash %s) was sent and may take effect: %v", e.Mine.Version, e.Mine.ApplyID, e.Mine.Hash, e.Err)
+	return fmt.Sprintf("version %d (apply id %s, hash %s) was sent and may take effect: %v", e.Own.Version, e.Own.ApplyID, e.Own.Hash, e.Err)
 }
 
 // Unwrap returns the cause.
--- a/internal/configsync/follower.go
+++ b/internal/configsync/follower.go
@@ -27,7 +27,7 @@
 	DefaultMaxPause = time.Second
 	// DefaultTrustAfter is how long a stale node waits for a confirmation before
 	// it assumes that the newest known version is current.
-	DefaultTrustAfter = 5 * time.Second
+	DefaultAssumeAfter = 5 * time.Second
 	// DefaultFetchTimeout bounds one fetch of a body.
 	DefaultFetchTimeout = time.Second
 
@@ -56,7 +56,7 @@
 		Period       time.Duration    // DefaultPeriod if zero
 		MaxReads     float64          // reads per second of all nodes, DefaultMaxReads if zero
 		MaxPause     time.Duration    // DefaultMaxPause if zero
-		TrustAfter   time.Duration    // DefaultTrustAfter if zero
+		AssumeAfter  time.Duration    // DefaultTrustAfter if zero
 		FetchTimeout time.Duration    // DefaultFetchTimeout if zero
 		Now          func() time.Time // clock for the detection of pauses, time.Now if nil
 		Log          *zap.Logger      // disabled if nil
@@ -87,7 +87,7 @@
 		f.wakeRead, f.wakeFetch, f.wakeQuery = make(chan struct{}, 1), make(chan struct{}, 1), make(chan struct{}, 1)
 		f.Period = orDefault(f.Period, DefaultPeriod)
 		f.MaxPause = orDefault(f.MaxPause, DefaultMaxPause)
-		f.TrustAfter = orDefault(f.TrustAfter, DefaultTrustAfter)
+		f.AssumeAfter = orDefault(f.AssumeAfter, DefaultAssumeAfter)
 		f.FetchTimeout = orDefault(f.FetchTimeout, DefaultFetchTimeout)
 		if f.Now == nil {
 			f.Now = time.Now
@@ -176,7 +176,7 @@
 
 // Packed returns the packed body in force if it has the given hash, for the reply
 // to a peer's FetchConfig.
-func (f *Follower) Packed(hash string) ([]byte, bool) {
+func (f *Follower) PackedBody(hash string) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.packed, f.packed != nil && f.state.InForce().Hash == hash
@@ -269,7 +269,7 @@
 func (f *Follower) mayAssume(now time.Time) bool {
 	_, behind := f.state.Missing()
 	return !f.state.Fresh() && f.table == tableDown && !behind &&
-		f.state.InForce().Version > 0 && now.Sub(f.staleSince) >= f.TrustAfter
+		f.state.InForce().Version > 0 && now.Sub(f.staleSince) >= f.AssumeAfter
 }
 
 // readLoop reads the head row periodically, at once after a pause of the process,
--- a/internal/configsync/follower_test.go
+++ b/internal/configsync/follower_test.go
@@ -39,7 +39,7 @@
 	if l.m.isUnreachable() {
 		return nil, errPeerDown
 	}
-	body, ok := l.m.Packed(hash)
+	body, ok := l.m.PackedBody(hash)
 	if !ok {
 		return nil, errPeerDown
 	}
@@ -306,7 +306,7 @@
 		peer.pause(time.Minute)
 		m.pause(time.Minute)
 		require.False(t, m.Fresh())
-		advance(configsync.DefaultTrustAfter - time.Second)
+		advance(configsync.DefaultAssumeAfter - time.Second)
 		require.False(t, m.Fresh(), "no fresh peer replies, and not all peers reply")
 		advance(2 * time.Second)
 		require.True(t, m.Fresh(), "no fresh peer replied for TrustAfter")
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -30,7 +30,7 @@
 		// OnLost is called when a server's engine breaks a request's connection,
 		// with the fingerprints of the requests that were running. The failed
 		// request is answered only after OnLost returns. It may be nil.
-		OnLost func(server string, running []string)
+		OnEngineLost func(server string, running []string)
 		// ResumeGrace is how long a generation continues without a reader; zero
 		// means DefaultResumeGrace.
 		ResumeGrace time.Duration
@@ -67,7 +67,7 @@
 
 // Own makes the node dispatch for a server with the given number of slots. For a
 // server that it already owns it only sets the slots.
-func (d *Dispatcher) Own(name string, slots int) {
+func (d *Dispatcher) Acquire(name string, slots int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.servers == nil {
@@ -92,7 +92,7 @@
 
 // Disown releases a server. Waiting requests are refused as not run, so that
 // they go to the next owner; running ones continue to their end.
-func (d *Dispatcher) Disown(name string) {
+func (d *Dispatcher) Release(name string) {
 	d.mu.Lock()
 	s := d.servers[name]
 	delete(d.servers, name)
@@ -141,7 +141,7 @@
 
 // Do runs a job on a server that this node owns and passes the replies to sink.
 // The error is nil, an *engines.SinkError or an *outcome.Error.
-func (d *Dispatcher) Do(ctx context.Context, job forward.Job, sink engines.Sink) error {
+func (d *Dispatcher) RunJob(ctx context.Context, job forward.Job, sink engines.Sink) error {
 	s := d.server(job.Server)
 	engine := d.Engine(job.Server)
 	if s == nil || engine == nil {
@@ -220,10 +220,10 @@
 // that the server crashed.
 func (d *Dispatcher) reportLost(s *server, err error) {
 	e, ok := errors.AsType[*outcome.Error](err)
-	if !ok || d.OnLost == nil || e.Reason != outcome.BackendLost {
+	if !ok || d.OnEngineLost == nil || e.Reason != outcome.BackendLost {
 		return
 	}
-	d.OnLost(s.name, s.fingerprints())
+	d.OnEngineLost(s.name, s.fingerprints())
 }
 
 func (d *Dispatcher) server(name string) *server {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func (f *fakeEngine) Fate(error) (engines.Fate, outcome.Reason, time.Duration) {
+func (f *fakeEngine) Classify(error) (engines.FailureClass, outcome.Reason, time.Duration) {
 	return engines.Unknown, outcome.BackendLost, 0
 }
 
@@ -94,7 +94,7 @@
 
 func newDispatcher(f *fakeEngine, slots int) *dispatch.Dispatcher {
 	d := &dispatch.Dispatcher{Engine: func(string) engines.Engine { return f }, ResumeGrace: time.Second}
-	d.Own("gpu-1", slots)
+	d.Acquire("gpu-1", slots)
 	return d
 }
 
@@ -115,7 +115,7 @@
 		d := newDispatcher(f, 3)
 		var wg sync.WaitGroup
 		for i := range 20 {
-			wg.Go(func() { require.NoError(t, d.Do(context.Background(), job(fmt.Sprint(i), 5), discard)) })
+			wg.Go(func() { require.NoError(t, d.RunJob(context.Background(), job(fmt.Sprint(i), 5), discard)) })
 		}
 		wg.Wait()
 		require.Equal(t, 3, f.maxRunning)
@@ -131,7 +131,7 @@
 	d := newDispatcher(f, 1)
 	other := job("r", 1)
 	other.Server = "gpu-2"
-	e := outcome.From(d.Do(context.Background(), other, discard))
+	e := outcome.From(d.RunJob(context.Background(), other, discard))
 	require.Equal(t, outcome.RefusedNotRun, e.Outcome)
 	require.Equal(t, outcome.NoServer, e.Reason)
 	require.Positive(t, e.RetryAfter)
@@ -147,10 +147,10 @@
 		errs := make([]error, 4)
 		var wg sync.WaitGroup
 		for i := range errs {
-			wg.Go(func() { errs[i] = d.Do(context.Background(), job(fmt.Sprint(i), 20), discard) })
+			wg.Go(func() { errs[i] = d.RunJob(context.Background(), job(fmt.Sprint(i), 20), discard) })
 			synctest.Wait()
 		}
-		d.Disown("gpu-1")
+		d.Release("gpu-1")
 		wg.Wait()
 		require.NoError(t, errs[0])
 		for _, err := range errs[1:] {
@@ -172,7 +172,7 @@
 				d := newDispatcher(f, 1)
 				ctx, cancel := context.WithCancel(context.Background())
 				done := make(chan error, 1)
-				go func() { done <- d.Do(ctx, job("r", 400), discard) }()
+				go func() { done <- d.RunJob(ctx, job("r", 400), discard) }()
 				time.Sleep(20 * step)
 				cancel()
 				time.Sleep(500 * time.Millisecond)
@@ -180,7 +180,7 @@
 				if resumed {
 					resume := job("r", 400)
 					resume.Resume, resume.Offset = true, 20
-					require.NoError(t, d.Do(context.Background(), resume, discard))
+					require.NoError(t, d.RunJob(context.Background(), resume, discard))
 				}
 				time.Sleep(time.Second)
 				require.Equal(t, !resumed, f.isCancelled("r"))
@@ -199,7 +199,7 @@
 		d := newDispatcher(f, 1)
 		ctx, cancel := context.WithCancelCause(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- d.Do(ctx, job("r", 400), discard) }()
+		go func() { done <- d.RunJob(ctx, job("r", 400), discard) }()
 		time.Sleep(20 * step)
 		cancel(dispatch.ErrCancelled)
 		require.Error(t, <-done)
@@ -213,11 +213,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine()
 		d := newDispatcher(f, 1)
-		go func() { _ = d.Do(context.Background(), job("first", 50), discard) }()
+		go func() { _ = d.RunJob(context.Background(), job("first", 50), discard) }()
 		synctest.Wait()
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- d.Do(ctx, job("second", 50), discard) }()
+		go func() { done <- d.RunJob(ctx, job("second", 50), discard) }()
 		synctest.Wait()
 		cancel()
 		e := outcome.From(<-done)
@@ -235,13 +235,13 @@
 		f := newFakeEngine()
 		d := newDispatcher(f, 1)
 		var wg sync.WaitGroup
-		wg.Go(func() { _ = d.Do(context.Background(), job("long", 1000), discard) })
+		wg.Go(func() { _ = d.RunJob(context.Background(), job("long", 1000), discard) })
 		defer wg.Wait()
 		synctest.Wait()
 		shortDeadline := job("late", 50)
 		shortDeadline.RemainingMS = 2000
 		start := time.Now()
-		e := outcome.From(d.Do(context.Background(), shortDeadline, discard))
+		e := outcome.From(d.RunJob(context.Background(), shortDeadline, discard))
 		require.Equal(t, outcome.RefusedNotRun, e.Outcome)
 		require.Less(t, time.Since(start), 2*time.Second)
 		require.Positive(t, e.RetryAfter)
--- a/internal/engines/client.go
+++ b/internal/engines/client.go
@@ -36,7 +36,7 @@
 }
 
 // Fate implements Engine.
-func (c *Client) Fate(err error) (Fate, outcome.Reason, time.Duration) {
+func (c *Client) Classify(err error) (FailureClass, outcome.Reason, time.Duration) {
 	notRun := engine.NotRun(err)
 	switch kind := engine.KindOf(err); {
 	case kind == engine.NotSent:
@@ -52,9 +52,9 @@
 	case kind == engine.UnknownRequest:
 		return Unknown, outcome.BackendLost, 0
 	case kind == engine.Lost, kind == engine.Silent, kind == engine.Cut, kind == engine.Duplicate:
-		return Broken, outcome.BackendLost, 0
+		return Interrupted, outcome.BackendLost, 0
 	case kind == engine.WrongOffset, kind == engine.WrongRequest, kind == engine.Malformed:
-		return Broken, outcome.BackendCut, 0
+		return Interrupted, outcome.BackendCut, 0
 	default:
 		return Failed, outcome.BackendFailed, 0
 	}
--- a/internal/engines/engines.go
+++ b/internal/engines/engines.go
@@ -40,11 +40,11 @@
 )
 
 // Fate classifies the failure of an engine call by its consequence for the request.
-type Fate int
+type FailureClass int
 
 const (
 	// Broken means that the request may still be running and can be resumed.
-	Broken Fate = iota
+	Interrupted FailureClass = iota
 	// NotSent means that no byte of the request was written.
 	NotSent
 	// NotRun means that the engine confirmed that it did not run the request.
@@ -71,7 +71,7 @@
 		Cancel(ctx context.Context, requestID string) error
 		// Fate classifies an error of Generate, Resume or Next, and returns the
 		// reason to report and the delay before a retry.
-		Fate(err error) (Fate, outcome.Reason, time.Duration)
+		Classify(err error) (FailureClass, outcome.Reason, time.Duration)
 	}
 
 	// Sink receives the tokens of a generation. An error ends the delivery but not
@@ -184,13 +184,13 @@
 		return nil, e
 	}
 	for {
-		class, reason, retryAfter := r.engine.Fate(err)
+		class, reason, retryAfter := r.engine.Classify(err)
 		switch {
 		case !r.started && (class == NotSent || class == NotRun):
 			return nil, outcome.Refuse(reason, err.Error(), retryAfter)
 		case class == Failed:
 			return nil, outcome.Fail(reason, err.Error())
-		case class != Broken || r.resumes >= MaxResumes:
+		case class != Interrupted || r.resumes >= MaxResumes:
 			return nil, outcome.Fail(outcome.BackendLost, err.Error())
 		}
 		r.started = true // from here on the engine may be running the request
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -69,7 +69,7 @@
 
 func (f *fakeEngine) Cancel(context.Context, string) error { return nil }
 
-func (f *fakeEngine) Fate(err error) (engines.Fate, outcome.Reason, time.Duration) {
+func (f *fakeEngine) Classify(err error) (engines.FailureClass, outcome.Reason, time.Duration) {
 	switch {
 	case errors.Is(err, errNotSent):
 		return engines.NotSent, outcome.BackendUnreachable, time.Second
@@ -80,7 +80,7 @@
 	case errors.Is(err, errUnknown):
 		return engines.Unknown, outcome.BackendLost, 0
 	}
-	return engines.Broken, outcome.BackendLost, 0
+	return engines.Interrupted, outcome.BackendLost, 0
 }
 
 func (s *fakeStream) Next() (backend.Event, error) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -58,8 +58,8 @@
 
 	// Demand records the demand of callers.
 	Demand interface {
-		Asked(name string, u config.Urgency)
-		Took(name string, seconds float64)
+		Requested(name string, u config.Urgency)
+		ServiceTime(name string, seconds float64)
 	}
 
 	// Entry handles the requests of callers. Its fields are set before the first
@@ -74,7 +74,7 @@
 		Demand  Demand
 		Metrics *metrics.Requests
 		Log     *zap.Logger
-		Note    func(requestID, event string, fields ...zap.Field) // records a trace event for explain
+		Trace   func(requestID, event string, fields ...zap.Field) // records a trace event for explain
 	}
 
 	// request is the state of a running request.
@@ -153,8 +153,8 @@
 		return e.recordRefusal(k.Name, outcome.Refuse(outcome.NotFound, fmt.Sprintf("model %q", g.Model), 0))
 	}
 	r := newRequest(c, k, g.Deadline)
-	e.Metrics.Begin()
-	e.Demand.Asked(g.Model, k.Urgency)
+	e.Metrics.RequestStarted()
+	e.Demand.Requested(g.Model, k.Urgency)
 	q := generate.Request{
 		ID:         g.RequestID,
 		Team:       c.Name,
@@ -183,7 +183,7 @@
 	var firstToken time.Time
 	q.Started = func() {
 		firstToken = time.Now()
-		e.Metrics.First(r.kind.Name, firstToken.Sub(r.started))
+		e.Metrics.FirstToken(r.kind.Name, firstToken.Sub(r.started))
 	}
 	q.Fingerprint = suspect.FingerprintOf(r.team.Name, g.Model, g.Body)
 	err := e.runGeneration(ctx, g, q, func(reply forward.Reply, at forward.ResumeToken) error {
@@ -191,7 +191,7 @@
 		return emit(reply, at)
 	})
 	if err == nil && q.Resume == nil && !firstToken.IsZero() {
-		e.Demand.Took(g.Model, time.Since(firstToken).Seconds())
+		e.Demand.ServiceTime(g.Model, time.Since(firstToken).Seconds())
 	}
 	return err
 }
@@ -241,7 +241,7 @@
 		return caller.ServiceAnswer{}, e.recordRefusal("", outcome.Refuse(outcome.NotFound, sc.Method+" "+path, 0))
 	}
 	r := newRequest(c, k, sc.Deadline)
-	e.Metrics.Begin()
+	e.Metrics.RequestStarted()
 	a, err := e.call(ctx, sc, s, r)
 	e.recordEnd(sc.RequestID, r, err, zap.String("service", s.Name), zap.String("server", a.Server))
 	return caller.ServiceAnswer{Status: a.Status, Header: a.Header, Body: a.Body, Stored: a.Stored}, err
@@ -274,20 +274,20 @@
 
 // Ended implements caller.Handler.
 func (e *Entry) Ended(requestID string, started time.Time, err error) {
-	e.Metrics.Answered(err)
+	e.Metrics.CountAnswer(err)
 	f := outcome.From(err)
 	if f == nil {
-		e.Note(requestID, "answered", zap.String("outcome", string(outcome.Done)))
+		e.Trace(requestID, "answered", zap.String("outcome", string(outcome.Done)))
 		return
 	}
-	e.Note(requestID, "answered", zap.String("outcome", string(f.Outcome)), zap.String("reason", string(f.Reason)),
+	e.Trace(requestID, "answered", zap.String("outcome", string(f.Outcome)), zap.String("reason", string(f.Reason)),
 		zap.Duration("took", time.Since(started)))
 }
 
 // recordRefusal counts a request that ended before its kind was known.
 func (e *Entry) recordRefusal(kind string, err error) error {
-	e.Metrics.Begin()
-	e.Metrics.End(kind, err, 0, false)
+	e.Metrics.RequestStarted()
+	e.Metrics.RequestEnded(kind, err, 0, false)
 	return err
 }
 
@@ -295,7 +295,7 @@
 func (e *Entry) recordEnd(id string, r request, err error, extra ...zap.Field) {
 	now := time.Now()
 	took := now.Sub(r.started)
-	e.Metrics.End(r.kind.Name, err, took, now.After(r.deadline))
+	e.Metrics.RequestEnded(r.kind.Name, err, took, now.After(r.deadline))
 	fields := append([]zap.Field{
 		zap.String("request-id", id),
 		zap.String("team", r.team.Name),
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -56,10 +56,10 @@
 		return err
 	}
 	if grant.Stored != nil {
-		e.Note(q.ID, "stored-answer", zap.String("row", claim.Key(q.Team, g.Key)))
+		e.Trace(q.ID, "stored-answer", zap.String("row", claim.Key(q.Team, g.Key)))
 		return replay(*grant.Stored, q.ID, emit)
 	}
-	e.Note(q.ID, "claimed", zap.String("row", claim.Key(q.Team, g.Key)), zap.String("attempt", grant.Held.Claim.Attempt))
+	e.Trace(q.ID, "claimed", zap.String("row", claim.Key(q.Team, g.Key)), zap.String("attempt", grant.Held.Claim.Attempt))
 	r := &recorder{held: grant.Held, claims: e.Claims, emit: emit}
 	err = e.Router.Do(context.WithoutCancel(ctx), q, r.record)
 	switch f := outcome.From(err); {
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -183,7 +183,7 @@
 // now returns the time of the clock.
 func (f *Follower) now() time.Duration {
 	if f.Clock == nil {
-		return clock.Boot()
+		return clock.SinceBoot()
 	}
 	return f.Clock()
 }
--- a/internal/front/deputy.go
+++ b/internal/front/deputy.go
@@ -52,7 +52,7 @@
 		return hub.Contact{}, false
 	}
 	refusedAt := n.deputyRefusedAt.Load()
-	return *at, refusedAt == 0 || clock.Boot()-time.Duration(refusedAt) > deputyBackoff
+	return *at, refusedAt == 0 || clock.SinceBoot()-time.Duration(refusedAt) > deputyBackoff
 }
 
 // reportToDeputy reports to the deputy and returns whether the deputy accepted the report.
@@ -68,13 +68,13 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	r.Counts = n.gateway.Counts(actingEpoch(l))
-	sentAt := clock.Boot()
+	sentAt := clock.SinceBoot()
 	p, err := (&hub.Client{Endpoint: n.endpoint}).Exchange(ctx, at.Address, r)
 	if err != nil || !p.Acting {
 		n.recordRefusal(at, err)
 		return false
 	}
-	n.deputyReplyAt.Store(int64(clock.Boot()))
+	n.deputyReplyAt.Store(int64(clock.SinceBoot()))
 	n.applyReply(r, p)
 	n.onFeed(p.Update, sentAt)
 	n.placer.ObserveLease(p.Lease)
@@ -90,7 +90,7 @@
 		return true
 	}
 	at, repliedAt := n.deputy.Load(), n.deputyReplyAt.Load()
-	return at != nil && n.settings.Cores < at.Cores && repliedAt != 0 && clock.Boot()-time.Duration(repliedAt) < n.leaderTimeout()
+	return at != nil && n.settings.Cores < at.Cores && repliedAt != 0 && clock.SinceBoot()-time.Duration(repliedAt) < n.leaderTimeout()
 }
 
 // acquireFromDeputy requests a slot at an engine from the deputy.
@@ -112,6 +112,6 @@
 // recordRefusal records that the deputy didn't reply, or refused because it reaches the
 // leader.
 func (n *Node) recordRefusal(at hub.Contact, err error) {
-	n.deputyRefusedAt.Store(int64(clock.Boot()))
+	n.deputyRefusedAt.Store(int64(clock.SinceBoot()))
 	n.log.Info("deputy-refused", zap.String("deputy", at.Address), zap.Error(err))
 }
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		r := n.newReport(l)
-		sentAt := clock.Boot()
+		sentAt := clock.SinceBoot()
 		p, err := n.sendReport(ctx, l, r)
 		if err == nil && p.Leading {
 			b.Reset()
@@ -93,7 +93,7 @@
 	r.Echo = n.echo
 	r.Quotas = n.gateway.QuotaUsage()
 	r.Departed = n.undeclaredLeaving()
-	r.Echo.After = clock.Boot() - n.follower.ConfigAge() - n.echoAt
+	r.Echo.After = clock.SinceBoot() - n.follower.ConfigAge() - n.echoAt
 	return r
 }
 
@@ -126,7 +126,7 @@
 // the report was sent.
 func (n *Node) onLeaderReply(l leader.Lease, r hub.Report, p hub.ReportReply, sentAt time.Duration) {
 	n.nodeCount.Store(int64(p.Nodes))
-	if was := n.leaderReplyAt.Swap(int64(clock.Boot())); was == 0 || time.Duration(int64(clock.Boot())-was) > n.leaderTimeout() {
+	if was := n.leaderReplyAt.Swap(int64(clock.SinceBoot())); was == 0 || time.Duration(int64(clock.SinceBoot())-was) > n.leaderTimeout() {
 		n.log.Info("leader-reached", zap.String("leader", l.Node), zap.Int64("epoch", l.Epoch), zap.Int("nodes", p.Nodes))
 	}
 	n.deputy.Store(&p.DeputyAt)
@@ -148,7 +148,7 @@
 // in common.
 func (n *Node) applyReply(r hub.Report, p hub.ReportReply) {
 	n.ack = p.Heard
-	n.echo, n.echoAt = hub.ClockEcho{Hub: p.Heard.Hub, Stamp: p.Stamp}, clock.Boot()
+	n.echo, n.echoAt = hub.ClockEcho{Hub: p.Heard.Hub, Stamp: p.Stamp}, clock.SinceBoot()
 	n.gateway.ApplyReply(p)
 	n.addLeaving(p.Departed...)
 	n.gateway.UpdateQuotas(r.Quotas.Number, p.Quotas, p.Nodes)
@@ -179,7 +179,7 @@
 	n.follower.ApplyUpdate(time.Now(), u)
 	n.follower.ConfirmConfig(u.Operator, sentAt-u.ConfigAge)
 	if u.Age <= n.maxFeedAge() {
-		n.feedAt.Store(int64(clock.Boot()))
+		n.feedAt.Store(int64(clock.SinceBoot()))
 	}
 }
 
@@ -187,7 +187,7 @@
 // need not follow the store.
 func (n *Node) hasFeed() bool {
 	at := n.feedAt.Load()
-	return n.role() == follow.Standalone && at != 0 && clock.Boot()-time.Duration(at) < n.leaderTimeout() && !n.confirmationDue()
+	return n.role() == follow.Standalone && at != 0 && clock.SinceBoot()-time.Duration(at) < n.leaderTimeout() && !n.confirmationDue()
 }
 
 // confirmationDue reports whether this node should query the store itself for the newest
@@ -228,7 +228,7 @@
 // onLeaderFailure logs a failed exchange, and redials if the connection has been silent for
 // long.
 func (n *Node) onLeaderFailure(l leader.Lease, err error) {
-	if at := n.leaderReplyAt.Load(); clock.Boot()-time.Duration(at) > redialAfter {
+	if at := n.leaderReplyAt.Load(); clock.SinceBoot()-time.Duration(at) > redialAfter {
 		n.endpoint.Renew(l.Address)
 	}
 	if !n.leaderReached() {
@@ -240,7 +240,7 @@
 // leaderReached reports whether the leader replied to a report recently.
 func (n *Node) leaderReached() bool {
 	at := n.leaderReplyAt.Load()
-	return at != 0 && clock.Boot()-time.Duration(at) < n.leaderTimeout()
+	return at != 0 && clock.SinceBoot()-time.Duration(at) < n.leaderTimeout()
 }
 
 // leaderSuspected reports whether the leader hasn't replied recently, or left a slot request
@@ -284,12 +284,14 @@
 		n.confirmConfig(r, p.Heard.Hub)
 	}
 	p.Update = n.follower.ChangesSince(time.Now(), r.Known)
-	p.Stamp = clock.Boot()
+	p.Stamp = clock.SinceBoot()
 	return p
 }
 
 // Want serves another node's load request.
-func (n *Node) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply { return n.placer.RequestLoad(ctx, w) }
+func (n *Node) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
+	return n.placer.RequestLoad(ctx, w)
+}
 
 // get returns the client for an address.
 func (c *clientCache) get(address string) *jsonhttp.Client {
--- a/internal/front/join.go
+++ b/internal/front/join.go
@@ -33,8 +33,8 @@
 
 	// joinReply is the replying node's copy of the store.
 	joinReply struct {
-		Copy  follow.Snapshot  `json:"copy"`
-		Lease platform.Row `json:"lease"`
+		Copy  follow.Snapshot `json:"copy"`
+		Lease platform.Row    `json:"lease"`
 	}
 )
 
@@ -50,7 +50,7 @@
 			continue
 		}
 		var a joinReply
-		sentAt := clock.Boot()
+		sentAt := clock.SinceBoot()
 		call, cancel := context.WithTimeout(ctx, joinTimeout)
 		got, err := n.seeds.get(seed).JSON(call, http.MethodPost, joinPath, r, &a)
 		cancel()
--- a/internal/front/members.go
+++ b/internal/front/members.go
@@ -89,7 +89,7 @@
 	for _, r := range rows {
 		versions[r.Key] = r.Version
 	}
-	for _, key := range w.Expired(clock.Boot(), versions) {
+	for _, key := range w.Expired(clock.SinceBoot(), versions) {
 		row := platform.Row{Table: nodeTable, Key: key, Version: versions[key]}
 		_, _, ok, err := n.store.Change(ctx, platform.Change{Expect: []platform.Row{row}, Remove: []platform.Row{row}})
 		n.log.Info("node-row-removed", zap.String("node", key), zap.Int64("version", row.Version), zap.Bool("removed", ok), zap.Error(err))
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -72,7 +72,7 @@
 	granter              *granter.Granter
 	follower             *follow.Follower
 	endpoint             *peer.Endpoint
-	key                  *keys.Memory
+	key                  *keys.SelfSigned
 	clients              *http1.Server
 	probes               *http1.Server
 	registry             *prometheus.Registry
@@ -90,9 +90,9 @@
 	deputyReplyAt        atomic.Int64                    // boot time of the deputy's last reply to a report
 	deputyRefusedAt      atomic.Int64                    // boot time of the deputy's last refusal
 	acting               atomic.Bool                     // this node is the deputy and grants slots
-	ack                  hub.Ack                       // what the leader has acknowledged; used by runExchange only
+	ack                  hub.Ack                         // what the leader has acknowledged; used by runExchange only
 	roster               uint64                          // version of the leader's roster that a deputy has; likewise
-	echo                 hub.ClockEcho                        // clock echo of the last reply to a report; likewise
+	echo                 hub.ClockEcho                   // clock echo of the last reply to a report; likewise
 	echoAt               time.Duration                   // boot time of the arrival of that reply; likewise
 	refresher            refresher
 	peerKeys             trustedKeys
@@ -104,7 +104,7 @@
 // New returns a node that hasn't opened any listener or connection yet.
 func New(s Settings, log *zap.Logger) (*Node, error) {
 	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * (1 << 20)))
-	key, err := keys.NewMemory(s.Node)
+	key, err := keys.NewSelfSigned(s.Node)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 	m := gateway.NewMetrics()
 	n.registry.MustRegister(m.Collectors()...)
 	n.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: s.DataCentre, Metrics: m, RequestLoad: n.requestLoad, AcquireSlot: n.acquireSlot,
-		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		RetryBudget: n.retryBudget(), Refresh: n.refresh,
 		OnLeaving: func(i departure.Incarnation) bool { return n.addLeaving(i) }, KeyAge: s.keyAge(), Tolerance: s.tolerance()}
 	n.gateway.Run(balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
@@ -167,20 +167,20 @@
 	n.registry.MustRegister(orders)
 	engines := &clientCache{}
 	return &placer.Placer{
-		Store: n.store, Engines: &platform.Engines{Client: engines.get}, Hub: n.hub, Log: n.log, Clock: clock.Boot,
+		Store: n.store, Engines: &platform.Engines{Client: engines.get}, Hub: n.hub, Log: n.log, Clock: clock.SinceBoot,
 		Elector: &leader.Elector{
 			Self: leader.Lease{Node: n.settings.Node, Incarnation: n.key.Fingerprint()[:16],
 				Address: n.settings.Peers, Key: n.key.Fingerprint(), Cores: n.settings.Cores},
 			TTL: time.Duration(n.settings.LeaseMS) * time.Millisecond,
 		},
-		Fencing:   n.settings.CheckEpochs,
-		Window:    time.Duration(n.settings.LoadWindowS * float64(time.Second)),
-		LeaderReachable: n.hasCoordinator,
-		OnVerdict:   func(v string) { orders.WithLabelValues(v).Inc() },
-		OnElected:     n.granter.Reset,
-		WaitingWithoutCopy:   n.granter.Waiting,
-		LimitedModels:   n.granter.LimitedModels,
-		OnResidency:     n.granter.SetResidency,
+		Fencing:            n.settings.CheckEpochs,
+		Window:             time.Duration(n.settings.LoadWindowS * float64(time.Second)),
+		LeaderReachable:    n.hasCoordinator,
+		OnVerdict:          func(v string) { orders.WithLabelValues(v).Inc() },
+		OnElected:          n.granter.Reset,
+		WaitingWithoutCopy: n.granter.Waiting,
+		LimitedModels:      n.granter.LimitedModels,
+		OnResidency:        n.granter.SetResidency,
 	}
 }
 
--- a/internal/front/refresh.go
+++ b/internal/front/refresh.go
@@ -67,7 +67,7 @@
 func (r *refresher) request(ctx context.Context) bool {
 	r.mu.Lock()
 	r.init()
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	select {
 	case <-r.wake: // a requested report is already pending
 	default:
--- a/internal/front/slots.go
+++ b/internal/front/slots.go
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(n.leaderCalls.context(), cancel)()
-	sentAt := clock.Boot()
+	sentAt := clock.SinceBoot()
 	reply, grant, err := n.leaderClient().AcquireSlot(ctx, l.Address, p)
 	n.suspectLeader(l, sentAt, err)
 	return reply, grant, err
@@ -62,7 +62,7 @@
 
 // onLeaderMessage records a message from the leader.
 func (n *Node) onLeaderMessage() {
-	n.leaderMessageAt.Store(int64(clock.Boot()))
+	n.leaderMessageAt.Store(int64(clock.SinceBoot()))
 	n.leaderSuspect.Store(false)
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	n.leaderCalls.cancelAll()
-	n.log.Warn("leader-suspect", zap.String("leader", l.Node), zap.Duration("waited", clock.Boot()-sentAt))
+	n.log.Warn("leader-suspect", zap.String("leader", l.Node), zap.Duration("waited", clock.SinceBoot()-sentAt))
 }
 
 // context returns a context that lasts until the waiting calls are canceled.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,7 +101,7 @@
 		lacking           []string      // servers found not to hold the model or adapter
 		runs              int           // sends after which the request may have run
 		retryAfter        time.Duration // Retry-After of a refusal
-		slot              hub.SlotGrant     // the slot granted to the request, nil if none
+		slot              hub.SlotGrant // the slot granted to the request, nil if none
 		granter           int64         // the granter that counts the send until its end
 		sends             int
 		queued            time.Duration // time until the first send
--- a/internal/generate/guard.go
+++ b/internal/generate/guard.go
@@ -70,7 +70,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	bootNow, err := a.r.Boot(ctx, a.server)
+	bootNow, err := a.r.BootID(ctx, a.server)
 	if err != nil {
 		a.r.unresponsive(a.server)
 	}
--- a/internal/generate/lost_test.go
+++ b/internal/generate/lost_test.go
@@ -32,7 +32,7 @@
 // brokenOwner fails every job with a lost engine.
 type brokenOwner struct{ jobs int }
 
-func (o *brokenOwner) Do(context.Context, string, forward.Job, engines.Sink) error {
+func (o *brokenOwner) RunJob(context.Context, string, forward.Job, engines.Sink) error {
 	o.jobs++
 	return outcome.Fail(outcome.BackendLost, "EOF")
 }
@@ -45,7 +45,7 @@
 		owner, guard := &brokenOwner{}, &noGuard{}
 		r := newRouter(owner, "s1")
 		r.Guard = guard
-		r.Boot = func(context.Context, string) (string, error) { return "", errors.New("no answer") }
+		r.BootID = func(context.Context, string) (string, error) { return "", errors.New("no answer") }
 		r.Init(1, &retry.Budget{})
 		for range 3 {
 			q := generate.Request{
--- a/internal/generate/outcome_test.go
+++ b/internal/generate/outcome_test.go
@@ -31,11 +31,11 @@
 	}
 	return &generate.Router{
 		Self: "n1", Views: known, Owners: owner, Policy: &route.Home{}, Forward: true, Guard: &noGuard{},
-		Place:  func(string) string { return "" },
-		Engine: func(string) engines.Engine { return nil },
-		Boot:   func(context.Context, string) (string, error) { return "", nil },
-		Note:   func(generate.Event) {},
-		Wanted: func(backend.Item, int) {},
+		DataCentreOf: func(string) string { return "" },
+		Engine:       func(string) engines.Engine { return nil },
+		BootID:       func(context.Context, string) (string, error) { return "", nil },
+		Trace:        func(generate.Event) {},
+		AddWaiting:   func(backend.Item, int) {},
 	}
 }
 
@@ -45,7 +45,7 @@
 	jobs int
 }
 
-func (f *failingOwner) Do(context.Context, string, forward.Job, engines.Sink) error {
+func (f *failingOwner) RunJob(context.Context, string, forward.Job, engines.Sink) error {
 	f.jobs++
 	return f.err
 }
@@ -92,7 +92,7 @@
 // flakyOwner fails every second job after its start; the others succeed.
 type flakyOwner struct{ jobs int }
 
-func (f *flakyOwner) Do(_ context.Context, _ string, _ forward.Job, sink engines.Sink) error {
+func (f *flakyOwner) RunJob(_ context.Context, _ string, _ forward.Job, sink engines.Sink) error {
 	f.jobs++
 	if f.jobs%2 == 1 {
 		return outcome.Fail(outcome.BackendFailed, "")
--- a/internal/generate/pick.go
+++ b/internal/generate/pick.go
@@ -15,7 +15,7 @@
 	waiting := false
 	defer func() {
 		if waiting {
-			a.r.Wanted(a.q.Item, -1)
+			a.r.AddWaiting(a.q.Item, -1)
 		}
 	}()
 	for {
@@ -31,7 +31,7 @@
 		}
 		if !waiting {
 			waiting = true
-			a.r.Wanted(a.q.Item, 1)
+			a.r.AddWaiting(a.q.Item, 1)
 			a.trace("wait", string(outcome.NoCopy))
 		}
 		if err := a.awaitView(ctx, changed); err != nil {
@@ -88,7 +88,7 @@
 		}
 		cs = append(cs, route.Candidate{
 			Server:         v,
-			SameDataCentre: r.Place(v.Server) == r.DataCentre,
+			SameDataCentre: r.DataCentreOf(v.Server) == r.DataCentre,
 			OwnInFlight:    r.sent.InFlight(v.Server),
 			OwnRecent:      r.sent.Recent(v.Server),
 		})
--- a/internal/generate/router.go
+++ b/internal/generate/router.go
@@ -69,7 +69,7 @@
 		// Changed returns a channel that is closed at the next change.
 		Changed() <-chan struct{}
 		// Heard updates the load of a server from an owner's reply.
-		Heard(server string, l forward.Load)
+		UpdateLoad(server string, l forward.Load)
 	}
 
 	// Owners runs jobs at the owners of servers on other nodes.
@@ -77,12 +77,12 @@
 		// Do runs job at the owner. The error is nil, an *engines.SinkError or
 		// an *outcome.Error. The reason peer-unreachable means that the job was
 		// not sent, peer-lost that the connection broke after it was.
-		Do(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error
+		RunJob(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error
 	}
 
 	// Local runs jobs on servers that this node owns.
 	Local interface {
-		Do(ctx context.Context, job forward.Job, sink engines.Sink) error
+		RunJob(ctx context.Context, job forward.Job, sink engines.Sink) error
 	}
 
 	// Event is a trace event: one decision about a request, for logs and
@@ -98,20 +98,20 @@
 
 	// Router routes generations. Its fields are set before the first Do.
 	Router struct {
-		Self       string // node name
-		DataCentre string
-		Views      Views
-		Local      Local
-		Owners     Owners
-		Engine     func(server string) engines.Engine // nil if unknown
-		Place      func(server string) string         // data centre of a server
-		Policy     route.Policy
-		Forward    bool // send through the owner; false goes to engines directly
-		Retry      retry.Policy
-		Guard      Guard
-		Boot       func(ctx context.Context, server string) (string, error) // boot id of a server's engine
-		Note       func(Event)
-		Wanted     func(item backend.Item, waiting int) // receives the change in the number of requests that wait for a copy
+		Self         string // node name
+		DataCentre   string
+		Views        Views
+		Local        Local
+		Owners       Owners
+		Engine       func(server string) engines.Engine // nil if unknown
+		DataCentreOf func(server string) string         // data centre of a server
+		Policy       route.Policy
+		Forward      bool // send through the owner; false goes to engines directly
+		Retry        retry.Policy
+		Guard        Guard
+		BootID       func(ctx context.Context, server string) (string, error) // boot id of a server's engine
+		Trace        func(Event)
+		AddWaiting   func(item backend.Item, waiting int) // receives the change in the number of requests that wait for a copy
 
 		mu       sync.Mutex
 		random   *rand.Rand
@@ -211,11 +211,11 @@
 }
 
 func (a *attempt) trace(event, reason string) {
-	a.r.Note(Event{RequestID: a.q.ID, Event: event, Server: a.server, Owner: a.owner, Epoch: a.epoch, Reason: reason})
+	a.r.Trace(Event{RequestID: a.q.ID, Event: event, Server: a.server, Owner: a.owner, Epoch: a.epoch, Reason: reason})
 }
 
 // Seen records that a newer view or load of a server was received.
-func (r *Router) Seen(server string) {
+func (r *Router) ViewUpdated(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent.ViewUpdated(server, time.Now())
--- a/internal/generate/send.go
+++ b/internal/generate/send.go
@@ -20,8 +20,8 @@
 	defer r.recordEnded(a.server)
 	sink := func(reply forward.Reply) error {
 		if reply.Load != nil {
-			r.Views.Heard(a.server, *reply.Load)
-			r.Seen(a.server)
+			r.Views.UpdateLoad(a.server, *reply.Load)
+			r.ViewUpdated(a.server)
 		}
 		if reply.Token == "" && reply.Finish == "" {
 			return nil
@@ -37,9 +37,9 @@
 	}
 	switch {
 	case r.Forward && a.owner == r.Self && !a.bypassOwner:
-		return r.Local.Do(ctx, job, sink)
+		return r.Local.RunJob(ctx, job, sink)
 	case r.Forward && a.owner != "" && !a.bypassOwner:
-		err := r.Owners.Do(ctx, a.owner, job, sink)
+		err := r.Owners.RunJob(ctx, a.owner, job, sink)
 		if e := outcome.From(err); e == nil || e.Reason != outcome.PeerUnreachable {
 			return err
 		}
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -48,11 +48,11 @@
 	// Granter grants slots. Its exported fields are set before the first call. It
 	// is safe for concurrent use.
 	Granter struct {
-		Log      *zap.Logger
-		Settings grant.Settings
-		LoadAdapter  func(ctx context.Context, w hub.LoadRequest) hub.LoadReply // loads an adapter
-		Counts   func() map[string]balance.Count                 // counts over all nodes, by server; may be nil
-		Limits   func() []hub.Limit                              // known rate limits of servers; may be nil
+		Log         *zap.Logger
+		Settings    grant.Settings
+		LoadAdapter func(ctx context.Context, w hub.LoadRequest) hub.LoadReply // loads an adapter
+		Counts      func() map[string]balance.Count                            // counts over all nodes, by server; may be nil
+		Limits      func() []hub.Limit                                         // known rate limits of servers; may be nil
 		// Tolerance is how far a team's usage may exceed its quota.
 		Tolerance quota.Tolerance
 
--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -75,8 +75,8 @@
 	// called exactly once.
 	SlotGrant interface {
 		SetRate(perSecond *float64) // the server's response sets a rate limit, or removes it if nil
-		PrefillDone()                       // the prefill is done and the response has started
-		Done(r balance.Result)        // the request has ended
+		PrefillDone()               // the prefill is done and the response has started
+		Done(r balance.Result)      // the request has ended
 	}
 
 	// Released frees a granted slot.
@@ -96,7 +96,7 @@
 	// Client calls the leader.
 	Client struct {
 		Endpoint *peer.Endpoint
-		OnReply    func() // called for each frame received from the leader, may be nil
+		OnReply  func() // called for each frame received from the leader, may be nil
 	}
 
 	// SilentError means that the leader didn't reply within AckTimeout.
--- a/internal/hub/client_test.go
+++ b/internal/hub/client_test.go
@@ -39,7 +39,7 @@
 // endpoint runs an endpoint that trusts every key.
 func endpoint(t testing.TB, name string, h hub.Leader) *peer.Endpoint {
 	t.Helper()
-	key, err := keys.NewMemory(name)
+	key, err := keys.NewSelfSigned(name)
 	require.NoError(t, err)
 	key.Trusted = func(string) bool { return true }
 	e := &peer.Endpoint{Address: freeport.Take(), TLS: key, OnMessage: func(string, peer.Frame) {},
--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -39,8 +39,8 @@
 	// Demand counts a node's requests for an item since its last report.
 	Demand struct {
 		Item
-		Tokens  int // prompt tokens
-		Waiting int // requests that wait for it now
+		Tokens  int          // prompt tokens
+		Waiting int          // requests that wait for it now
 		Ran     StreamTotals // streams that ended
 	}
 
@@ -85,7 +85,7 @@
 		Update *follow.Update // changes that this node has read and the leader lacks
 
 		Contact  time.Duration // since the store last responded to this node
-		Heard    Ack         // residency updates and crash marks that this node has received
+		Heard    Ack           // residency updates and crash marks that this node has received
 		Lease    int64         // version of the lease's row that this node has
 		Roster   uint64        // version of the list of reporting nodes that this node has
 		Echo     ClockEcho
@@ -129,7 +129,7 @@
 		Nodes    int      // nodes with a recent report, including the reporting one
 		Counts   map[string]balance.Count
 		Notes    []ResidencyUpdate // those that the reporting node hasn't acknowledged
-		Marks    []CrashMark // likewise
+		Marks    []CrashMark       // likewise
 		Heard    Ack
 		Stamp    time.Duration           // boot time of the replying node
 		Quotas   map[string]quota.State  // by team
--- a/internal/keys/memory.go
+++ b/internal/keys/memory.go
@@ -17,7 +17,7 @@
 	// generates at its start. No authority is involved: a peer is authenticated
 	// if its row in the store holds the fingerprint of the certificate that it
 	// presents.
-	Memory struct {
+	SelfSigned struct {
 		// Trusted reports whether a row of the store holds the fingerprint. It
 		// must be set before the first use.
 		Trusted func(fingerprint string) bool
@@ -37,7 +37,7 @@
 }
 
 // NewMemory generates a key pair and a self-signed certificate for a node.
-func NewMemory(name string) (*Memory, error) {
+func NewSelfSigned(name string) (*SelfSigned, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, eris.Wrap(err, "make key")
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "make certificate")
 	}
-	return &Memory{
+	return &SelfSigned{
 		cert:        tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key},
 		fingerprint: Fingerprint(der),
 	}, nil
@@ -61,10 +61,10 @@
 }
 
 // Fingerprint returns the fingerprint of the own certificate.
-func (m *Memory) Fingerprint() string { return m.fingerprint }
+func (m *SelfSigned) Fingerprint() string { return m.fingerprint }
 
 // Server returns a TLS configuration that requires a trusted client certificate.
-func (m *Memory) Server() *tls.Config {
+func (m *SelfSigned) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
 		Certificates:     []tls.Certificate{m.cert},
@@ -76,7 +76,7 @@
 // Client returns a TLS configuration that verifies the server in the same way.
 // Host names and validity dates are not checked: the wall clocks of VMs jump, and
 // the row in the store does not outlive its node.
-func (m *Memory) Client() *tls.Config {
+func (m *SelfSigned) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		Certificates:       []tls.Certificate{m.cert},
@@ -85,7 +85,7 @@
 	}
 }
 
-func (m *Memory) verify(c tls.ConnectionState) error {
+func (m *SelfSigned) verify(c tls.ConnectionState) error {
 	if len(c.PeerCertificates) == 0 {
 		return &UntrustedError{}
 	}
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -21,11 +21,11 @@
 
 // Control measures the time spent on control work. A nil Control measures
 // nothing.
-type Control struct{ seconds *prometheus.CounterVec }
+type ControlWork struct{ seconds *prometheus.CounterVec }
 
 // NewControl returns a Control with all counters at zero.
-func NewControl() *Control {
-	c := &Control{seconds: prometheus.NewCounterVec(prometheus.CounterOpts{
+func NewControlWork() *ControlWork {
+	c := &ControlWork{seconds: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "control_seconds_total",
 		Help: "Time spent in the handlers of control work, seconds.",
 	}, []string{"kind"})}
@@ -36,11 +36,11 @@
 }
 
 // Collectors returns the metrics to register.
-func (c *Control) Collectors() []prometheus.Collector { return []prometheus.Collector{c.seconds} }
+func (c *ControlWork) Collectors() []prometheus.Collector { return []prometheus.Collector{c.seconds} }
 
 // Time starts a measurement of w and returns the function that ends it. The
 // measured time includes waits of the goroutine for a processor or a lock.
-func (c *Control) Time(w Work) func() {
+func (c *ControlWork) Measure(w Work) func() {
 	if c == nil {
 		return func() {}
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -72,11 +72,11 @@
 }
 
 // Begin records the start of a request.
-func (r *Requests) Begin() { r.open.Inc() }
+func (r *Requests) RequestStarted() { r.open.Inc() }
 
 // End records the end of a request. err is nil if it succeeded; afterDeadline
 // reports whether it then completed after its deadline.
-func (r *Requests) End(kind string, err error, took time.Duration, afterDeadline bool) {
+func (r *Requests) RequestEnded(kind string, err error, took time.Duration, afterDeadline bool) {
 	r.open.Dec()
 	e := outcome.From(err)
 	if e != nil {
@@ -92,7 +92,7 @@
 
 // Answered counts an answer to a caller, including one that the listener gave
 // before any other component saw the request. err is nil if it succeeded.
-func (r *Requests) Answered(err error) {
+func (r *Requests) CountAnswer(err error) {
 	if e := outcome.From(err); e != nil {
 		r.answers.WithLabelValues(string(e.Outcome), string(e.Reason)).Inc()
 		return
@@ -101,11 +101,11 @@
 }
 
 // First records the time to the first token of a request.
-func (r *Requests) First(kind string, took time.Duration) {
+func (r *Requests) FirstToken(kind string, took time.Duration) {
 	r.firstToken.WithLabelValues(kind).Observe(took.Seconds())
 }
 
 // Retry counts a retry decision after a failed attempt.
-func (r *Requests) Retry(decision, reason string) {
+func (r *Requests) CountRetryDecision(decision, reason string) {
 	r.retryDecisions.WithLabelValues(decision, reason).Inc()
 }
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -48,7 +48,7 @@
 		Table:    n.table,
 		Store:    n.objects,
 		Peers:    n.configPeers,
-		Nodes:    func() int { return len(n.cluster.Working()) },
+		Nodes:    func() int { return len(n.cluster.ActiveNodes()) },
 		OnChange: n.onConfigChange,
 		Log:      n.log,
 		Metrics:  configsync.NewMetrics(n.registry),
@@ -59,18 +59,18 @@
 	m := owner.NewMetrics()
 	n.registry.MustRegister(m.Collectors()...)
 	n.dispatch = &dispatch.Dispatcher{
-		Engine:   n.engineOf,
-		Settings: n.queueSettings,
-		OnLost:   func(server string, running []string) { n.crashes.connectionLost(server, running) },
+		Engine:       n.engineOf,
+		Settings:     n.queueSettings,
+		OnEngineLost: func(server string, running []string) { n.crashes.connectionLost(server, running) },
 	}
 	n.owner = &owner.Owner{
 		Node:        n.settings.Name,
 		Incarnation: strconv.FormatUint(incarnation, 36),
 		Table:       n.table,
 		Engine:      func(address string) owner.Engine { return n.engineAt(address) },
-		Live:        func() []string { return n.cluster.Working() },
+		Live:        func() []string { return n.cluster.ActiveNodes() },
 		Known:       n.views.All,
-		Occupancy:   n.occupancy,
+		Load:        n.occupancy,
 		Log:         n.log,
 		Metrics:     m,
 	}
@@ -89,9 +89,9 @@
 		OnView:     n.updateView,
 		OnLoad:     n.updateLoad,
 		OnMessage:  n.handleMessage,
-		Config:     n.follower.Packed,
+		Config:     n.follower.PackedBody,
 		ConfigHead: n.follower.Head,
-		Spent:      n.control.Time,
+		TimeWork:   n.control.Measure,
 		Log:        n.log,
 		Seed:       n.settings.Seed,
 	}
@@ -103,29 +103,29 @@
 		panic(err) // Settings.Check rejects unknown names
 	}
 	n.router = &generate.Router{
-		Self:       n.settings.Name,
-		DataCentre: n.settings.DataCentre,
-		Views:      n.views,
-		Local:      &forwarded{Dispatcher: n.dispatch, node: n},
-		Owners:     n.cluster,
-		Engine:     n.engineOf,
-		Place:      n.dataCentreOf,
-		Policy:     policy,
-		Forward:    policy.Name() == route.NameHome,
-		Guard:      n.guard,
-		Boot:       n.bootID,
-		Note:       n.traceDecision,
-		Wanted:     n.demand.Wanted,
+		Self:         n.settings.Name,
+		DataCentre:   n.settings.DataCentre,
+		Views:        n.views,
+		Local:        &forwarded{Dispatcher: n.dispatch, node: n},
+		Owners:       n.cluster,
+		Engine:       n.engineOf,
+		DataCentreOf: n.dataCentreOf,
+		Policy:       policy,
+		Forward:      policy.Name() == route.NameHome,
+		Guard:        n.guard,
+		BootID:       n.bootID,
+		Trace:        n.traceDecision,
+		AddWaiting:   n.demand.AddWaiting,
 	}
 	n.router.Init(n.settings.Seed, &retry.Budget{})
 }
 
 func (n *Node) buildGuard() {
 	n.guard = &suspects.Guard{
-		Table:   n.table,
-		Spread:  n.spreadMarks,
-		Log:     n.log,
-		Metrics: suspects.NewMetrics(n.registry),
+		Table:     n.table,
+		Broadcast: n.spreadMarks,
+		Log:       n.log,
+		Metrics:   suspects.NewMetrics(n.registry),
 	}
 	n.crashes = &crashes{node: n}
 }
@@ -144,16 +144,16 @@
 
 func (n *Node) buildPlanner() {
 	n.planner = &planner.Planner{
-		Self:    n.settings.Name,
-		Policy:  newPlanner(n.settings.Planner),
-		Demand:  n.demand,
-		Index:   n.follower.Index,
-		Working: n.cluster.Working,
-		Views:   n.views,
-		Tell:    n.cluster.Tell,
-		Follow:  n.owner.SetPlan,
-		Time:    n.control.Time,
-		Log:     n.log,
+		Self:        n.settings.Name,
+		Policy:      newPlanner(n.settings.Planner),
+		Demand:      n.demand,
+		Index:       n.follower.Index,
+		ActiveNodes: n.cluster.ActiveNodes,
+		Views:       n.views,
+		Send:        n.cluster.Send,
+		SetPlan:     n.owner.SetPlan,
+		Measure:     n.control.Measure,
+		Log:         n.log,
 	}
 }
 
@@ -170,7 +170,7 @@
 		Seed:     n.settings.Seed,
 		Log:      n.log,
 		Metrics:  call.NewMetrics(n.registry),
-		Note:     n.traceEvent,
+		Trace:    n.traceEvent,
 	}
 	e := &entry.Entry{
 		Index:   n.follower.Index,
@@ -182,7 +182,7 @@
 		Demand:  n.demand,
 		Metrics: n.requests,
 		Log:     n.log,
-		Note:    n.traceEvent,
+		Trace:   n.traceEvent,
 	}
 	n.callers = &caller.Server{
 		Address: n.settings.Callers,
--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -63,11 +63,11 @@
 func (n *Node) bootID(ctx context.Context, server string) (string, error) {
 	x := n.follower.Index()
 	if x == nil {
-		return "", &NotReady{}
+		return "", &NotReadyError{}
 	}
 	s, ok := x.Server(server)
 	if !ok {
-		return "", &NotReady{}
+		return "", &NotReadyError{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, bootTimeout)
 	defer cancel()
@@ -77,7 +77,7 @@
 
 // spreadMarks sends marks to all other nodes and returns when the calls have ended.
 func (n *Node) spreadMarks(ctx context.Context, marks []suspect.Mark) {
-	n.cluster.AskAll(ctx, maxMarksCalls, cluster.KindSuspect, marksBody{Marks: marks})
+	n.cluster.CallAll(ctx, maxMarksCalls, cluster.KindSuspect, marksBody{Marks: marks})
 }
 
 // gossipMarks resends the newest marks to a few other nodes, for nodes that were
@@ -87,12 +87,12 @@
 	if len(marks) == 0 {
 		return
 	}
-	n.cluster.TellSome(ctx, marksGossipNodes, cluster.KindSuspect, marksBody{Marks: marks[:min(len(marks), maxMarksPerMessage)]})
+	n.cluster.Gossip(ctx, marksGossipNodes, cluster.KindSuspect, marksBody{Marks: marks[:min(len(marks), maxMarksPerMessage)]})
 }
 
 // mergeMarks merges the marks received from another node.
 func (n *Node) mergeMarks(f peer.Frame) {
-	defer n.control.Time(metrics.Marks)()
+	defer n.control.Measure(metrics.Marks)()
 	var body marksBody
 	if f.Decode(&body) == nil && len(body.Marks) <= maxMarksReceived {
 		n.guard.Merge(body.Marks)
--- a/internal/node/forwarded.go
+++ b/internal/node/forwarded.go
@@ -19,11 +19,11 @@
 }
 
 // Do implements cluster.Local.
-func (f *forwarded) Do(ctx context.Context, job forward.Job, sink engines.Sink) error {
+func (f *forwarded) RunJob(ctx context.Context, job forward.Job, sink engines.Sink) error {
 	v, _ := f.node.views.Get(job.Server)
 	f.node.traceEvent(job.RequestID, "forwarded", zap.String("server", job.Server), zap.String("owner", v.Owner),
 		zap.Uint64("epoch", v.Epoch), zap.Bool("resume", job.Resume))
-	err := f.Dispatcher.Do(ctx, job, sink)
+	err := f.Dispatcher.RunJob(ctx, job, sink)
 	if e := outcome.From(err); e != nil {
 		f.node.traceEvent(job.RequestID, "forwarded-ended", zap.String("server", job.Server),
 			zap.String("outcome", string(e.Outcome)), zap.String("reason", string(e.Reason)))
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -29,7 +29,7 @@
 )
 
 // Limits returns the names of all limit policies.
-func Limits() []string { return []string{LimitCost, LimitRequests, LimitNone} }
+func LimitNames() []string { return []string{LimitCost, LimitRequests, LimitNone} }
 
 // limits applies the policies of core/limit to the requests of this node.
 type limits struct {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,7 +73,7 @@
 		callers  *caller.Server
 		trace    *trace.Recorder
 		requests *metrics.Requests
-		control  *metrics.Control
+		control  *metrics.ControlWork
 		platform platformTraffic
 		demand   *planner.Demand
 		limits   *limits
@@ -99,11 +99,11 @@
 	}
 
 	// NotReady reports why a node does not accept requests.
-	NotReady struct{ Reason outcome.Reason }
+	NotReadyError struct{ Reason outcome.Reason }
 )
 
 // Error returns the reason.
-func (e *NotReady) Error() string { return string(e.Reason) }
+func (e *NotReadyError) Error() string { return string(e.Reason) }
 
 // New returns a node that does not listen yet. The settings must have passed Check.
 func New(s Settings, log *zap.Logger) (*Node, error) {
@@ -125,7 +125,7 @@
 		views:    views.New(),
 		trace:    &trace.Recorder{Node: s.Name},
 		requests: metrics.New(),
-		control:  metrics.NewControl(),
+		control:  metrics.NewControlWork(),
 		engines:  map[string]*engine.Client{},
 	}
 	n.table = &table.Client{Address: s.Table, Traffic: &n.platform.table}
@@ -206,9 +206,9 @@
 func (n *Node) Ready() error {
 	switch {
 	case n.leaving.Load():
-		return &NotReady{Reason: outcome.Draining}
+		return &NotReadyError{Reason: outcome.Draining}
 	case n.follower.Index() == nil || !n.follower.Fresh():
-		return &NotReady{Reason: outcome.NoConfig}
+		return &NotReadyError{Reason: outcome.NoConfig}
 	}
 	return nil
 }
@@ -232,7 +232,7 @@
 	n.traceEvent(e.RequestID, e.Event, zap.String("server", e.Server), zap.String("owner", e.Owner),
 		zap.Uint64("epoch", e.Epoch), zap.String("reason", e.Reason))
 	if e.Event != "pick" {
-		n.requests.Retry(e.Event, e.Reason)
+		n.requests.CountRetryDecision(e.Event, e.Reason)
 	}
 }
 
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -66,12 +66,12 @@
 // updateView stores a received view if it is newer than the current one.
 func (n *Node) updateView(v view.Server) {
 	if n.views.Put(v) {
-		n.router.Seen(v.Server)
+		n.router.ViewUpdated(v.Server)
 	}
 }
 
 // updateLoad stores a server load that its owner published.
 func (n *Node) updateLoad(server string, l forward.Load) {
-	n.views.Heard(server, l)
-	n.router.Seen(server)
+	n.views.UpdateLoad(server, l)
+	n.router.ViewUpdated(server)
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -20,24 +20,24 @@
 	// Settings are read from the node's settings file, the environment and the
 	// command line. Everything else is in the configuration document.
 	Settings struct {
-		Name       string
-		DataCentre string
-		Callers    string // IP:port for callers
-		Peers      string // IP:port (UDP) for other nodes
-		Operators  string // IP:port for operators
-		Table      string // IP:port of the table service
-		Objects    string // IP:port of the object store
-		VMList     string // IP:port of the VM list, empty for none
-		CA         string // path of the CA certificates (PEM)
-		Cert       string // path of the node's certificate (PEM)
-		Key        string // path of the node's private key (PEM)
-		Seeds      string // comma-separated IP:port of other nodes
-		Policy     string // routing policy, see core/route
-		Planner    string // placement policy, see core/place
-		Limit      string // limit policy for teams: cost, requests or none
-		Notice     time.Duration
-		Seed       uint64
-		LogLevel   string
+		Name        string
+		DataCentre  string
+		Callers     string // IP:port for callers
+		Peers       string // IP:port (UDP) for other nodes
+		Operators   string // IP:port for operators
+		Table       string // IP:port of the table service
+		Objects     string // IP:port of the object store
+		VMList      string // IP:port of the VM list, empty for none
+		CA          string // path of the CA certificates (PEM)
+		Cert        string // path of the node's certificate (PEM)
+		Key         string // path of the node's private key (PEM)
+		Seeds       string // comma-separated IP:port of other nodes
+		Policy      string // routing policy, see core/route
+		Planner     string // placement policy, see core/place
+		Limit       string // limit policy for teams: cost, requests or none
+		DrainNotice time.Duration
+		Seed        uint64
+		LogLevel    string
 	}
 
 	// SettingsError describes an invalid setting.
@@ -67,7 +67,7 @@
 	f.StringVar(&s.Policy, "policy", route.NameHome, "routing policy: "+strings.Join(route.Names(), ", "))
 	f.StringVar(&s.Planner, "planner", "gain", "placement policy: gain, static, lru")
 	f.StringVar(&s.Limit, "limit", LimitCost, "how teams are limited when overloaded: cost, requests, none")
-	f.DurationVar(&s.Notice, "notice", defaultNotice, "time from the loss of readiness to the refusal of new requests at a planned stop")
+	f.DurationVar(&s.DrainNotice, "notice", defaultNotice, "time from the loss of readiness to the refusal of new requests at a planned stop")
 	f.Uint64Var(&s.Seed, "seed", 0, "seed of random choices, 0 for a new one each start")
 	f.StringVar(&s.LogLevel, "log-level", "info", "debug, info, warn or error")
 }
@@ -101,7 +101,7 @@
 	if _, err := route.New(s.Policy); err != nil {
 		return &SettingsError{Name: "policy", Reason: err.Error()}
 	}
-	if !slices.Contains(Limits(), s.Limit) {
+	if !slices.Contains(LimitNames(), s.Limit) {
 		return &SettingsError{Name: "limit", Reason: fmt.Sprintf("%q is not cost, requests or none", s.Limit)}
 	}
 	if _, err := place.New(s.Planner); err != nil {
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -89,7 +89,7 @@
 // applyConfig passes the configuration in force to the node's components and
 // announces it to the other nodes.
 func (n *Node) applyConfig() {
-	defer n.control.Time(metrics.Configuration)()
+	defer n.control.Measure(metrics.Configuration)()
 	n.exchangeVersions()
 	n.configure()
 	n.applyLeaving()
@@ -98,7 +98,7 @@
 // publishViews publishes changed views of the owned servers, and makes the
 // dispatcher serve exactly the owned servers.
 func (n *Node) publishViews(now time.Time) {
-	defer n.control.Time(metrics.Views)()
+	defer n.control.Measure(metrics.Views)()
 	if n.publish.last == nil {
 		n.publish.last = map[string]published{}
 	}
@@ -106,7 +106,7 @@
 	period := n.loadsPeriod()
 	for _, v := range n.owner.Views() {
 		owned[v.Server] = true
-		n.dispatch.Own(v.Server, n.slotsOf(v.Server))
+		n.dispatch.Acquire(v.Server, n.slotsOf(v.Server))
 		last, ok := n.publish.last[v.Server]
 		publish := n.cluster.Publish
 		if ok && equalExceptLoad(last.view, v) {
@@ -122,7 +122,7 @@
 	}
 	for _, name := range n.dispatch.Owned() {
 		if !owned[name] {
-			n.dispatch.Disown(name)
+			n.dispatch.Release(name)
 			delete(n.publish.last, name)
 		}
 	}
@@ -164,9 +164,9 @@
 			addresses = append(addresses, s.Address)
 		}
 	}
-	n.limits.configure(x, len(n.cluster.Working()))
+	n.limits.configure(x, len(n.cluster.ActiveNodes()))
 	n.pool.Set(serviceServers, n.views.Leaving)
-	n.services.Keep(addresses)
+	n.services.Retain(addresses)
 }
 
 // exchangeVersions passes the configuration versions of other nodes to the follower
@@ -188,9 +188,9 @@
 
 // onConfigChange puts a new configuration into use.
 func (n *Node) onConfigChange(x *config.Index) {
-	defer n.control.Time(metrics.Configuration)()
+	defer n.control.Measure(metrics.Configuration)()
 	n.owner.SetDocument(*x.Document(), x.Version())
-	n.views.Keep(func(server string) bool { _, ok := x.Server(server); return ok })
+	n.views.Retain(func(server string) bool { _, ok := x.Server(server); return ok })
 	share := x.Limits().RetryShare
 	if share == 0 {
 		share = noRetries
@@ -257,7 +257,7 @@
 	n.log.Info("shutdown begins")
 	n.leaving.Store(true)
 	n.cluster.Update(func(s *member.Node) { s.Leaving = true })
-	sleep(ctx, n.settings.Notice)
+	sleep(ctx, n.settings.DrainNotice)
 	n.draining.Store(true)
 	release()
 	n.publishViews(time.Now())
@@ -291,7 +291,7 @@
 // fetched.
 func (n *Node) configPeers() []configsync.Peer {
 	var out []configsync.Peer
-	for _, name := range n.cluster.Working() {
+	for _, name := range n.cluster.ActiveNodes() {
 		if name != n.settings.Name {
 			out = append(out, &configPeer{node: n, name: name})
 		}
@@ -306,7 +306,7 @@
 
 // ConfigHead implements configsync.Peer.
 func (p *configPeer) ConfigHead(ctx context.Context) (ref head.Ref, fresh bool, err error) {
-	return p.node.cluster.AskConfigHead(ctx, p.name)
+	return p.node.cluster.QueryConfigHead(ctx, p.name)
 }
 
 // Status implements operator.Reporter.
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -6,12 +6,12 @@
 
 // Metrics holds the owner's metrics. The caller registers Collectors.
 type Metrics struct {
-	Orders   *prometheus.CounterVec // by op and result
-	Moves    *prometheus.CounterVec // items loaded or unloaded by order, by op
-	Refused  *prometheus.CounterVec // orders that were not sent, by reason
-	Leases   *prometheus.CounterVec // lease events, by event
-	Restarts prometheus.Counter     // engine restarts, detected by a new boot ID
-	Memory   *prometheus.GaugeVec   // bytes by server and state (held or free)
+	Orders          *prometheus.CounterVec // by op and result
+	CompletedOrders *prometheus.CounterVec // items loaded or unloaded by order, by op
+	UnsentOrders    *prometheus.CounterVec // orders that were not sent, by reason
+	Leases          *prometheus.CounterVec // lease events, by event
+	Restarts        prometheus.Counter     // engine restarts, detected by a new boot ID
+	Memory          *prometheus.GaugeVec   // bytes by server and state (held or free)
 }
 
 // NewMetrics returns metrics that are not yet registered.
@@ -20,10 +20,10 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: "owner", Name: name, Help: help}, labels)
 	}
 	return &Metrics{
-		Orders:  counter("orders_total", "Orders sent to engines.", "op", "result"),
-		Moves:   counter("moves_total", "Items loaded or unloaded by order.", "op"),
-		Refused: counter("orders_refused_total", "Orders that were not given.", "reason"),
-		Leases:  counter("lease_events_total", "Events of leases.", "event"),
+		Orders:          counter("orders_total", "Orders sent to engines.", "op", "result"),
+		CompletedOrders: counter("moves_total", "Items loaded or unloaded by order.", "op"),
+		UnsentOrders:    counter("orders_refused_total", "Orders that were not given.", "reason"),
+		Leases:          counter("lease_events_total", "Events of leases.", "event"),
 		Restarts: prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: "owner",
 			Name: "engine_restarts_total", Help: "Engines seen with a new boot id."}),
 		Memory: prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Subsystem: "owner",
@@ -33,7 +33,7 @@
 
 // Collectors returns the collectors to register.
 func (m *Metrics) Collectors() []prometheus.Collector {
-	return []prometheus.Collector{m.Orders, m.Moves, m.Refused, m.Leases, m.Restarts, m.Memory}
+	return []prometheus.Collector{m.Orders, m.CompletedOrders, m.UnsentOrders, m.Leases, m.Restarts, m.Memory}
 }
 
 // deleteServer deletes the gauges of a server that is no longer owned.
@@ -43,4 +43,4 @@
 
 func (m *Metrics) lease(event string) { m.Leases.WithLabelValues(event).Inc() }
 
-func (m *Metrics) refused(r Reason) { m.Refused.WithLabelValues(string(r)).Inc() }
+func (m *Metrics) refused(r Reason) { m.UnsentOrders.WithLabelValues(string(r)).Inc() }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -82,7 +82,7 @@
 	slotClaim, ok := w.slotClaim(ctx, item)
 	if !ok {
 		w.ledger.Cancel(w.o.now(), order.OrderID)
-		return w.refuse(item, backend.Load, NoSlot)
+		return w.refuse(item, backend.Load, StoreBusy)
 	}
 	w.slots[item] = slotClaim
 	return w.send(ctx, order)
@@ -188,7 +188,7 @@
 	switch {
 	case engine.KindOf(err) == engine.StaleFence:
 		w.o.markLost(w.name)
-		return Rival
+		return Fenced
 	case err != nil:
 		return Unreachable
 	case inv.BootID != w.ledger.BootID():
@@ -225,7 +225,7 @@
 // longer wanted but may still arrive, is voided by acquiring a new epoch. It
 // returns true if the epoch changed.
 func (w *worker) resendOverdue(ctx context.Context, want []backend.Item) bool {
-	for _, e := range w.ledger.Overdue(w.o.now(), w.o.Patience) {
+	for _, e := range w.ledger.Overdue(w.o.now(), w.o.ResendAfter) {
 		wanted := e.Order.Op == backend.Unload || slices.Contains(want, e.Item)
 		if w.server.ChecksOrders && (e.Sends >= sendsBeforeBump || !wanted) && w.bump(ctx) {
 			return true
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -25,13 +25,13 @@
 	DefaultQuietPoll = time.Second
 	// DefaultTick is the period of the loops that renew the session and acquire
 	// servers.
-	DefaultTick = 200 * time.Millisecond
+	DefaultTickPeriod = 200 * time.Millisecond
 	// DefaultHandOver is how long another node must be the wanted owner
 	// before a server is handed over.
-	DefaultHandOver = time.Second
+	DefaultHandoverDelay = time.Second
 	// DefaultPatience is the time after which an order that has shown no effect
 	// is sent again.
-	DefaultPatience = 2 * time.Second
+	DefaultResendAfter = 2 * time.Second
 	// DefaultCallTimeout bounds each call to an engine or to the table.
 	DefaultCallTimeout = 2 * time.Second
 )
@@ -68,20 +68,20 @@
 		LastCopy func(item backend.Item, server string) bool
 
 		// Occupancy returns the dispatcher's load on a server; may be nil.
-		Occupancy func(server string) (running, queued, slots int, waitMS int64)
+		Load      func(server string) (running, queued, slots int, waitMS int64)
 		OnRestart func(server string) // called when the engine has a new boot ID; may be nil
 		OnLeaving func(server string) // called when the engine announces that it is leaving; may be nil
 
 		Log     *zap.Logger // nil disables logging
 		Metrics *Metrics    // nil disables metrics
 
-		Lease       lease.Settings // TTL, Margin and MaxPause; Node and Incarnation are filled in
-		Poll        time.Duration  // DefaultPoll if zero; each interval is jittered by 20%
-		QuietPoll   time.Duration  // DefaultQuietPoll if zero; at least Poll
-		Tick        time.Duration  // DefaultTick if zero
-		HandOver    time.Duration  // DefaultHandOver if zero
-		Patience    time.Duration  // DefaultPatience if zero
-		CallTimeout time.Duration  // DefaultCallTimeout if zero
+		Lease         lease.Settings // TTL, Margin and MaxPause; Node and Incarnation are filled in
+		Poll          time.Duration  // DefaultPoll if zero; each interval is jittered by 20%
+		QuietPoll     time.Duration  // DefaultQuietPoll if zero; at least Poll
+		TickPeriod    time.Duration  // DefaultTick if zero
+		HandoverDelay time.Duration  // DefaultHandOver if zero
+		ResendAfter   time.Duration  // DefaultPatience if zero
+		CallTimeout   time.Duration  // DefaultCallTimeout if zero
 
 		epoch         time.Time // origin of monotonic times
 		once          sync.Once
@@ -116,9 +116,9 @@
 		setDefault(&o.Poll, DefaultPoll)
 		setDefault(&o.QuietPoll, DefaultQuietPoll)
 		o.QuietPoll = max(o.QuietPoll, o.Poll)
-		setDefault(&o.Tick, DefaultTick)
-		setDefault(&o.HandOver, DefaultHandOver)
-		setDefault(&o.Patience, DefaultPatience)
+		setDefault(&o.TickPeriod, DefaultTickPeriod)
+		setDefault(&o.HandoverDelay, DefaultHandoverDelay)
+		setDefault(&o.ResendAfter, DefaultResendAfter)
 		setDefault(&o.CallTimeout, DefaultCallTimeout)
 		if o.Log == nil {
 			o.Log = zap.NewNop()
@@ -188,8 +188,8 @@
 	o.mu.Unlock()
 	slices.SortFunc(out, func(a, b view.Server) int { return strings.Compare(a.Server, b.Server) })
 	for i := range out {
-		if o.Occupancy != nil {
-			out[i].Running, out[i].Queued, out[i].Slots, out[i].WaitMS = o.Occupancy(out[i].Server)
+		if o.Load != nil {
+			out[i].Running, out[i].Queued, out[i].Slots, out[i].WaitMS = o.Load(out[i].Server)
 		}
 	}
 	return out
@@ -200,10 +200,10 @@
 func (o *Owner) Run(ctx context.Context) {
 	o.init()
 	var loops sync.WaitGroup
-	loops.Go(func() { every(ctx, o.Tick, o.tick) })
-	loops.Go(func() { every(ctx, o.Tick, func() { o.renewIfDue(ctx) }) })
+	loops.Go(func() { every(ctx, o.TickPeriod, o.tick) })
+	loops.Go(func() { every(ctx, o.TickPeriod, func() { o.renewIfDue(ctx) }) })
 	loops.Go(func() {
-		every(ctx, o.Tick, func() {
+		every(ctx, o.TickPeriod, func() {
 			o.reconcile(ctx)
 			for _, w := range o.newWorkers() {
 				loops.Go(func() { w.run(ctx) })
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -265,7 +265,7 @@
 		c.plan("e0", next, backend.Item{Name: "b", Version: "2"})
 		time.Sleep(60 * time.Second)
 		c.requireResident("e0", next, model("b"))
-		require.Positive(c.t, testutil.ToFloat64(a.Metrics.Refused.WithLabelValues("last-copy")))
+		require.Positive(c.t, testutil.ToFloat64(a.Metrics.UnsentOrders.WithLabelValues("last-copy")))
 	})
 }
 
--- a/internal/owner/reason.go
+++ b/internal/owner/reason.go
@@ -15,7 +15,7 @@
 	// NoLease means that the lease is not valid.
 	NoLease Reason = "lease"
 	// Rival means that the engine has seen a higher fencing number.
-	Rival Reason = "rival"
+	Fenced Reason = "rival"
 	// Unreachable means that the engine didn't answer.
 	Unreachable Reason = "unreachable"
 	// Restarted means that the engine has a new boot ID and its fence has not been
@@ -24,7 +24,7 @@
 	// NotRecorded means that the order could not be recorded in the table.
 	NotRecorded Reason = "not-recorded"
 	// NoSlot means that other loads occupy all slots of the weight store.
-	NoSlot Reason = "no-slot"
+	StoreBusy Reason = "no-slot"
 	// Undeclared means that the item is not in the configuration.
 	Undeclared Reason = "undeclared"
 	// Claimed means that another copy of the item is being unloaded, or that the
--- a/internal/owner/reconcile.go
+++ b/internal/owner/reconcile.go
@@ -153,7 +153,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	since, ok := o.unwantedSince[server]
-	return ok && o.now()-since >= o.HandOver
+	return ok && o.now()-since >= o.HandoverDelay
 }
 
 // acquireWanted acquires the free servers that the node should own and does not
--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -308,7 +308,7 @@
 		w.log.Info("order settled", zap.Stringer("item", item), zap.String("order-id", o.OrderID),
 			zap.String("op", string(o.Op)), zap.Bool("done", done), zap.String("state", string(e.State)))
 		if done {
-			w.o.Metrics.Moves.WithLabelValues(string(o.Op)).Inc()
+			w.o.Metrics.CompletedOrders.WithLabelValues(string(o.Op)).Inc()
 		}
 		delete(w.orders, item)
 		w.releaseClaim(ctx, w.slots, item)
--- a/internal/parts/group.go
+++ b/internal/parts/group.go
@@ -27,14 +27,14 @@
 
 	// StuckError reports tasks that did not return within the limit.
 	StuckError struct {
-		Parts []string // sorted names
+		Tasks []string // sorted names
 		Limit time.Duration
 	}
 )
 
 // Error returns the names of the tasks and the limit.
 func (e *StuckError) Error() string {
-	return "not ended within " + e.Limit.String() + ": " + strings.Join(e.Parts, ", ")
+	return "not ended within " + e.Limit.String() + ": " + strings.Join(e.Tasks, ", ")
 }
 
 // Go runs a task in its own goroutine. Several tasks may have the same name.
@@ -91,7 +91,7 @@
 			stacks := make([]byte, maxStackBytes)
 			stacks = stacks[:runtime.Stack(stacks, true)]
 			g.Log.Error("parts-not-ended", zap.Strings("parts", names), zap.Duration("limit", limit), zap.ByteString("stacks", stacks))
-			return &StuckError{Parts: names, Limit: limit}
+			return &StuckError{Tasks: names, Limit: limit}
 		}
 	}
 }
--- a/internal/parts/group_test.go
+++ b/internal/parts/group_test.go
@@ -39,7 +39,7 @@
 		require.Equal(t, 5*time.Second, time.Since(began))
 		var stuck *parts.StuckError
 		require.ErrorAs(t, err, &stuck)
-		require.Equal(t, []string{"stuck"}, stuck.Parts)
+		require.Equal(t, []string{"stuck"}, stuck.Tasks)
 		require.EqualError(t, err, "not ended within 5s: stuck")
 		line := lines.FilterMessage("parts-not-ended").All()
 		require.Len(t, line, 1)
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -57,20 +57,20 @@
 	// Placer acquires the lease and sends orders while it is the leader. Its exported fields
 	// are set before Run.
 	Placer struct {
-		Store     Store
-		Engines   Engines
-		Hub       *hub.Hub
-		Elector    *leader.Elector
-		Clock     func() time.Duration // monotonic, also runs while the machine is suspended
-		Log       *zap.Logger
-		Fencing   bool          // engines reject orders with an outdated epoch
-		Window    time.Duration // over which loads from the weight store are counted
-		LeaderReachable func() bool   // reports whether the leader replied recently
-		OnVerdict   func(verdict string)
-		OnElected     func()                 // called when the lease was acquired
-		WaitingWithoutCopy   func() map[string]int  // number of requests waiting for a model without a copy
-		LimitedModels   func() map[string]bool // models all of whose servers are at their rate limit, nil for none
-		OnResidency     func(n hub.ResidencyUpdate)       // called when the content of an engine has changed
+		Store              Store
+		Engines            Engines
+		Hub                *hub.Hub
+		Elector            *leader.Elector
+		Clock              func() time.Duration // monotonic, also runs while the machine is suspended
+		Log                *zap.Logger
+		Fencing            bool          // engines reject orders with an outdated epoch
+		Window             time.Duration // over which loads from the weight store are counted
+		LeaderReachable    func() bool   // reports whether the leader replied recently
+		OnVerdict          func(verdict string)
+		OnElected          func()                      // called when the lease was acquired
+		WaitingWithoutCopy func() map[string]int       // number of requests waiting for a model without a copy
+		LimitedModels      func() map[string]bool      // models all of whose servers are at their rate limit, nil for none
+		OnResidency        func(n hub.ResidencyUpdate) // called when the content of an engine has changed
 
 		mu           sync.Mutex
 		writeSem     *semaphore.Weighted // serializes writes of the lease row; acquired before mu
--- a/internal/placer/rig_test.go
+++ b/internal/placer/rig_test.go
@@ -41,7 +41,7 @@
 		Engines: &platform.Engines{Client: func(a string) *jsonhttp.Client { return &jsonhttp.Client{Address: a} }},
 		Hub:     &hub.Hub{}, Log: zap.NewNop(), Fencing: true, Window: 5 * time.Second, LeaderReachable: reachable,
 		Elector: &leader.Elector{Self: leader.Lease{Node: node, Incarnation: node, Key: node, Cores: 1}, TTL: ttl},
-		Clock:  func() time.Duration { return time.Since(began) + time.Hour },
+		Clock:   func() time.Duration { return time.Since(began) + time.Hour },
 		OnVerdict: func(v string) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
--- a/internal/placer/sim_world_test.go
+++ b/internal/placer/sim_world_test.go
@@ -172,9 +172,9 @@
 	n.Placer = &placer.Placer{
 		Store: n, Engines: engines, Hub: &hub.Hub{Self: n.name}, Log: zap.NewNop(), Fencing: true, Window: simWindow,
 		LeaderReachable: n.reachable,
-		Elector:    &leader.Elector{Self: leader.Lease{Node: n.name, Incarnation: n.name, Key: n.name, Cores: 1}, TTL: simTTL},
-		Clock:     func() time.Duration { return time.Since(w.origin) + time.Hour },
-		OnVerdict:   func(string) {}, OnElected: func() { w.logEvent("lease", n.name) }, WaitingWithoutCopy: n.waiting, OnResidency: func(hub.ResidencyUpdate) {},
+		Elector:         &leader.Elector{Self: leader.Lease{Node: n.name, Incarnation: n.name, Key: n.name, Cores: 1}, TTL: simTTL},
+		Clock:           func() time.Duration { return time.Since(w.origin) + time.Hour },
+		OnVerdict:       func(string) {}, OnElected: func() { w.logEvent("lease", n.name) }, WaitingWithoutCopy: n.waiting, OnResidency: func(hub.ResidencyUpdate) {},
 	}
 	n.SetConfig(w.config)
 	w.mu.Lock()
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -44,7 +44,7 @@
 }
 
 // Asked implements entry.Demand.
-func (d *Demand) Asked(name string, u config.Urgency) {
+func (d *Demand) Requested(name string, u config.Urgency) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.estimateOf(name)
@@ -55,7 +55,7 @@
 }
 
 // Took implements entry.Demand.
-func (d *Demand) Took(name string, seconds float64) {
+func (d *Demand) ServiceTime(name string, seconds float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.estimateOf(name)
@@ -66,7 +66,7 @@
 }
 
 // Wanted adds change to the number of requests that wait for a copy of an item.
-func (d *Demand) Wanted(i backend.Item, change int) {
+func (d *Demand) AddWaiting(i backend.Item, change int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.estimateOf(i.Name).waiting += change
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -46,20 +46,20 @@
 	// Planner reports demand, and plans the placement while this node is the
 	// planning node. Exported fields are set before Run.
 	Planner struct {
-		Self    string // name of this node
-		Policy  place.Planner
-		Demand  *Demand
-		Index   func() *config.Index // returns nil if there is no configuration
-		Working func() []string      // returns the names of the live nodes that are not leaving
-		Views   Views
+		Self        string // name of this node
+		Policy      place.Planner
+		Demand      *Demand
+		Index       func() *config.Index // returns nil if there is no configuration
+		ActiveNodes func() []string      // returns the names of the live nodes that are not leaving
+		Views       Views
 		// Tell sends a message to another node. Delivery is best effort.
-		Tell func(ctx context.Context, node string, k peer.Kind, v any)
+		Send func(ctx context.Context, node string, k peer.Kind, v any)
 		// Follow passes the planned items of a server to this node's owner.
-		Follow func(server string, want []backend.Item)
+		SetPlan func(server string, want []backend.Item)
 		// Time starts measuring control work of a kind and returns the function
 		// that ends the measurement.
-		Time func(w metrics.Work) func()
-		Log  *zap.Logger
+		Measure func(w metrics.Work) func()
+		Log     *zap.Logger
 
 		mu            sync.Mutex
 		reports       map[string]report
@@ -134,7 +134,7 @@
 // planningNode returns the name of the node that plans. Nodes may temporarily
 // disagree; this causes unnecessary moves but never affects safety.
 func (p *Planner) planningNode() string {
-	names := p.Working()
+	names := p.ActiveNodes()
 	if len(names) == 0 {
 		return p.Self
 	}
@@ -150,19 +150,19 @@
 		return
 	}
 	if len(d) > 0 {
-		go p.Tell(ctx, to, cluster.KindDemand, demandMessage{Demand: d})
+		go p.Send(ctx, to, cluster.KindDemand, demandMessage{Demand: d})
 	}
 }
 
 // demandPeriod returns the time between reports. It grows with the number of nodes,
 // since all of them report to one.
 func (p *Planner) demandPeriod() time.Duration {
-	return max(demandPeriod, time.Duration(len(p.Working()))*demandPeriodPerNode)
+	return max(demandPeriod, time.Duration(len(p.ActiveNodes()))*demandPeriodPerNode)
 }
 
 // addReport stores a node's demand report.
 func (p *Planner) addReport(from string, d []view.Demand) {
-	defer p.Time(metrics.Demand)()
+	defer p.Measure(metrics.Demand)()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reports == nil {
@@ -179,7 +179,7 @@
 
 // plan computes a plan and sends it to the owners.
 func (p *Planner) plan(ctx context.Context, now time.Time, x *config.Index) {
-	defer p.Time(metrics.Plans)()
+	defer p.Measure(metrics.Plans)()
 	in := p.input(now, x)
 	in.Previous = p.previous
 	out := p.Policy.Plan(now, in)
@@ -209,7 +209,7 @@
 		sendCtx, cancel := context.WithTimeout(ctx, planTimeout)
 		go func() {
 			defer cancel()
-			p.Tell(sendCtx, owner, cluster.KindPlan, m)
+			p.Send(sendCtx, owner, cluster.KindPlan, m)
 		}()
 	}
 }
@@ -237,7 +237,7 @@
 // follow passes a plan to this node's owner.
 func (p *Planner) follow(m planMessage) {
 	for server, items := range m.Plan {
-		p.Follow(server, items)
+		p.SetPlan(server, items)
 	}
 }
 
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -42,18 +42,18 @@
 	require.NoError(t, err)
 	return &planner.Planner{
 		Self: self, Policy: policy, Demand: planner.NewDemand(),
-		Index:   func() *config.Index { return index },
-		Working: func() []string { return nodes },
-		Views:   known,
-		Tell: func(_ context.Context, node string, k peer.Kind, v any) {
+		Index:       func() *config.Index { return index },
+		ActiveNodes: func() []string { return nodes },
+		Views:       known,
+		Send: func(_ context.Context, node string, k peer.Kind, v any) {
 			f, err := peer.Encode(k, v)
 			if err == nil {
 				out <- sentMessage{node: node, frame: f}
 			}
 		},
-		Follow: func(string, []backend.Item) {},
-		Time:   func(metrics.Work) func() { return func() {} },
-		Log:    zap.NewNop(),
+		SetPlan: func(string, []backend.Item) {},
+		Measure: func(metrics.Work) func() { return func() {} },
+		Log:     zap.NewNop(),
 	}
 }
 
@@ -70,8 +70,8 @@
 		var planned []backend.Item
 		for _, name := range nodes {
 			p := newPlanner(t, name, nodes, out)
-			p.Follow = func(_ string, want []backend.Item) { planned = want }
-			p.Demand.Asked("m", config.Urgent)
+			p.SetPlan = func(_ string, want []backend.Item) { planned = want }
+			p.Demand.Requested("m", config.Urgent)
 			planners[name] = p
 			go p.Run(ctx)
 		}
@@ -91,7 +91,7 @@
 func TestReceiveForeign(t *testing.T) {
 	p := newPlanner(t, "n1", []string{"n1"}, make(chan sentMessage, 1))
 	hasFollowed := false
-	p.Follow = func(string, []backend.Item) { hasFollowed = true }
+	p.SetPlan = func(string, []backend.Item) { hasFollowed = true }
 	for kind := range peer.Kind(10) {
 		p.Receive("n2", peer.Frame{Kind: kind, Body: []byte{0xff, 0x00}})
 	}
--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -19,10 +19,10 @@
 	// DefaultTimeout bounds one call to the table.
 	DefaultTimeout = 400 * time.Millisecond
 	// DefaultSpreadWait bounds the wait for the other nodes.
-	DefaultSpreadWait = 200 * time.Millisecond
+	DefaultBroadcastTimeout = 200 * time.Millisecond
 	// DefaultTrial is the longest time that a trial occupies a server's trial
 	// slot.
-	DefaultTrial = time.Minute
+	DefaultMaxTrial = time.Minute
 
 	maxRounds  = 4 // attempts to plan one trial, repeated after a lost race
 	maxTries   = 8 // attempts to write a mark to the table
@@ -47,14 +47,14 @@
 		Table Table
 		// Spread sends marks to the other nodes and returns when all live ones
 		// have merged them or ctx ends. It may be nil.
-		Spread     func(ctx context.Context, marks []suspect.Mark)
-		Log        *zap.Logger // may be nil
-		Metrics    *Metrics    // may be nil
-		Timeout    time.Duration
-		SpreadWait time.Duration
-		Trial      time.Duration
-		Lifetime   time.Duration // lifetime of a mark
-		MaxMarks   int
+		Broadcast        func(ctx context.Context, marks []suspect.Mark)
+		Log              *zap.Logger // may be nil
+		Metrics          *Metrics    // may be nil
+		Timeout          time.Duration
+		BroadcastTimeout time.Duration
+		MaxTrial         time.Duration
+		Lifetime         time.Duration // lifetime of a mark
+		MaxMarks         int
 
 		once sync.Once
 		mu   sync.Mutex
@@ -197,7 +197,7 @@
 	}
 	now := time.Now()
 	g.mu.Lock()
-	p, err := g.set.Plan(now, run.Fingerprint, run.trial, now.Add(g.Trial), rows[0], rows[1])
+	p, err := g.set.Plan(now, run.Fingerprint, run.trial, now.Add(g.MaxTrial), rows[0], rows[1])
 	g.mu.Unlock()
 	switch {
 	case err != nil:
@@ -259,12 +259,12 @@
 
 // spread sends marks to the other nodes and waits at most SpreadWait.
 func (g *Guard) spread(ctx context.Context, marks []suspect.Mark) {
-	if g.Spread == nil || len(marks) == 0 {
+	if g.Broadcast == nil || len(marks) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.SpreadWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.BroadcastTimeout)
 	defer cancel()
-	g.Spread(ctx, marks)
+	g.Broadcast(ctx, marks)
 }
 
 // writeLater sends marks to the other nodes and writes the mark of r's request
@@ -328,7 +328,7 @@
 	}
 	g.work.Go(func() {
 		for _, prefix := range []string{suspect.Prefix, suspect.SlotPrefix} {
-			ctx, cancel := context.WithTimeout(context.Background(), g.Trial)
+			ctx, cancel := context.WithTimeout(context.Background(), g.MaxTrial)
 			rows, err := g.Table.Scan(ctx, prefix)
 			if tx, found := suspect.Sweep(time.Now(), rows); err == nil && found {
 				_, err = g.Table.Transact(ctx, tx)
@@ -367,11 +367,11 @@
 	if g.Timeout == 0 {
 		g.Timeout = DefaultTimeout
 	}
-	if g.SpreadWait == 0 {
-		g.SpreadWait = DefaultSpreadWait
+	if g.BroadcastTimeout == 0 {
+		g.BroadcastTimeout = DefaultBroadcastTimeout
 	}
-	if g.Trial == 0 {
-		g.Trial = DefaultTrial
+	if g.MaxTrial == 0 {
+		g.MaxTrial = DefaultMaxTrial
 	}
 	if g.Log == nil {
 		g.Log = zap.NewNop()
--- a/internal/suspects/guard_test.go
+++ b/internal/suspects/guard_test.go
@@ -141,7 +141,7 @@
 func TestInvariantCrashingRequestWaitsForOthers(t *testing.T) {
 	withGuards(t, func(t *testing.T, _ *tabletest.Table, a, b *suspects.Guard) {
 		unresponsive := false
-		a.Spread = func(ctx context.Context, marks []suspect.Mark) {
+		a.Broadcast = func(ctx context.Context, marks []suspect.Mark) {
 			if unresponsive {
 				<-ctx.Done()
 				return
@@ -155,7 +155,7 @@
 		unresponsive = true
 		start := time.Now()
 		a.Crashed(t.Context(), requireBegin(t, a, "s2", true), "b2")
-		require.LessOrEqual(t, time.Since(start), 2*suspects.DefaultSpreadWait, "charge and crash")
+		require.LessOrEqual(t, time.Since(start), 2*suspects.DefaultBroadcastTimeout, "charge and crash")
 	})
 }
 
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -98,7 +98,7 @@
 			}
 		},
 		Settings: func(n *node.Settings) {
-			n.Policy, n.Planner, n.Limit, n.Notice = r.set.Policy, r.set.Planner, r.set.Limit, drainTime
+			n.Policy, n.Planner, n.Limit, n.DrainNotice = r.set.Policy, r.set.Planner, r.set.Limit, drainTime
 		},
 		Spawn: r.spawn,
 	}
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -119,7 +119,7 @@
 	}{
 		{"policy", s.Policy, route.Names()},
 		{"planner", s.Planner, place.Names()},
-		{"limit", s.Limit, node.Limits()},
+		{"limit", s.Limit, node.LimitNames()},
 		{"fault", s.Fault, append(Faults(), "")},
 	} {
 		if !slices.Contains(setting.values, setting.value) {
--- a/internal/testbed/experiment/spawn.go
+++ b/internal/testbed/experiment/spawn.go
@@ -89,7 +89,7 @@
 		"node", "-name", s.Name, "-data-centre", s.DataCentre, "-callers", s.Callers, "-peers", s.Peers,
 		"-operators", s.Operators, "-table", s.Table, "-objects", s.Objects, "-vm-list", s.VMList,
 		"-ca", s.CA, "-cert", s.Cert, "-key", s.Key, "-policy", s.Policy, "-planner", s.Planner, "-limit", s.Limit,
-		"-notice", s.Notice.String(), "-seed", strconv.FormatUint(s.Seed, 10), "-log-level", s.LogLevel,
+		"-notice", s.DrainNotice.String(), "-seed", strconv.FormatUint(s.Seed, 10), "-log-level", s.LogLevel,
 	}
 }
 
--- a/internal/testbed/session/config_test.go
+++ b/internal/testbed/session/config_test.go
@@ -191,7 +191,7 @@
 	winner, err := head.Parse(rows[1])
 	require.NoError(t, err)
 	for i, code := range codes {
-		want := cli.ExitLost
+		want := cli.ExitConflict
 		if winner.Operator == strconv.Itoa(i) {
 			want = cli.ExitOK
 		}
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -54,7 +54,7 @@
 }
 
 // Keep removes the views of servers that are not declared.
-func (s *Store) Keep(declared func(server string) bool) {
+func (s *Store) Retain(declared func(server string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name := range s.views {
@@ -89,7 +89,7 @@
 
 // Heard stores the load of a server that its owner reported with a reply. It does
 // not count as a change.
-func (s *Store) Heard(server string, l forward.Load) {
+func (s *Store) UpdateLoad(server string, l forward.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads[server] = l
