--- a/internal/call/service_test.go
+++ b/internal/call/service_test.go
@@ -79,7 +79,7 @@
 				require.Empty(t, seen, "sent once")
 				require.Empty(t, header.Get("Authorization"), "the caller's key is not forwarded")
 				require.Equal(t, "7", header.Get("X-Trace"))
-				require.Equal(t, "k1", header.Get(svc.KeyHeader))
+				require.Equal(t, "k1", header.Get(svc.IdempotencyKeyHeader))
 			}
 		})
 	}
--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -124,7 +124,7 @@
 	}
 	if a.write(last) == nil {
 		_ = a.stream.Close()
-		a.stream.ReadBy(time.Now().Add(sendTimeout))
+		a.stream.SetReadDeadline(time.Now().Add(sendTimeout))
 		<-a.readDone
 	}
 }
@@ -145,7 +145,7 @@
 	}
 	return forwardReplies(ctx, s, sink, func() {
 		c.markUnreachable(owner)
-		c.Endpoint.Renew(n.Address)
+		c.Endpoint.Redial(n.Address)
 	})
 }
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -153,7 +153,7 @@
 	}
 	out = append(out, c.state.Tick(now)...)
 	for _, address := range c.state.LateAnswerers() {
-		c.Endpoint.Renew(address)
+		c.Endpoint.Redial(address)
 	}
 	return out
 }
--- a/internal/cluster/receive.go
+++ b/internal/cluster/receive.go
@@ -82,7 +82,7 @@
 			c.incarnations[n.Name] = n.Incarnation
 		}
 		if ok && n.Incarnation > old {
-			go c.Endpoint.Forget(n.Address)
+			go c.Endpoint.CloseConn(n.Address)
 		}
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -223,28 +223,28 @@
 }
 
 // Call implements caller.Handler.
-func (e *Entry) Call(ctx context.Context, sc caller.ServiceCall) (caller.ServiceAnswer, error) {
+func (e *Entry) Call(ctx context.Context, sc caller.ServiceCall) (caller.ServiceResponse, error) {
 	x, c, err := e.authenticate(sc.Bearer)
 	if err != nil {
-		return caller.ServiceAnswer{}, e.recordRefusal("", err)
+		return caller.ServiceResponse{}, e.recordRefusal("", err)
 	}
 	path, err := url.PathUnescape(sc.Path)
 	if err != nil || strings.Contains(path+"/", "/../") {
-		return caller.ServiceAnswer{}, e.recordRefusal("", outcome.Refuse(outcome.BadRequest, "path", 0))
+		return caller.ServiceResponse{}, e.recordRefusal("", outcome.Refuse(outcome.BadRequest, "path", 0))
 	}
 	s, ok := x.Service(path)
 	if !ok || !x.AllowedService(c.Name, s.Name) {
-		return caller.ServiceAnswer{}, e.recordRefusal("", outcome.Refuse(outcome.NotFound, "path "+path, 0))
+		return caller.ServiceResponse{}, e.recordRefusal("", outcome.Refuse(outcome.NotFound, "path "+path, 0))
 	}
 	k, ok := x.CallKind(s.Name, sc.Method, path)
 	if !ok {
-		return caller.ServiceAnswer{}, e.recordRefusal("", outcome.Refuse(outcome.NotFound, sc.Method+" "+path, 0))
+		return caller.ServiceResponse{}, e.recordRefusal("", outcome.Refuse(outcome.NotFound, sc.Method+" "+path, 0))
 	}
 	r := newRequest(c, k, sc.Deadline)
 	e.Metrics.RequestStarted()
 	a, err := e.call(ctx, sc, s, r)
 	e.recordEnd(sc.RequestID, r, err, zap.String("service", s.Name), zap.String("server", a.Server))
-	return caller.ServiceAnswer{Status: a.Status, Header: a.Header, Body: a.Body, Stored: a.Stored}, err
+	return caller.ServiceResponse{Status: a.Status, Header: a.Header, Body: a.Body, Stored: a.Stored}, err
 }
 
 // call applies limits and runs a call of a plain service.
@@ -273,7 +273,7 @@
 }
 
 // Ended implements caller.Handler.
-func (e *Entry) Ended(requestID string, started time.Time, err error) {
+func (e *Entry) RequestEnded(requestID string, started time.Time, err error) {
 	e.Metrics.CountAnswer(err)
 	f := outcome.From(err)
 	if f == nil {
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -289,7 +289,7 @@
 	n := startNode(t, s, nil)
 	eventually(t, "both", func() bool { return n.has("i-1") && n.has("i-2") })
 	s.HangFeeds(platform.TableServers, 1)
-	eventually(t, "a feed hangs", func() bool { return s.Hung() > 0 })
+	eventually(t, "a feed hangs", func() bool { return s.HungFeeds() > 0 })
 	s.Drop(platform.TableServers, "i-1")
 	gone := time.Now()
 	eventually(t, "it is gone here", func() bool { return !n.has("i-1") })
--- a/internal/front/backoff_test.go
+++ b/internal/front/backoff_test.go
@@ -31,8 +31,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, server, _ := newPair(t, 1, x.model, !x.onlyServer)
-			server.Do(standin.Shed)
-			server.AskRest(requestedBackoff)
+			server.SetScript(standin.Shed)
+			server.SetBackoff(requestedBackoff)
 			start := time.Now()
 			statuses := f.sendLoad(x.path, x.model, 20*time.Millisecond, 5*time.Second)
 			require.Less(t, time.Since(start), 6*time.Second, "requests that can't be served are refused at once")
--- a/internal/front/copies_test.go
+++ b/internal/front/copies_test.go
@@ -27,7 +27,7 @@
 	require.Eventually(t, func() bool { return len(engine.Models())+len(roomy.Models()) == 2 }, 8*time.Second, 10*time.Millisecond,
 		"a declared model without a copy is loaded")
 	updateEntries()
-	engine.NameRate(1)
+	engine.SetRateLimit(1)
 	f.sendLoad("/plans/x", "m0", interval, 6*time.Second)
 	require.Contains(t, roomy.Models(), "m0")
 	updateEntries()
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -229,7 +229,7 @@
 // long.
 func (n *Node) onLeaderFailure(l leader.Lease, err error) {
 	if at := n.leaderReplyAt.Load(); clock.SinceBoot()-time.Duration(at) > redialAfter {
-		n.endpoint.Renew(l.Address)
+		n.endpoint.Redial(l.Address)
 	}
 	if !n.leaderReached() {
 		n.leaderCalls.cancelAll()
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -51,7 +51,7 @@
 			t.Parallel()
 			f, leaving, service := newPair(t, 3, x.model, true)
 			f.store.Outage(true)
-			leaving.Depart()
+			leaving.Drain()
 			time.AfterFunc(2*time.Second, func() {
 				f.store.Outage(false)
 				f.store.Put(platform.TableServers, leaving.ID, leaving.Entry(service, "z", false))
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -20,7 +20,7 @@
 )
 
 // maxInWindow returns the maximum number of requests that a server ran in any window.
-func maxInWindow(runs []standin.Ran, window time.Duration) int {
+func maxInWindow(runs []standin.RunRecord, window time.Duration) int {
 	maximum := 0
 	for i, first := range runs {
 		n := 0
@@ -35,7 +35,7 @@
 }
 
 // offsets lists requests with their times since the first one.
-func offsets(runs []standin.Ran) string {
+func offsets(runs []standin.RunRecord) string {
 	var out strings.Builder
 	for _, r := range runs {
 		fmt.Fprintf(&out, "%v %s\n", r.At.Sub(runs[0].At).Round(time.Millisecond), r.ID)
@@ -82,10 +82,10 @@
 				limited, entry = engine, other.Entry("llm", "z", false)
 			}
 			f.store.Put(platform.TableServers, "i-other", entry)
-			limited.NameRate(rate)
+			limited.SetRateLimit(rate)
 			statuses := f.sendLoad(x.path, x.model, 50*time.Millisecond, 6*time.Second)
-			require.LessOrEqual(t, maxInWindow(limited.Ran(), limitWindow), int(limitFactor*rate*limitWindow.Seconds())+limitExtra)
-			require.NotEmpty(t, limited.Ran())
+			require.LessOrEqual(t, maxInWindow(limited.RunRecords(), limitWindow), int(limitFactor*rate*limitWindow.Seconds())+limitExtra)
+			require.NotEmpty(t, limited.RunRecords())
 			sent := 0
 			for _, n := range statuses {
 				sent += n
@@ -103,7 +103,7 @@
 	t.Parallel()
 	const rate = 2.0
 	f, engine, _ := newCluster(t, 4)
-	engine.NameRate(rate)
+	engine.SetRateLimit(rate)
 	stopped := make(chan struct{})
 	time.AfterFunc(2*time.Second, func() {
 		defer close(stopped)
@@ -116,6 +116,6 @@
 	})
 	statuses := f.sendLoad("/plans/x", "m0", 100*time.Millisecond, 7*time.Second)
 	<-stopped
-	require.LessOrEqual(t, maxInWindow(engine.Ran(), limitWindow), int(limitFactor*rate*limitWindow.Seconds())+limitExtra, offsets(engine.Ran()))
-	require.GreaterOrEqual(t, len(engine.Ran()), 9, "more than half of what the server's limit allows: %v", statuses)
+	require.LessOrEqual(t, maxInWindow(engine.RunRecords(), limitWindow), int(limitFactor*rate*limitWindow.Seconds())+limitExtra, offsets(engine.RunRecords()))
+	require.GreaterOrEqual(t, len(engine.RunRecords()), 9, "more than half of what the server's limit allows: %v", statuses)
 }
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -131,8 +131,8 @@
 	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, HasFeed: n.hasFeed, HasLeader: n.hasLeader,
 		Role: n.role, FetchCopy: n.join, Heartbeat: time.Duration(s.HeartbeatMS) * time.Millisecond, MaxConfigAge: n.gateway.KeyAge}
 	n.gateway.ConfigAge = n.follower.ConfigAge
-	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, Refused: n.refused, AcceptFailed: n.acceptFailed,
-		Most: int(float64(s.Descriptors-reservedDescriptors) * clientShare)}
+	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, OnBadRequest: n.refused, AcceptFailed: n.acceptFailed,
+		MaxConns: int(float64(s.Descriptors-reservedDescriptors) * clientShare)}
 	n.probes = &http1.Server{Handler: readiness{n}, AcceptFailed: n.acceptFailed}
 	return n, nil
 }
@@ -157,7 +157,7 @@
 	n.registry.MustRegister(calls)
 	return &platform.Store{
 		Client: &jsonhttp.Client{Address: n.settings.Store, ConnectTimeout: 500 * time.Millisecond},
-		Called: func(call string, status int) { calls.WithLabelValues(call, strconv.Itoa(status)).Inc() },
+		OnCall: func(call string, status int) { calls.WithLabelValues(call, strconv.Itoa(status)).Inc() },
 	}
 }
 
@@ -204,7 +204,7 @@
 	n.stop()
 	endTasks()
 	err := tasks.Wait(time.Until(deadline))
-	n.log.Info("stopped", zap.Int("connections", n.clients.Open()))
+	n.log.Info("stopped", zap.Int("connections", n.clients.ConnCount()))
 	return err
 }
 
@@ -270,7 +270,7 @@
 	started := time.Now()
 	n.stopping.Store(true)
 	n.clients.Drain()
-	n.log.Info("stopping", zap.Int("connections", n.clients.Open()))
+	n.log.Info("stopping", zap.Int("connections", n.clients.ConnCount()))
 	grace := n.grace()
 	ctx, cancel := context.WithDeadline(context.Background(), started.Add(grace))
 	defer cancel()
--- a/internal/front/spread_test.go
+++ b/internal/front/spread_test.go
@@ -38,7 +38,7 @@
 			}
 			leader, others := f.leader()
 			f.store.Outage(true)
-			leaving.Depart()
+			leaving.Drain()
 			for i := 0; len(leaving.Visits()) == 0; i++ {
 				require.Less(t, i, 100, "no request has reached the server")
 				others[0].get(t, x.path, fmt.Sprint("first-", i), x.model)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -224,9 +224,9 @@
 func (r *request) respond(status int, cause Reason, retryAfter time.Duration) {
 	r.outcome = outcome{status: status, reason: cause}
 	h := http.Header{}
-	platform.Echo(h, r.meta.ID)
+	platform.SetRequestID(h, r.meta.ID)
 	if status == http.StatusUnauthorized {
-		platform.Challenge(h)
+		platform.SetChallenge(h)
 	}
 	if retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -203,7 +203,7 @@
 		notReady bool
 	}{
 		{"shed unsafe goes elsewhere", standin.Shed, "/unsafe/", 200, 1, false},
-		{"lacking unsafe goes elsewhere", standin.Lack, "/unsafe/", 200, 1, false},
+		{"lacking unsafe goes elsewhere", standin.NotResident, "/unsafe/", 200, 1, false},
 		{"truncated unsafe is unknown", standin.Truncate, "/unsafe/", 502, 1, false},
 		{"crashed unsafe is unknown", standin.Crash, "/unsafe/", 502, 1, false},
 		{"garbage to unsafe is unknown", standin.Garbage, "/unsafe/", 502, 1, false},
@@ -317,7 +317,7 @@
 	a := r.do("POST", "/unsafe/", "r1", "body", "X-Guavapaddle-Request-Deadline-Ms: 400")
 	require.Equal(t, 504, a.status)
 	require.Less(t, time.Since(began), 800*time.Millisecond)
-	require.Eventually(t, func() bool { return w.Gone() == 1 }, time.Second, time.Millisecond, "the run at the server is cancelled")
+	require.Eventually(t, func() bool { return w.ClosedByCaller() == 1 }, time.Second, time.Millisecond, "the run at the server is cancelled")
 }
 
 func TestClientDisconnectCancelsRun(t *testing.T) {
@@ -330,7 +330,7 @@
 	_, err = c.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
-	require.Eventually(t, func() bool { return w.Gone() == 1 }, 500*time.Millisecond, time.Millisecond)
+	require.Eventually(t, func() bool { return w.ClosedByCaller() == 1 }, 500*time.Millisecond, time.Millisecond)
 }
 
 func TestBrokenStreamIsNotTerminated(t *testing.T) {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -16,7 +16,7 @@
 // relay forwards a stream to the client as it arrives.
 func (t *try) relay() (balance.Result, sendState, Reason) {
 	if !t.responseBegun {
-		if err := t.x.Begin(http.StatusOK, http1.EndToEnd(t.resp.Header)); err != nil {
+		if err := t.x.WriteHeader(http.StatusOK, http1.EndToEnd(t.resp.Header)); err != nil {
 			t.conn.Close()
 			return balance.Abandoned, clientGone, ClientLeft
 		}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -38,7 +38,7 @@
 	conn          *http1.Conn
 	ticket        *balance.Ticket
 	resp          *http.Response
-	respMeta      platform.Answer
+	respMeta      platform.Response
 	firstByte     time.Duration // time until the response header
 	extraResponse bool          // a response to another request came first
 	stopClose     func() bool   // stops closing the connection when the client leaves; false if it is already closed
@@ -125,14 +125,14 @@
 // recordRateLimit records the rate limit that the server announced with its response.
 func (t *try) recordRateLimit(sent time.Time) {
 	l := throttle.NoLimit(sent)
-	if t.respMeta.Rate != nil {
-		l = throttle.NewLimit(time.Now(), *t.respMeta.Rate)
+	if t.respMeta.RateLimit != nil {
+		l = throttle.NewLimit(time.Now(), *t.respMeta.RateLimit)
 	}
 	t.g.mu.Lock()
 	changed := t.g.picker.LearnLimit(t.selection.Server.ID, l)
 	t.g.mu.Unlock()
 	if t.slot != nil && (l.Active || changed) {
-		t.slot.SetRate(t.respMeta.Rate)
+		t.slot.SetRate(t.respMeta.RateLimit)
 	}
 	if changed {
 		t.g.Log.Info("server-limit", zap.String("request-id", t.meta.ID), zap.String("server", t.selection.Server.ID),
@@ -147,11 +147,11 @@
 	if t.respMeta.Leaving && t.g.OnLeaving != nil && t.g.OnLeaving(departure.IncarnationOf(s)) {
 		t.g.Log.Info("server-departs", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.String("rule", t.rule))
 	}
-	if t.respMeta.Rest > 0 {
+	if t.respMeta.Backoff > 0 {
 		t.g.mu.Lock()
-		t.g.picker.BackOff(s.ID, time.Now().Add(t.respMeta.Rest))
+		t.g.picker.BackOff(s.ID, time.Now().Add(t.respMeta.Backoff))
 		t.g.mu.Unlock()
-		t.g.Log.Info("server-rests", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.Duration("rest", t.respMeta.Rest),
+		t.g.Log.Info("server-rests", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.Duration("rest", t.respMeta.Backoff),
 			zap.String("rule", t.rule))
 	}
 }
@@ -176,16 +176,16 @@
 			return err
 		}
 		t.resp = resp
-		t.respMeta = platform.ParseAnswer(resp.StatusCode, resp.Header)
+		t.respMeta = platform.ParseResponse(resp.StatusCode, resp.Header)
 		if !t.isForeign() || t.route.Repeatable() {
 			if t.extraResponse {
-				t.conn.ReadBy(t.deadline.Add(responseMargin))
+				t.conn.SetReadDeadline(t.deadline.Add(responseMargin))
 			}
 			return nil
 		}
 		t.extraResponse = true
 		if t.route.Kind == fleet.Unsafe { // a stream's first event may take longer
-			t.conn.ReadBy(earlier(t.deadline, time.Now().Add(extraResponseWait)))
+			t.conn.SetReadDeadline(earlier(t.deadline, time.Now().Add(extraResponseWait)))
 		}
 		if _, err := http1.ReadBody(resp, maxBodyBytes); err != nil {
 			return err
@@ -314,7 +314,7 @@
 // must not close it, as another request may be using it.
 func (t *try) keepConn() {
 	left := !t.stopClose()
-	t.conn.Settle()
+	t.conn.CheckBodySent()
 	if t.extraResponse || left {
 		t.conn.Close()
 		return
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -160,7 +160,7 @@
 		return b
 	}
 	b.Model, b.Adapter, b.Tokens = r.meta.Model, r.meta.Adapter, r.meta.PromptTokens
-	for _, p := range r.meta.Parts {
+	for _, p := range r.meta.Segments {
 		b.Segments = append(b.Segments, balance.Segment{ID: p.ID, Tokens: p.Tokens})
 	}
 	return b
@@ -404,19 +404,19 @@
 }
 
 // outgoing returns the request as it is sent to a server.
-func (r *request) outgoing(s fleet.Server) http1.Outgoing {
+func (r *request) outgoing(s fleet.Server) http1.ClientRequest {
 	h := r.header.Clone()
 	priority := -1
 	if r.route.Kind == fleet.Stream {
 		priority = r.urgency()
 	}
-	platform.Forward(h, s.ID, time.Until(r.deadline), priority)
+	platform.SetForwardHeaders(h, s.ID, time.Until(r.deadline), priority)
 	if r.g.config.Load().KeysRequired() {
-		platform.Identify(h, r.team.Name)
+		platform.SetTeam(h, r.team.Name)
 	}
 	if r.lastEvent != "" && r.route.Resumable {
-		platform.Resume(h, r.lastEvent)
+		platform.SetLastEvent(h, r.lastEvent)
 	}
-	return http1.Outgoing{Method: r.x.Request.Method, Target: r.x.Request.RequestURI, Host: r.x.Request.Host,
+	return http1.ClientRequest{Method: r.x.Request.Method, Target: r.x.Request.RequestURI, Host: r.x.Request.Host,
 		Header: h, Body: r.x.Body}
 }
--- a/internal/gateway/spend.go
+++ b/internal/gateway/spend.go
@@ -23,7 +23,7 @@
 
 // cost returns the tokens that the request takes from its team's quota.
 func (r *request) cost() float64 {
-	return r.team.Quota.Cost(r.meta.PromptTokens, r.meta.OutputTokens, r.meta.Counted)
+	return r.team.Quota.Cost(r.meta.PromptTokens, r.meta.OutputTokens, r.meta.HasTokenCount)
 }
 
 // pendingCharge returns the charge that is still to be made with a slot request.
--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -202,7 +202,7 @@
 // readSlotReply reads the reply to a Place.
 func (c *Client) readSlotReply(s *peer.Stream, address string) (peer.Frame, error) {
 	deadline := time.Now().Add(AckTimeout)
-	s.ReadBy(deadline)
+	s.SetReadDeadline(deadline)
 	f, err := c.readFrame(s)
 	if err != nil && !time.Now().Before(deadline) {
 		return f, &AckTimeoutError{Address: address}
@@ -210,7 +210,7 @@
 	if err != nil || f.Kind != kindQueued {
 		return f, err
 	}
-	s.ReadBy(time.Time{})
+	s.SetReadDeadline(time.Time{})
 	return c.readFrame(s)
 }
 
@@ -236,7 +236,7 @@
 	defer s.CancelRead()
 	_ = s.Close()
 	if deadline, ok := ctx.Deadline(); ok {
-		s.ReadBy(deadline)
+		s.SetReadDeadline(deadline)
 	}
 	frame, err := c.readFrame(s)
 	if err != nil {
@@ -300,7 +300,7 @@
 	if err != nil || s.Write(frame) != nil || !placed.Granted {
 		return
 	}
-	s.ReadBy(time.Now().Add(grantTimeout))
+	s.SetReadDeadline(time.Now().Add(grantTimeout))
 	for {
 		f, err := s.Read()
 		if err != nil {
@@ -315,7 +315,7 @@
 			grant.SetRate(r.PerSecond)
 		case kindPrefillDone:
 			grant.PrefillDone()
-			s.ReadBy(time.Now().Add(maxRunTime))
+			s.SetReadDeadline(time.Now().Add(maxRunTime))
 		case kindRelease:
 			var r Release
 			if f.Decode(&r) == nil {
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -193,13 +193,13 @@
 			}
 			return config.DefaultLimits().BodyBytes
 		},
-		Headers: func() int {
+		HeaderBytes: func() int {
 			if x := n.follower.Index(); x != nil {
 				return x.Limits().HeaderBytes
 			}
 			return config.DefaultLimits().HeaderBytes
 		},
-		Streams: func() int {
+		MaxOpenRequests: func() int {
 			if x := n.follower.Index(); x != nil {
 				return x.Limits().StreamsPerNode
 			}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -33,7 +33,7 @@
 	}
 	return &engines.Client{
 		Engine:  n.engineAt(s.Address),
-		Options: engine.StreamOptions{FirstTimeout: firstEventTimeout, ProgressTimeout: progressTimeout},
+		Options: engine.StreamOptions{FirstEventTimeout: firstEventTimeout, ProgressTimeout: progressTimeout},
 	}
 }
 
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -261,10 +261,10 @@
 	n.draining.Store(true)
 	release()
 	n.publishViews(time.Now())
-	for last := time.Now(); n.callers.Open() > 0 || n.dispatch.Active() > 0; sleep(ctx, drainPoll) {
+	for last := time.Now(); n.callers.OpenRequests() > 0 || n.dispatch.Active() > 0; sleep(ctx, drainPoll) {
 		if time.Since(last) >= drainReport {
 			last = time.Now()
-			n.log.Info("shutdown-waits", zap.Int("callers", n.callers.Open()), zap.Int("dispatched", n.dispatch.Active()))
+			n.log.Info("shutdown-waits", zap.Int("callers", n.callers.OpenRequests()), zap.Int("dispatched", n.dispatch.Active()))
 		}
 	}
 	flush, cancel := context.WithTimeout(ctx, flushTimeout)
--- a/internal/placer/adapter.go
+++ b/internal/placer/adapter.go
@@ -72,11 +72,11 @@
 		held, unacked, sequence := p.adapterCounts(e)
 		p.Log.Info("order-adapter", zap.String("server", s.ID), zap.String("adapter", key), zap.Int("held", held), zap.Int("late", unacked),
 			zap.Int64("sequence", sequence), zap.String("verdict", v.String()), zap.Error(err))
-		if err != nil || v != platform.Begun && v != platform.Already {
+		if err != nil || v != platform.Accepted && v != platform.Done {
 			continue
 		}
 		p.publishResidency(hub.ResidencyUpdate{Server: s.ID, Model: w.Model, Adapter: w.Adapter, Held: true})
-		if v == platform.Begun || p.recentlyOrdered(s.ID, key) {
+		if v == platform.Accepted || p.recentlyOrdered(s.ID, key) {
 			clock.Sleep(ctx, adapterLoadTime)
 		}
 		return hub.LoadReply{Found: true, Server: s.ID}
@@ -151,7 +151,7 @@
 	}
 	key := model + "/" + adapter
 	if p.holdsAdapter(e, key) {
-		return platform.Already, nil
+		return platform.Done, nil
 	}
 	for p.adaptersFull(s, e, key) {
 		victim, ok := p.leastRecentlyUsed(e)
@@ -161,12 +161,12 @@
 		m, a, _ := strings.Cut(victim, "/")
 		v, err := p.sendOrder(ctx, e, s, platform.Order{Model: m, Adapter: a}, false)
 		p.Log.Info("order-adapter-unload", zap.String("server", s.ID), zap.String("adapter", victim), zap.String("verdict", v.String()), zap.Error(err))
-		if err != nil || v != platform.Begun && v != platform.Already {
+		if err != nil || v != platform.Accepted && v != platform.Done {
 			p.block(e)
 			return v, err
 		}
 		p.publishResidency(hub.ResidencyUpdate{Server: s.ID, Model: m, Adapter: a, Held: false})
-		if v == platform.Begun {
+		if v == platform.Accepted {
 			// Requests still use it: it keeps its slot until they have ended.
 			p.invalidateAdapters(e)
 			p.block(e)
@@ -177,7 +177,7 @@
 		p.mu.Unlock()
 	}
 	v, err := p.sendOrder(ctx, e, s, platform.Order{Load: true, Model: model, Adapter: adapter}, false)
-	if err == nil && v != platform.Begun && v != platform.Already {
+	if err == nil && v != platform.Accepted && v != platform.Done {
 		p.block(e)
 		return v, nil
 	}
--- a/internal/placer/adapter_test.go
+++ b/internal/placer/adapter_test.go
@@ -57,8 +57,8 @@
 func TestAdapterInUseKeepsItsSlot(t *testing.T) {
 	s := standin.NewStore(t)
 	w := (&standin.Worker{ID: "i-1"}).Hold("m0", "a1", "a2").Hold("m1").Start(t)
-	w.Use("m0", "a1", true)
-	w.Use("m0", "a2", true)
+	w.SetInUse("m0", "a1", true)
+	w.SetInUse("m0", "a2", true)
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.SetConfig(twoModelConfig())
 	a.SetServers([]fleet.Server{entryOf(w)})
@@ -70,11 +70,11 @@
 		require.False(t, want())
 		return len(w.Orders()) >= 2
 	})
-	require.Zero(t, w.MostAdapters(), "no adapter was loaded into a slot in use")
-	w.Use("m0", "a1", false)
-	w.Use("m0", "a2", false)
+	require.Zero(t, w.MaxAdapters(), "no adapter was loaded into a slot in use")
+	w.SetInUse("m0", "a1", false)
+	w.SetInUse("m0", "a2", false)
 	eventually(t, "a slot is free", want)
-	require.LessOrEqual(t, w.MostAdapters(), 2)
+	require.LessOrEqual(t, w.MaxAdapters(), 2)
 }
 
 func TestLoadingAdapterKeepsItsSlot(t *testing.T) {
@@ -94,7 +94,7 @@
 		want("a3")
 		want("a4")
 	}
-	require.Equal(t, 2, w.MostAdapters(), "two slots, both taken")
+	require.Equal(t, 2, w.MaxAdapters(), "two slots, both taken")
 }
 
 // TestAdaptersOfUnloadingModelKeepTheirSlots guards against adapters being loaded into the
@@ -109,7 +109,7 @@
 	a.SetConfig(c)
 	entries := func() []fleet.Server {
 		remaining := fleet.Server{ID: "i-1", Service: "llm", Address: w.Address(), Slots: 8, Resident: []fleet.ResidentModel{{Model: "m1"}, {Model: "m2"}}}
-		if len(w.Leaving()) == 0 {
+		if len(w.Unloading()) == 0 {
 			remaining = entryOf(w)
 		}
 		full := entryOf(other) // reported as full; holds the other copy of m0
@@ -122,11 +122,11 @@
 		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: model, Adapter: adapter}})
 	}
 	eventually(t, "the record is read", func() bool { return want("m0", "a1").Found })
-	eventually(t, "m0 is unloaded for m3", func() bool { return slices.Contains(w.Leaving(), "m0") })
+	eventually(t, "m0 is unloaded for m3", func() bool { return slices.Contains(w.Unloading(), "m0") })
 	a.SetServers(entries())
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
 		want("m1", "a1")
-		require.Zero(t, w.MostAdapters(), "both slots are taken until the unload has completed")
+		require.Zero(t, w.MaxAdapters(), "both slots are taken until the unload has completed")
 	}
 	w.FinishUnloads()
 	a.SetServers(entries())
@@ -213,5 +213,5 @@
 	}
 	eventually(t, "the first", func() bool { return want("a1") })
 	eventually(t, "the second replaces it", func() bool { return want("a2") })
-	require.Equal(t, 1, w.MostAdapters())
+	require.Equal(t, 1, w.MaxAdapters())
 }
--- a/internal/placer/chaos_test.go
+++ b/internal/placer/chaos_test.go
@@ -85,7 +85,7 @@
 	case n < 70:
 		w.LoseOrders(1)
 	case n < 80:
-		w.RunLate()
+		w.RunUnanswered()
 	case n < 83:
 		w.Restart()
 	case n < 86:
@@ -96,8 +96,8 @@
 		c.demand()
 	}
 	for _, w := range c.workers {
-		require.LessOrEqual(c.t, w.MostModels(), chaosMaxModels, w.ID)
-		require.LessOrEqual(c.t, w.MostAdapters(), chaosAdapterSlots, w.ID)
+		require.LessOrEqual(c.t, w.MaxModels(), chaosMaxModels, w.ID)
+		require.LessOrEqual(c.t, w.MaxAdapters(), chaosAdapterSlots, w.ID)
 	}
 }
 
--- a/internal/placer/lease_test.go
+++ b/internal/placer/lease_test.go
@@ -34,7 +34,7 @@
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	eventually(t, "the second knows the first", func() bool { l, ok := b.Leader(); return ok && l.Node == "a" })
 	before := s.Row("lease", "orders").Version
-	s.LoseAnswers(1)
+	s.DropReplies(1)
 	eventually(t, "a renewal is done", func() bool { return s.Row("lease", "orders").Version > before })
 	a.Release(context.Background())
 	eventually(t, "the second holds it", b.IsLeading)
@@ -45,7 +45,7 @@
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	eventually(t, "first", a.IsLeading)
 	before := s.Row("lease", "orders").Version
-	s.LoseAnswers(2)
+	s.DropReplies(2)
 	eventually(t, "renewed", func() bool { return s.Row("lease", "orders").Version >= before+4 })
 	eventually(t, "still holding", a.IsLeading)
 	l, _ := a.Leader()
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -41,7 +41,7 @@
 		e.unanswered = &m // the order may still be executed, so the record keeps it
 		e.blockedUntil = now.Add(engineBackoff)
 		return
-	case v == platform.Begun:
+	case v == platform.Accepted:
 		e.unanswered = nil
 		if !m.Load {
 			p.unloadStarted(e, m)
@@ -94,20 +94,20 @@
 	defer p.mu.Unlock()
 	switch {
 	case err != nil:
-	case v == platform.Begun:
+	case v == platform.Accepted:
 		p.loads.Accept(time.Now(), s.ID, o.Sequence, store)
 	case store:
 		p.loads.Refuse(time.Now(), s.ID, o.Sequence, v == platform.Conflict)
 	}
 	switch {
 	case err != nil: // the next order carries the same sequence number
-	case v == platform.Begun:
+	case v == platform.Accepted:
 		e.sequence++
 		e.orderAccepted = true
 		e.resolveUnacked(o)
-	case v == platform.Already && o.Adapter != "" && !o.Load && e.orderAccepted:
+	case v == platform.Done && o.Adapter != "" && !o.Load && e.orderAccepted:
 		e.sequence++
-	case v == platform.Already && o.Adapter != "" && !o.Load, v == platform.Conflict:
+	case v == platform.Done && o.Adapter != "" && !o.Load, v == platform.Conflict:
 		e.sequence = -1
 	case v == platform.Fenced:
 		p.Elector.RecordFenced(epoch)
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -36,6 +36,6 @@
 		require.Equal(t, "m1", o["model"])
 	}
 	eventually(t, "loaded", func() bool { _, ok := w.Models()["m1"]; return ok })
-	w.RunLate()
+	w.RunUnanswered()
 	require.Len(t, w.Models(), 2, "the late order has an outdated sequence number")
 }
--- a/internal/placer/report.go
+++ b/internal/placer/report.go
@@ -131,7 +131,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if r.Busy || r.Born != p.servers[s.ID].StartedAtMS || !sameModels(r.Held, p.servers[s.ID].Resident) {
+	if r.Busy || r.StartedAtMS != p.servers[s.ID].StartedAtMS || !sameModels(r.Resident, p.servers[s.ID].Resident) {
 		e.blockedUntil = now.Add(engineBackoff)
 		return &EngineUnsettledError{Server: s.ID, Busy: r.Busy}
 	}
@@ -151,7 +151,7 @@
 // may still be executed late.
 func (e *engine) replaceAdapters(now time.Time, r platform.Report) {
 	current := map[string]time.Time{}
-	for _, list := range [][]fleet.ResidentModel{r.Held, r.Coming} {
+	for _, list := range [][]fleet.ResidentModel{r.Resident, r.Loading} {
 		for _, h := range list {
 			for _, a := range h.Adapters {
 				key := h.Model + "/" + a
--- a/internal/placer/report_test.go
+++ b/internal/placer/report_test.go
@@ -41,7 +41,7 @@
 	})
 	eventually(t, "the load has ended", func() bool { return w.Loading() == "" })
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); {
-		require.LessOrEqual(t, w.MostModels(), 3, "three models fit")
+		require.LessOrEqual(t, w.MaxModels(), 3, "three models fit")
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -59,7 +59,7 @@
 		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}}).Found
 	}
 	eventually(t, "the record is read", func() bool { return want("a1") })
-	w.Accept()
+	w.AcceptForeignOrder()
 	require.False(t, want("a2"), "the sequence number differs")
 	orders := w.Orders()
 	require.EqualValues(t, 1, orders[len(orders)-1]["expected"])
--- a/internal/placer/rig_test.go
+++ b/internal/placer/rig_test.go
@@ -101,7 +101,7 @@
 }
 
 func entryOf(w *standin.Worker) fleet.Server {
-	s := fleet.Server{ID: w.ID, StartedAtMS: w.Born(), Service: "llm", Address: w.Address(), Slots: 8}
+	s := fleet.Server{ID: w.ID, StartedAtMS: w.StartedAt(), Service: "llm", Address: w.Address(), Slots: 8}
 	for m, a := range w.Models() {
 		s.Resident = append(s.Resident, fleet.ResidentModel{Model: m, Adapters: a})
 	}
--- a/internal/placer/sim_engine_test.go
+++ b/internal/placer/sim_engine_test.go
@@ -98,7 +98,7 @@
 
 // publishState records the state for later reports and writes the entry; e.mu is held.
 func (e *simEngine) publishState() {
-	r := platform.Report{Busy: e.loading != "" || len(e.unloading) > 0, Sequence: e.sequence, Born: e.startedAtMS}
+	r := platform.Report{Busy: e.loading != "" || len(e.unloading) > 0, Sequence: e.sequence, StartedAtMS: e.startedAtMS}
 	for _, m := range slices.Sorted(maps.Keys(e.models)) {
 		if e.unloading[m] {
 			continue
@@ -109,18 +109,18 @@
 				h.Adapters = append(h.Adapters, a)
 			}
 		}
-		r.Held = append(r.Held, h)
+		r.Resident = append(r.Resident, h)
 	}
 	for key := range e.adapters {
 		if m, a := splitKey(key); e.loadingAdapters[key] || e.unloading[m] {
-			r.Coming = append(r.Coming, fleet.ResidentModel{Model: m, Adapters: []string{a}})
+			r.Loading = append(r.Loading, fleet.ResidentModel{Model: m, Adapters: []string{a}})
 		}
 	}
 	e.history = append(e.history, simReport{time.Now(), r})
 	if len(e.history) > simMaxHistory {
 		e.history = e.history[1:]
 	}
-	e.entry = fleet.Server{ID: e.id, StartedAtMS: e.startedAtMS, Service: simService, Address: e.id, Slots: 64, Resident: r.Held,
+	e.entry = fleet.Server{ID: e.id, StartedAtMS: e.startedAtMS, Service: simService, Address: e.id, Slots: 64, Resident: r.Resident,
 		OnDisk: slices.Sorted(maps.Keys(e.disk)), Version: e.world.nextVersion()}
 }
 
@@ -247,7 +247,7 @@
 
 func (e *simEngine) loadModel(model string) platform.Verdict {
 	if e.models[model] {
-		return platform.Already
+		return platform.Done
 	}
 	took := simFromDisk
 	if !e.disk[model] {
@@ -259,12 +259,12 @@
 	e.disk[model] = true
 	e.after(took, func() { e.models[model], e.loading = true, "" })
 	e.accept()
-	return platform.Begun
+	return platform.Accepted
 }
 
 func (e *simEngine) unloadModel(model string) platform.Verdict {
 	if !e.models[model] {
-		return platform.Already
+		return platform.Done
 	}
 	e.unloading[model] = true
 	e.after(e.between(0, simMaxUnload), func() {
@@ -277,12 +277,12 @@
 		}
 	})
 	e.accept()
-	return platform.Begun
+	return platform.Accepted
 }
 
 func (e *simEngine) loadAdapter(model, key string) platform.Verdict {
 	if e.adapters[key] {
-		return platform.Already
+		return platform.Done
 	}
 	if !e.models[model] || e.unloading[model] {
 		return platform.Elsewhere
@@ -291,17 +291,17 @@
 	e.checkRoom()
 	e.after(simAdapterLoad, func() { delete(e.loadingAdapters, key) })
 	e.accept()
-	return platform.Begun
+	return platform.Accepted
 }
 
 func (e *simEngine) unloadAdapter(key string) platform.Verdict {
 	if !e.adapters[key] {
-		return platform.Already // not accepted, so not counted
+		return platform.Done // not accepted, so not counted
 	}
 	if e.rng.Float64() >= simAdapterInUseShare {
 		e.removeAdapter(key)
 		e.accept()
-		return platform.Already
+		return platform.Done
 	}
 	e.unloadingAdapters[key] = true
 	e.after(e.between(0, simMaxUse), func() {
@@ -310,7 +310,7 @@
 		}
 	})
 	e.accept()
-	return platform.Begun
+	return platform.Accepted
 }
 
 // removeAdapter frees the slot of an adapter; e.mu is held.
--- a/internal/testbed/soak/check.go
+++ b/internal/testbed/soak/check.go
@@ -175,7 +175,7 @@
 
 // Keys checks the key and the team of the requests that a server ran, and records their
 // token usage.
-func (c *Checker) Keys(list []standin.Ran) {
+func (c *Checker) Keys(list []standin.RunRecord) {
 	for _, ran := range list {
 		c.mu.Lock()
 		who, known := c.callers[ran.ID]
@@ -217,7 +217,7 @@
 }
 
 // Orders checks that no epoch of an engine has orders from two nodes.
-func (c *Checker) Orders(engine string, orders []standin.Given) {
+func (c *Checker) Orders(engine string, orders []standin.OrderSender) {
 	nodes := map[int64]string{}
 	for _, o := range orders {
 		if h, ok := nodes[o.Fence]; ok && h != o.Holder {
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -36,7 +36,7 @@
 		time.Sleep(randomDuration(rng, 300, 4000))
 		r.store.Outage(false)
 	}},
-	{"store-loses-answers", func(r *Run, rng *rand.Rand) { r.store.LoseAnswers(1 + rng.IntN(4)) }},
+	{"store-loses-answers", func(r *Run, rng *rand.Rand) { r.store.DropReplies(1 + rng.IntN(4)) }},
 	{"store-forgets", func(r *Run, _ *rand.Rand) { r.store.Compact() }},
 	{"node-cut-from-store", func(r *Run, rng *rand.Rand) {
 		n := r.randomNode(rng)
@@ -51,16 +51,16 @@
 		bad := []standin.Behaviour{standin.Shed, standin.Fail, standin.Truncate, standin.Extra, standin.WrongID,
 			standin.Unsigned, standin.Silent, standin.Crash, standin.Garbage, standin.Cut}
 		for end := time.Now().Add(randomDuration(rng, 300, 2000)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			w.Do(bad[rng.IntN(len(bad))], standin.OK)
+			w.SetScript(bad[rng.IntN(len(bad))], standin.OK)
 		}
-		w.Do(standin.OK)
+		w.SetScript(standin.OK)
 	}},
 	{"server-replaced", (*Run).replaceServer},
 	{"orders-late", func(r *Run, rng *rand.Rand) {
 		w := r.randomWorker(rng)
 		w.LoseOrders(1 + rng.IntN(2))
 		time.Sleep(randomDuration(rng, 500, 3000))
-		w.RunLate()
+		w.RunUnanswered()
 	}},
 	{"configure", func(r *Run, _ *rand.Rand) { r.writeConfig(int(r.version.Load()) + 1) }},
 }
--- a/internal/testbed/soak/limits.go
+++ b/internal/testbed/soak/limits.go
@@ -40,16 +40,16 @@
 		w := r.randomWorker(rng)
 		switch rng.IntN(3) {
 		case 0:
-			w.NameRate(1 + 3*rng.Float64())
+			w.SetRateLimit(1 + 3*rng.Float64())
 			clock.Sleep(ctx, randomDuration(rng, 4000, 8000))
-			w.NameRate(0)
+			w.SetRateLimit(0)
 		case 1:
-			w.AskRest(randomDuration(rng, 1000, 3000))
+			w.SetBackoff(randomDuration(rng, 1000, 3000))
 			for range 1 + rng.IntN(10) {
-				w.Do(standin.Shed, standin.OK)
+				w.SetScript(standin.Shed, standin.OK)
 				clock.Sleep(ctx, 100*time.Millisecond)
 			}
-			w.AskRest(0)
+			w.SetBackoff(0)
 		case 2:
 			r.announceLeaving(ctx, w, fmt.Sprintf("i-d%d", n))
 		}
@@ -68,7 +68,7 @@
 		return
 	}
 	clock.Sleep(ctx, 300*time.Millisecond)
-	w.Depart()
+	w.Drain()
 	clock.Sleep(ctx, 5*time.Second)
 	r.store.Drop(platform.TableServers, w.ID)
 }
@@ -120,7 +120,7 @@
 // leavingBound after it had forwarded the server's announcement that it leaves.
 func (c *Checker) afterLeaving(server string, list []standin.Visit) []Violation {
 	var out []Violation
-	announced := c.forwardedResponses(list, func(v standin.Visit) bool { return v.Departs })
+	announced := c.forwardedResponses(list, func(v standin.Visit) bool { return v.Draining })
 	for _, v := range list {
 		who := c.callers[v.ID]
 		for _, t := range announced {
@@ -139,16 +139,16 @@
 	var out []Violation
 	for _, a := range list {
 		node, n := c.callers[a.ID].Node, 0
-		if a.Rest == 0 || !c.undisturbed(node, a.At, a.At.Add(a.Rest), true) || !c.undisturbed(server, a.At, a.At.Add(a.Rest), true) {
+		if a.Backoff == 0 || !c.undisturbed(node, a.At, a.At.Add(a.Backoff), true) || !c.undisturbed(server, a.At, a.At.Add(a.Backoff), true) {
 			continue
 		}
 		for _, b := range list {
-			if d := b.At.Sub(a.At); c.callers[b.ID].Node == node && d > backoffSlack && d < a.Rest {
+			if d := b.At.Sub(a.At); c.callers[b.ID].Node == node && d > backoffSlack && d < a.Backoff {
 				n++
 			}
 		}
 		if n > maxBackoffRequests {
-			out = append(out, Violation{"rest", fmt.Sprintf("%s had asked %s to back off for %v, and got %d requests", server, node, a.Rest, n)})
+			out = append(out, Violation{"rest", fmt.Sprintf("%s had asked %s to back off for %v, and got %d requests", server, node, a.Backoff, n)})
 		}
 	}
 	return out
--- a/internal/testbed/soak/load.go
+++ b/internal/testbed/soak/load.go
@@ -62,7 +62,7 @@
 		call.Model, call.Tokens = model, 100+rng.IntN(1500)
 		caller.Tokens = call.Tokens + standin.CallOutput
 	}
-	call.Set(req.Header)
+	call.SetHeaders(req.Header)
 	r.check.Sent(id, repeatable, caller)
 	resp, err := c.Do(req)
 	if err != nil {
@@ -75,7 +75,7 @@
 	switch {
 	case resp.StatusCode != http.StatusOK:
 	case err == nil:
-		whose, stamp := standin.Signed(resp.Header)
+		whose, stamp := standin.IDAndStamp(resp.Header)
 		r.check.Whole(id, whose, stamp, string(b), events)
 	case events > 0:
 		r.check.Order(id, string(b), events, false)
@@ -135,7 +135,7 @@
 				id := fmt.Sprintf("p%d-%s-%d", n, at.settings.Node, v)
 				r.check.Sent(id, true, Caller{Team: unlimitedTeam, Version: version, At: time.Now(), Tokens: standin.PlainTokens,
 					Node: at.settings.Node})
-				standin.Call{ID: id, Key: key(unlimitedTeam, version)}.Set(req.Header)
+				standin.Call{ID: id, Key: key(unlimitedTeam, version)}.SetHeaders(req.Header)
 				resp, err := c.Do(req)
 				if err != nil {
 					continue
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -175,7 +175,7 @@
 
 // writeConfig writes a configuration with a route that only this version has.
 func (r *Run) writeConfig(version int) {
-	d := standin.Deployment{Host: host, Models: models, Adapters: adapters, Places: adapterSlots, ModelMB: modelMB, EngineMB: engineMB,
+	d := standin.Deployment{Host: host, Models: models, Adapters: adapters, AdapterSlots: adapterSlots, ModelMB: modelMB, EngineMB: engineMB,
 		Teams: []standin.Team{{Name: unlimitedTeam, Keys: []string{key(unlimitedTeam, version), key(unlimitedTeam, version-1)}},
 			{Name: limitedTeam, Keys: []string{key(limitedTeam, version), key(limitedTeam, version-1)}, Rate: quotaRate, Burst: quotaBurst}}}
 	r.store.Put(platform.TableOperator, platform.KeyConfig, d.Configuration(version))
@@ -238,9 +238,9 @@
 	defer r.mu.Unlock()
 	for _, w := range r.workers {
 		w.proxy.Set(Pass)
-		w.Do(standin.OK)
-		w.NameRate(0)
-		w.AskRest(0)
+		w.SetScript(standin.OK)
+		w.SetRateLimit(0)
+		w.SetBackoff(0)
 	}
 }
 
@@ -251,17 +251,17 @@
 	var ids []string
 	for _, w := range r.workers {
 		ids = append(ids, w.Runs()...)
-		r.check.Orders(w.ID, w.Given())
-		if most := w.MostAdapters(); most > adapterSlots {
+		r.check.Orders(w.ID, w.OrderSenders())
+		if most := w.MaxAdapters(); most > adapterSlots {
 			r.check.Break("memory", "engine %s was ordered to hold %d adapters, %d fit", w.ID, most, adapterSlots)
 		}
-		if most := w.MostModels(); most*modelMB > engineMB {
+		if most := w.MaxModels(); most*modelMB > engineMB {
 			r.check.Break("memory", "engine %s was ordered to hold %d models of %d MB, beyond its memory", w.ID, most, modelMB)
 		}
 	}
 	r.check.Runs(ids)
 	for _, w := range r.workers {
-		r.check.Keys(w.Ran())
+		r.check.Keys(w.RunRecords())
 		r.check.Needs(w.ID, w.Visits())
 	}
 	r.check.Quota(limitedTeam, quotaWindow, (quotaRate*quotaWindow.Seconds()+quotaBurst)*(1+quotaOverRatio)+quotaSlack)
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -62,13 +62,13 @@
 			now := time.Now()
 			c.Revoked(1, now)
 			c.Sent("a", true, soak.Caller{Team: "t", Version: 1, At: now.Add(time.Second)})
-			c.Keys([]standin.Ran{{ID: "a", Team: "t"}})
+			c.Keys([]standin.RunRecord{{ID: "a", Team: "t"}})
 		},
 		"quota": func(c *soak.Checker) {
 			now := time.Now()
 			for _, id := range []string{"a", "b", "c"} {
 				c.Sent(id, true, soak.Caller{Team: "t", At: now, Tokens: 100})
-				c.Keys([]standin.Ran{{ID: id, Team: "t", At: now}})
+				c.Keys([]standin.RunRecord{{ID: id, Team: "t", At: now}})
 			}
 			c.Quota("t", time.Second, 200)
 		},
@@ -77,11 +77,11 @@
 			c.Sent("a", true, soak.Caller{Node: "n", At: now})
 			c.Answered("a", "n", 200)
 			c.Sent("b", true, soak.Caller{Node: "n", At: now.Add(3 * time.Second)})
-			c.Needs("s", []standin.Visit{{ID: "a", At: now, Departs: true}, {ID: "b", At: now.Add(3 * time.Second), Departs: true}})
+			c.Needs("s", []standin.Visit{{ID: "a", At: now, Draining: true}, {ID: "b", At: now.Add(3 * time.Second), Draining: true}})
 		},
 		"rest": func(c *soak.Checker) {
 			now := time.Now()
-			list := []standin.Visit{{ID: "a", At: now, Did: standin.Shed, Rest: 2 * time.Second}}
+			list := []standin.Visit{{ID: "a", At: now, Did: standin.Shed, Backoff: 2 * time.Second}}
 			for range 3 {
 				list = append(list, standin.Visit{ID: "a", At: now.Add(time.Second)})
 			}
@@ -99,7 +99,7 @@
 			c.Needs("s", list)
 		},
 		"fence": func(c *soak.Checker) {
-			c.Orders("e", []standin.Given{{Holder: "a", Fence: 1}, {Holder: "b", Fence: 1}})
+			c.Orders("e", []standin.OrderSender{{Holder: "a", Fence: 1}, {Holder: "b", Fence: 1}})
 		},
 	} {
 		c := soak.NewChecker()
@@ -114,7 +114,7 @@
 	c.Served("n/1", 3)
 	c.Served("n/2", 2)
 	c.Revoked(1, time.Now())
-	c.Keys([]standin.Ran{{ID: "a"}})
+	c.Keys([]standin.RunRecord{{ID: "a"}})
 	c.Quota("", time.Second, 0)
 	c.Whole("a", "a", "stamp", "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", 2)
 	now := time.Now()
@@ -123,7 +123,7 @@
 	c.Sent("m", true, soak.Caller{Node: "m", At: now.Add(3 * time.Second)})
 	c.Sent("late", true, soak.Caller{Node: "n", At: now.Add(3 * time.Second)})
 	c.Disturbed("n", now.Add(time.Second), now.Add(2*time.Second), false)
-	c.Needs("s", []standin.Visit{{ID: "n", At: now, Departs: true}, {ID: "m", At: now.Add(3 * time.Second), Departs: true},
-		{ID: "late", At: now.Add(3 * time.Second), Departs: true}})
+	c.Needs("s", []standin.Visit{{ID: "n", At: now, Draining: true}, {ID: "m", At: now.Add(3 * time.Second), Draining: true},
+		{ID: "late", At: now.Add(3 * time.Second), Draining: true}})
 	require.Empty(t, c.Violations(), "permitted behaviour must not be reported")
 }
--- a/internal/testbed/standin/engine/orders.go
+++ b/internal/testbed/standin/engine/orders.go
@@ -242,7 +242,7 @@
 	if e.WeightAddress == "" {
 		return nil
 	}
-	c := &jsonhttp.Client{Address: e.WeightAddress, Fresh: true}
+	c := &jsonhttp.Client{Address: e.WeightAddress, DisableReuse: true}
 	a, err := c.JSON(ctx, http.MethodPost, weights.LoadPath, weights.LoadRequest{Item: o.Item.String(), Bytes: o.Bytes}, nil)
 	if err == nil && a.Status != http.StatusOK {
 		return eris.Errorf("weight store responded with status %d", a.Status)
--- a/io/caller/body.go
+++ b/io/caller/body.go
@@ -67,15 +67,15 @@
 )
 
 var (
-	errText      = &TextError{}
+	errText      = &ContentTypeError{}
 	errMaxTokens = outcome.Refuse(outcome.BadRequest, "max_tokens must be from 1 to "+strconv.Itoa(maxTokensLimit), 0)
 )
 
 // TextError reports content that is neither a string nor a list of text parts.
-type TextError struct{}
+type ContentTypeError struct{}
 
 // Error returns the description that callers see.
-func (*TextError) Error() string { return "content must be a string or text parts" }
+func (*ContentTypeError) Error() string { return "content must be a string or text parts" }
 
 // UnmarshalJSON decodes a string, a list of strings or a list of text parts.
 func (t *text) UnmarshalJSON(b []byte) error {
--- a/io/caller/listen.go
+++ b/io/caller/listen.go
@@ -20,8 +20,8 @@
 func (s *Server) Listen() (string, error) {
 	logging.SetLevel(logging.LevelNone)
 	s.watchedConns = map[net.Conn]*watchedConn{}
-	if s.Idle == 0 {
-		s.Idle = defaultIdle
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = defaultIdle
 	}
 	l, err := net.Listen("tcp", s.Address)
 	if err != nil {
@@ -34,7 +34,7 @@
 		MaxHTTPBodySize:    hardBodyBytes,
 		ReadLimit:          hardReadBytes,
 		MaxWriteBufferSize: writeBuffer,
-		KeepaliveTime:      s.Idle,
+		KeepaliveTime:      s.IdleTimeout,
 		ServerExecutor:     func(f func()) { go f() },
 	})
 	s.pollerReady = make(chan struct{})
--- a/io/caller/response.go
+++ b/io/caller/response.go
@@ -104,14 +104,14 @@
 	}
 
 	// Gone reports a write to a caller that closed its connection.
-	Gone struct{ Err error }
+	ClientGoneError struct{ Err error }
 )
 
 // Error returns a description with the cause.
-func (e *Gone) Error() string { return fmt.Sprintf("caller is gone: %v", e.Err) }
+func (e *ClientGoneError) Error() string { return fmt.Sprintf("caller is gone: %v", e.Err) }
 
 // Unwrap returns the cause.
-func (e *Gone) Unwrap() error { return e.Err }
+func (e *ClientGoneError) Unwrap() error { return e.Err }
 
 func modelList(names []string) models {
 	m := models{Object: "list", Data: make([]model, len(names))}
@@ -170,7 +170,7 @@
 	}
 	data, err := json.Marshal(completion{ID: rw.id, Object: object, Model: rw.modelRequest.model, Choices: []choice{c}})
 	if err != nil {
-		return &Gone{Err: err}
+		return &ClientGoneError{Err: err}
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "id: %s\ndata: %s\n\n", at, data)
@@ -183,7 +183,7 @@
 // write sends b and flushes it to the caller.
 func (rw *responseWriter) write(b []byte) error {
 	if _, err := rw.w.Write(b); err != nil {
-		return &Gone{Err: err}
+		return &ClientGoneError{Err: err}
 	}
 	if f, ok := rw.w.(http.Flusher); ok {
 		f.Flush()
@@ -250,7 +250,7 @@
 }
 
 // writeService writes the response of a plain service.
-func (rw *responseWriter) writeService(s ServiceAnswer) {
+func (rw *responseWriter) writeService(s ServiceResponse) {
 	h := rw.w.Header()
 	for name, values := range s.Header {
 		if endToEnd(name) {
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -62,7 +62,7 @@
 	}
 
 	// ServiceAnswer is the complete response of a plain service.
-	ServiceAnswer struct {
+	ServiceResponse struct {
 		Status int
 		Header http.Header
 		Body   []byte
@@ -78,21 +78,21 @@
 		// final one.
 		Generate(ctx context.Context, g Generation, emit forward.Emit) error
 		// Call calls a plain service.
-		Call(ctx context.Context, c ServiceCall) (ServiceAnswer, error)
+		Call(ctx context.Context, c ServiceCall) (ServiceResponse, error)
 		// Ended is called when a request has ended; err is nil if it succeeded.
-		Ended(requestID string, started time.Time, err error)
+		RequestEnded(requestID string, started time.Time, err error)
 	}
 
 	// Server serves HTTP to callers. Exported fields must be set before Listen is called.
 	Server struct {
-		Address   string // IP:port
-		Handler   Handler
-		BodyBytes func() int64                 // limit of a request body, default 4 MiB
-		Headers   func() int                   // limit of all headers in bytes, default 32 KiB
-		Streams   func() int                   // limit of open requests, default 4096
-		Idle      time.Duration                // idle timeout of a connection, default 2 min
-		NewID     func() string                // returns a new request ID
-		Draining  func() (time.Duration, bool) // returns the retry delay and whether new requests are refused
+		Address         string // IP:port
+		Handler         Handler
+		BodyBytes       func() int64                 // limit of a request body, default 4 MiB
+		HeaderBytes     func() int                   // limit of all headers in bytes, default 32 KiB
+		MaxOpenRequests func() int                   // limit of open requests, default 4096
+		IdleTimeout     time.Duration                // idle timeout of a connection, default 2 min
+		NewID           func() string                // returns a new request ID
+		Draining        func() (time.Duration, bool) // returns the retry delay and whether new requests are refused
 		// Panicked is called when a handler panicked, may be nil.
 		Panicked func(requestID string, value any, stack []byte)
 		// AcceptFailed is called when accepting a connection fails, may be nil. The server
@@ -139,7 +139,7 @@
 }
 
 // Open returns the number of open requests.
-func (s *Server) Open() int { return int(s.open.Load()) }
+func (s *Server) OpenRequests() int { return int(s.open.Load()) }
 
 // cancelClosed cancels the contexts of requests whose caller disconnected.
 func (s *Server) cancelClosed() {
@@ -227,13 +227,13 @@
 	if err != nil {
 		rw.writeError(outcome.From(err))
 	}
-	s.Handler.Ended(rw.id, started, err)
+	s.Handler.RequestEnded(rw.id, started, err)
 }
 
 // refuse responds with an error and reports the end of the request.
 func (s *Server) refuse(rw *responseWriter, started time.Time, err error) {
 	rw.writeError(outcome.From(err))
-	s.Handler.Ended(rw.id, started, err)
+	s.Handler.RequestEnded(rw.id, started, err)
 }
 
 // recoverPanic responds to a request whose handler panicked. The engine would recover the
@@ -276,8 +276,8 @@
 // checkHeaders refuses a request whose headers exceed the limit.
 func (s *Server) checkHeaders(r *http.Request) error {
 	limit := defaultHeaderBytes
-	if s.Headers != nil {
-		limit = s.Headers()
+	if s.HeaderBytes != nil {
+		limit = s.HeaderBytes()
 	}
 	size := len(r.RequestURI)
 	for name, values := range r.Header {
@@ -302,10 +302,10 @@
 
 // streams returns the limit of open requests.
 func (s *Server) streams() int {
-	if s.Streams == nil {
+	if s.MaxOpenRequests == nil {
 		return defaultStreams
 	}
-	return s.Streams()
+	return s.MaxOpenRequests()
 }
 
 // models responds with the list of models that the caller may use.
--- a/io/caller/server_test.go
+++ b/io/caller/server_test.go
@@ -43,11 +43,11 @@
 	return emit(forward.Reply{Finish: "stop"}, forward.ResumeToken{RequestID: g.RequestID, Server: "s"})
 }
 
-func (h *handler) Call(_ context.Context, c caller.ServiceCall) (caller.ServiceAnswer, error) {
-	return caller.ServiceAnswer{Status: http.StatusTeapot, Header: http.Header{"X-Own": {"1"}, "Connection": {"close"}}, Body: []byte(c.Path + "?" + c.Query + " " + c.Key)}, nil
+func (h *handler) Call(_ context.Context, c caller.ServiceCall) (caller.ServiceResponse, error) {
+	return caller.ServiceResponse{Status: http.StatusTeapot, Header: http.Header{"X-Own": {"1"}, "Connection": {"close"}}, Body: []byte(c.Path + "?" + c.Query + " " + c.Key)}, nil
 }
 
-func (h *handler) Ended(string, time.Time, error) {}
+func (h *handler) RequestEnded(string, time.Time, error) {}
 
 // start runs a server until the test ends and returns its URL. configure may change the
 // server before it listens.
@@ -224,7 +224,7 @@
 		}
 		return emit(forward.Reply{Offset: 6, Finish: "stop"}, forward.ResumeToken{RequestID: "r", Offset: 6, Server: "s"})
 	}}
-	url := start(t, h, func(s *caller.Server) { s.Idle = idle })
+	url := start(t, h, func(s *caller.Server) { s.IdleTimeout = idle })
 	_, body := post(t, url+"/v1/completions", `{"model":"m","prompt":"p","stream":true}`)
 	require.Contains(t, body, "[DONE]")
 }
@@ -239,7 +239,7 @@
 	}}
 	draining := false
 	url := start(t, h, func(s *caller.Server) {
-		s.Streams = func() int { return 1 }
+		s.MaxOpenRequests = func() int { return 1 }
 		s.Draining = func() (time.Duration, bool) { return time.Second, draining }
 	})
 	first := make(chan string)
--- a/io/engine/client.go
+++ b/io/engine/client.go
@@ -139,7 +139,7 @@
 func (c *Client) ExportKV(ctx context.Context, requestID string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.calls.Counted(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodGet, Path: kvPath + url.PathEscape(requestID)})
+	a, err := c.calls.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodGet, Path: kvPath + url.PathEscape(requestID)})
 	if err != nil {
 		return nil, c.transportError(err)
 	}
@@ -154,7 +154,7 @@
 func (c *Client) ImportKV(ctx context.Context, requestID string, kv []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.calls.Counted(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodPut, Path: kvPath + url.PathEscape(requestID), Body: kv})
+	a, err := c.calls.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodPut, Path: kvPath + url.PathEscape(requestID), Body: kv})
 	if err != nil {
 		return c.transportError(err)
 	}
@@ -162,13 +162,13 @@
 }
 
 // Close closes idle connections. Open streams continue.
-func (c *Client) Close() { c.calls.Counted(c.Address, c.Traffic).Close() }
+func (c *Client) Close() { c.calls.WithTraffic(c.Address, c.Traffic).Close() }
 
 // call makes one call, bounded by the timeout.
-func (c *Client) call(ctx context.Context, method, path string, in, out any) (jsonhttp.Answer, error) {
+func (c *Client) call(ctx context.Context, method, path string, in, out any) (jsonhttp.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.calls.Counted(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
+	a, err := c.calls.WithTraffic(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
 	if err != nil {
 		return a, c.transportError(err)
 	}
@@ -176,7 +176,7 @@
 }
 
 // expect returns an error unless the response has the given status.
-func (c *Client) expect(a jsonhttp.Answer, status int) error {
+func (c *Client) expect(a jsonhttp.Response, status int) error {
 	if a.Status == status {
 		return nil
 	}
@@ -185,7 +185,7 @@
 
 // refusal returns the error for a response with an unexpected status, such as the rejection
 // of an order or a fence.
-func (c *Client) refusal(a jsonhttp.Answer) *Error {
+func (c *Client) refusal(a jsonhttp.Response) *Error {
 	e := c.newError(Failed, eris.Errorf("status %d", a.Status))
 	e.statedNotRun = a.Header.Get(NotRunHeader) == "1"
 	switch a.Status {
--- a/io/engine/engine_test.go
+++ b/io/engine/engine_test.go
@@ -29,9 +29,9 @@
 
 var (
 	// short sets timeouts that the test expects to expire.
-	short = engine.StreamOptions{FirstTimeout: 200 * time.Millisecond, ProgressTimeout: 200 * time.Millisecond}
+	short = engine.StreamOptions{FirstEventTimeout: 200 * time.Millisecond, ProgressTimeout: 200 * time.Millisecond}
 	// patient sets timeouts that must not expire on a busy machine.
-	patient = engine.StreamOptions{FirstTimeout: time.Minute, ProgressTimeout: time.Minute}
+	patient = engine.StreamOptions{FirstEventTimeout: time.Minute, ProgressTimeout: time.Minute}
 )
 
 // start starts an engine with a resident model and returns a client for it.
@@ -188,7 +188,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := &standin.Engine{Step: 2 * time.Millisecond}
 			client := start(t, e)
-			options := engine.StreamOptions{FirstTimeout: time.Minute, ProgressTimeout: c.progress}
+			options := engine.StreamOptions{FirstEventTimeout: time.Minute, ProgressTimeout: c.progress}
 			s, err := client.Generate(t.Context(), newRequest("r", 600), options)
 			require.NoError(t, err)
 			first, err := s.Next()
@@ -413,7 +413,7 @@
 		_, err := c.State(ctx)
 		cancel()
 		require.Equal(t, engine.Lost, engine.KindOf(err))
-		_, err = c.Generate(t.Context(), newRequest(fmt.Sprint("late", i), 3), engine.StreamOptions{FirstTimeout: 100 * time.Millisecond})
+		_, err = c.Generate(t.Context(), newRequest(fmt.Sprint("late", i), 3), engine.StreamOptions{FirstEventTimeout: 100 * time.Millisecond})
 		require.Equal(t, engine.Silent, engine.KindOf(err))
 		e.Faults.Put(fault.Faults{})
 		id := fmt.Sprint("next", i)
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -19,7 +19,7 @@
 
 const (
 	// DefaultFirstTimeout bounds the wait for the first event of a stream.
-	DefaultFirstTimeout = 30 * time.Second
+	DefaultFirstEventTimeout = 30 * time.Second
 	// DefaultProgressTimeout bounds the wait between two events.
 	DefaultProgressTimeout = 2 * time.Second
 
@@ -36,8 +36,8 @@
 type (
 	// StreamOptions sets the timeouts of a stream. Zero values select the defaults.
 	StreamOptions struct {
-		FirstTimeout    time.Duration // from the call to the first event
-		ProgressTimeout time.Duration // from one event to the next
+		FirstEventTimeout time.Duration // from the call to the first event
+		ProgressTimeout   time.Duration // from one event to the next
 	}
 
 	// Stream reads the response to one request. Next must be called from one goroutine only;
@@ -119,8 +119,8 @@
 	s := &Stream{client: c, id: id, next: offset, progress: cmp.Or(o.ProgressTimeout, DefaultProgressTimeout), ctx: ctx, cancel: cancel}
 	// The timer runs until the first event. Next restarts it for each further event, so that
 	// the time that the reader spends between calls does not count.
-	s.timer = time.AfterFunc(cmp.Or(o.FirstTimeout, DefaultFirstTimeout), func() { cancel(errSilent) })
-	s.stream, err = c.streams.Fresh(c.Address).Open(ctx, jsonhttp.Call{
+	s.timer = time.AfterFunc(cmp.Or(o.FirstEventTimeout, DefaultFirstEventTimeout), func() { cancel(errSilent) })
+	s.stream, err = c.streams.WithoutReuse(c.Address).Open(ctx, jsonhttp.Call{
 		Method: http.MethodPost, Path: path, Body: body,
 		Header: http.Header{"Content-Type": {"application/json"}, "X-Request-Id": {id}},
 	})
--- a/io/http1/client.go
+++ b/io/http1/client.go
@@ -35,11 +35,11 @@
 )
 
 // ErrMore reports that a connection carried bytes that belong to no response.
-var ErrMore = errors.New("http1: unexpected bytes after the response")
+var ErrTrailingData = errors.New("http1: unexpected bytes after the response")
 
 type (
 	// Outgoing is a request to a backend server.
-	Outgoing struct {
+	ClientRequest struct {
 		Method string
 		Target string // path and query, unmodified from the client's request
 		Host   string
@@ -101,7 +101,7 @@
 func (p *Pool) Put(c *Conn, resp *http.Response) error {
 	if c.br.Buffered() > 0 {
 		c.Close()
-		return ErrMore
+		return ErrTrailingData
 	}
 	if resp.Close || c.bodyPending || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.StatusCode != http.StatusNoContent {
 		c.Close()
@@ -171,7 +171,7 @@
 
 // Send writes a request. wrote reports whether any byte may have reached the server; if it
 // is false, the server cannot have run the request.
-func (c *Conn) Send(request Outgoing, deadline time.Time) (wrote bool, err error) {
+func (c *Conn) Send(request ClientRequest, deadline time.Time) (wrote bool, err error) {
 	_ = c.nc.SetDeadline(deadline)
 	var buf bytes.Buffer
 	buf.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
@@ -213,11 +213,11 @@
 }
 
 // ReadBy sets the deadline for reading the response.
-func (c *Conn) ReadBy(at time.Time) { _ = c.nc.SetReadDeadline(at) }
+func (c *Conn) SetReadDeadline(at time.Time) { _ = c.nc.SetReadDeadline(at) }
 
 // Settle records, without blocking, whether a body that is sent concurrently has been
 // written completely. A connection whose request was not written completely is never reused.
-func (c *Conn) Settle() {
+func (c *Conn) CheckBodySent() {
 	if !c.bodyPending {
 		return
 	}
--- a/io/http1/client_test.go
+++ b/io/http1/client_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	c, err := p.Get(context.Background(), address, time.Minute, false)
 	require.NoError(t, err)
-	_, err = c.Send(http1.Outgoing{Method: "GET", Target: "/", Host: "h", Header: http.Header{}}, time.Now().Add(5*time.Second))
+	_, err = c.Send(http1.ClientRequest{Method: "GET", Target: "/", Host: "h", Header: http.Header{}}, time.Now().Add(5*time.Second))
 	require.NoError(t, err)
 	resp, err := c.Receive()
 	require.NoError(t, err)
--- a/io/http1/exchange.go
+++ b/io/http1/exchange.go
@@ -52,7 +52,7 @@
 func (x *Exchange) Context() context.Context { return x.ctx }
 
 // Begun reports whether the response has started.
-func (x *Exchange) Begun() bool { return x.state != unanswered }
+func (x *Exchange) HeaderWritten() bool { return x.state != unanswered }
 
 // Respond sends a complete response.
 func (x *Exchange) Respond(status int, h http.Header, body []byte) error {
@@ -70,7 +70,7 @@
 
 // Begin starts a response of unknown length. Its head is sent with the first bytes of the
 // body.
-func (x *Exchange) Begin(status int, h http.Header) error {
+func (x *Exchange) WriteHeader(status int, h http.Header) error {
 	if x.state != unanswered {
 		return errResponseOrder
 	}
--- a/io/http1/server.go
+++ b/io/http1/server.go
@@ -51,10 +51,10 @@
 	// Server accepts connections and serves HTTP/1.1 requests. Exported fields must be set
 	// before Serve is called.
 	Server struct {
-		Handler Handler
-		Limits  func() Limits   // returns the current limits; read anew for each request
-		Most    int             // maximum number of connections; above it an idle one is closed; zero means unlimited
-		Refused func(err error) // called for each request that could not be read, may be nil
+		Handler      Handler
+		Limits       func() Limits   // returns the current limits; read anew for each request
+		MaxConns     int             // maximum number of connections; above it an idle one is closed; zero means unlimited
+		OnBadRequest func(err error) // called for each request that could not be read, may be nil
 		// AcceptFailed is called when accepting a connection fails, may be nil. The server
 		// then retries.
 		AcceptFailed func(err error)
@@ -113,7 +113,7 @@
 }
 
 // Open returns the number of open connections.
-func (s *Server) Open() int {
+func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -130,7 +130,7 @@
 	if s.conns == nil {
 		s.conns = map[*serverConn]struct{}{}
 	}
-	if s.Most > 0 && len(s.conns) >= s.Most {
+	if s.MaxConns > 0 && len(s.conns) >= s.MaxConns {
 		for o := range s.conns {
 			if o.interruptIdle() {
 				break
@@ -315,8 +315,8 @@
 // reject reports a request that could not be read and responds to it. A client that
 // disconnected or sent an incomplete request gets no response.
 func (c *serverConn) reject(err error) {
-	if c.s.Refused != nil {
-		c.s.Refused(err)
+	if c.s.OnBadRequest != nil {
+		c.s.OnBadRequest(err)
 	}
 	var requestErr *RequestError
 	if !errors.As(err, &requestErr) {
--- a/io/http1/server_test.go
+++ b/io/http1/server_test.go
@@ -31,7 +31,7 @@
 	if r.onRequest != nil {
 		r.onRequest(x)
 	}
-	if !x.Begun() {
+	if !x.HeaderWritten() {
 		_ = x.Respond(http.StatusOK, http.Header{"X-Target": {x.Request.RequestURI}}, []byte("ok"))
 	}
 }
@@ -130,7 +130,7 @@
 
 func TestAbortedStreamHasNoFinalChunk(t *testing.T) {
 	h := &recorder{onRequest: func(x *http1.Exchange) {
-		_ = x.Begin(http.StatusOK, http.Header{})
+		_ = x.WriteHeader(http.StatusOK, http.Header{})
 		_ = x.Write([]byte("part"))
 		if x.Request.RequestURI == "/abort" {
 			x.Abort()
@@ -157,7 +157,7 @@
 	_, err = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
 	<-entered
-	require.Eventually(t, func() bool { return s.Open() == 2 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.ConnCount() == 2 }, time.Second, time.Millisecond)
 	done := make(chan struct{})
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/io/jsonhttp/client.go
+++ b/io/jsonhttp/client.go
@@ -40,7 +40,7 @@
 		ConnectTimeout time.Duration // DefaultConnectTimeout if zero
 		IdleTimeout    time.Duration // DefaultIdleTimeout if zero
 		MaxBody        int64         // limit of a response body in bytes, DefaultMaxBody if zero
-		Fresh          bool          // opens a new connection for each call
+		DisableReuse   bool          // opens a new connection for each call
 		Traffic        *Traffic      // counts the bytes on the client's connections, may be nil
 
 		once      sync.Once
@@ -56,7 +56,7 @@
 	}
 
 	// Answer is a complete HTTP response.
-	Answer struct {
+	Response struct {
 		Status int
 		Header http.Header
 		Body   []byte
@@ -102,43 +102,43 @@
 //
 // If the process was not running when the deadline of ctx passed, a response that arrived in
 // the meantime is still read.
-func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
+func (c *Client) Do(ctx context.Context, call Call) (Response, error) {
 	ctx, done := extendAfterStall(ctx)
 	defer done()
 	s, err := c.Open(ctx, call)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	limit := cmp.Or(c.MaxBody, DefaultMaxBody)
 	body, err := io.ReadAll(io.LimitReader(s.Body, limit+1))
 	if err != nil {
 		s.Abort()
 		c.transport.CloseIdleConnections()
-		return Answer{}, c.newError(Sent, s.tracker, err)
+		return Response{}, c.newError(Sent, s.tracker, err)
 	}
 	if int64(len(body)) > limit {
 		s.Abort()
-		return Answer{}, c.newError(TooLarge, s.tracker, errTooLarge)
+		return Response{}, c.newError(TooLarge, s.tracker, errTooLarge)
 	}
 	s.Close()
-	return Answer{Status: s.Status, Header: s.Header, Body: body}, nil
+	return Response{Status: s.Status, Header: s.Header, Body: body}, nil
 }
 
 // JSON sends in, unless it is nil, as JSON. It decodes a response with status 200 into out,
 // unless out is nil; other responses are returned undecoded.
-func (c *Client) JSON(ctx context.Context, method, path string, in, out any) (Answer, error) {
+func (c *Client) JSON(ctx context.Context, method, path string, in, out any) (Response, error) {
 	call := Call{Method: method, Path: path, Header: http.Header{}}
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
-			return Answer{}, c.newError(NotSent, nil, err)
+			return Response{}, c.newError(NotSent, nil, err)
 		}
 		call.Body = b
 		call.Header.Set("Content-Type", "application/json")
 	}
 	a, err := c.Do(ctx, call)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	if a.Status != http.StatusOK || out == nil {
 		return a, nil
@@ -177,7 +177,7 @@
 			return &conn{Conn: nc, traffic: c.Traffic}, nil
 		},
 		DisableCompression:     true,
-		DisableKeepAlives:      c.Fresh,
+		DisableKeepAlives:      c.DisableReuse,
 		IdleConnTimeout:        cmp.Or(c.IdleTimeout, DefaultIdleTimeout),
 		MaxIdleConnsPerHost:    maxIdlePerHost,
 		MaxResponseHeaderBytes: maxHeaderBytes,
--- a/io/jsonhttp/client_test.go
+++ b/io/jsonhttp/client_test.go
@@ -26,7 +26,7 @@
 			cancel()
 			<-release
 		}))
-		c := &jsonhttp.Client{Address: server.Listener.Addr().String(), Fresh: disableReuse}
+		c := &jsonhttp.Client{Address: server.Listener.Addr().String(), DisableReuse: disableReuse}
 		_, err := c.Do(ctx, jsonhttp.Call{Method: http.MethodPost, Path: "/", Body: make([]byte, 64<<20)})
 		require.Equal(t, jsonhttp.Sent, jsonhttp.StageOf(err))
 		<-ran
@@ -49,7 +49,7 @@
 			cancel()
 		}
 	}()
-	c := &jsonhttp.Client{Address: l.Addr().String(), Fresh: true}
+	c := &jsonhttp.Client{Address: l.Addr().String(), DisableReuse: true}
 	header := http.Header{"X-Long": {strings.Repeat("x", 64<<20)}}
 	_, err = c.Do(ctx, jsonhttp.Call{Method: http.MethodPost, Path: "/", Header: header})
 	require.Equal(t, jsonhttp.Sent, jsonhttp.StageOf(err))
@@ -121,7 +121,7 @@
 			p := failure.Progress
 			require.Equal(t, test.connected, p.Connected > 0, p)
 			require.Equal(t, test.connected, p.Written > 0, p)
-			require.Equal(t, test.answered, p.Answered > 0, p)
+			require.Equal(t, test.answered, p.FirstByte > 0, p)
 			if test.connected {
 				require.GreaterOrEqual(t, p.Failed, timeout, p)
 			}
--- a/io/jsonhttp/conn.go
+++ b/io/jsonhttp/conn.go
@@ -96,7 +96,7 @@
 		GotFirstResponseByte: func() {
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.progress.Answered = time.Since(t.start)
+			t.progress.FirstByte = time.Since(t.start)
 		},
 	}
 }
--- a/io/jsonhttp/error.go
+++ b/io/jsonhttp/error.go
@@ -27,7 +27,7 @@
 type Progress struct {
 	Connected time.Duration // a connection was obtained
 	Written   time.Duration // the request was written completely
-	Answered  time.Duration // the first byte of the response was read
+	FirstByte time.Duration // the first byte of the response was read
 	Failed    time.Duration // the call failed
 }
 
@@ -38,7 +38,7 @@
 	for _, s := range []struct {
 		name string
 		at   time.Duration
-	}{{"connected", p.Connected}, {"written", p.Written}, {"answered", p.Answered}, {"failed", p.Failed}} {
+	}{{"connected", p.Connected}, {"written", p.Written}, {"answered", p.FirstByte}, {"failed", p.Failed}} {
 		if s.at > 0 {
 			steps = append(steps, s.name+" "+s.at.Round(time.Microsecond).String())
 		}
--- a/io/object/object.go
+++ b/io/object/object.go
@@ -84,13 +84,13 @@
 }
 
 // Close closes idle connections.
-func (c *Client) Close() { c.http.Counted(c.Address, c.Traffic).Close() }
+func (c *Client) Close() { c.http.WithTraffic(c.Address, c.Traffic).Close() }
 
 // call makes one call, which succeeds with status want, and classifies its failure.
 func (c *Client) call(ctx context.Context, method, key string, body []byte, want int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.http.Counted(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: method, Path: pathPrefix + url.PathEscape(key), Body: body})
+	a, err := c.http.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: method, Path: pathPrefix + url.PathEscape(key), Body: body})
 	if err != nil {
 		kind := Uncertain
 		if jsonhttp.StageOf(err) == jsonhttp.NotSent {
--- a/io/operator/handler.go
+++ b/io/operator/handler.go
@@ -39,7 +39,7 @@
 	}
 
 	// Bodies returns the document in force by its hash.
-	Bodies interface {
+	ConfigBodies interface {
 		Body(hash string) ([]byte, bool)
 	}
 
@@ -49,7 +49,7 @@
 		Readiness Readiness
 		Reporter  Reporter
 		Explainer Explainer
-		Bodies    Bodies
+		Bodies    ConfigBodies
 		Gatherer  prometheus.Gatherer
 
 		once sync.Once
--- a/io/peer/endpoint.go
+++ b/io/peer/endpoint.go
@@ -218,7 +218,7 @@
 // Renew makes the next use of an address dial again, because the connection may have become
 // unresponsive. Streams that are open on the old connection continue; it is closed after it
 // has been idle for IdleTimeout.
-func (e *Endpoint) Renew(address string) {
+func (e *Endpoint) Redial(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if d := e.conns[address]; d != nil && d.dialDone() {
@@ -237,7 +237,7 @@
 }
 
 // Forget closes the connection to an address whose process has restarted.
-func (e *Endpoint) Forget(address string) {
+func (e *Endpoint) CloseConn(address string) {
 	e.mu.Lock()
 	d := e.conns[address]
 	delete(e.conns, address)
@@ -345,7 +345,7 @@
 func (s *Stream) Close() error { return s.s.Close() }
 
 // ReadBy sets a deadline for Read, including a Read in progress.
-func (s *Stream) ReadBy(at time.Time) { _ = s.s.SetReadDeadline(at) }
+func (s *Stream) SetReadDeadline(at time.Time) { _ = s.s.SetReadDeadline(at) }
 
 // Drain waits until the peer has closed its side, at most for d. No other goroutine may read
 // concurrently.
--- a/io/peer/silent_test.go
+++ b/io/peer/silent_test.go
@@ -118,13 +118,13 @@
 		if err != nil {
 			return err
 		}
-		s.ReadBy(time.Now().Add(wait))
+		s.SetReadDeadline(time.Now().Add(wait))
 		_, err = s.Read()
 		return err
 	}
 	require.NoError(t, call(10*time.Second))
 	relayed.loseConnections()
 	require.Error(t, call(500*time.Millisecond))
-	a.Renew(address)
+	a.Redial(address)
 	require.NoError(t, call(10*time.Second))
 }
--- a/io/service/service.go
+++ b/io/service/service.go
@@ -42,7 +42,7 @@
 	// RequestIDHeader carries the request id, which the response echoes.
 	RequestIDHeader = "X-Request-Id"
 	// KeyHeader carries the idempotency key.
-	KeyHeader = "Idempotency-Key"
+	IdempotencyKeyHeader = "Idempotency-Key"
 	// LoadPath is the path of a server's load report.
 	LoadPath = "/load"
 	// DefaultTimeout bounds a call.
@@ -165,7 +165,7 @@
 	if r.Repeatable {
 		return c.reusing.Get(c.Address)
 	}
-	return c.nonReusing.Fresh(c.Address)
+	return c.nonReusing.WithoutReuse(c.Address)
 }
 
 // requestHeader returns the header to send.
@@ -176,7 +176,7 @@
 	}
 	h.Set(RequestIDHeader, r.RequestID)
 	if r.IdempotencyKey != "" {
-		h.Set(KeyHeader, r.IdempotencyKey)
+		h.Set(IdempotencyKeyHeader, r.IdempotencyKey)
 	}
 	return h
 }
--- a/io/service/service_test.go
+++ b/io/service/service_test.go
@@ -107,7 +107,7 @@
 		r := confirm(id)
 		req, err := http.NewRequestWithContext(t.Context(), r.Method, "http://"+c.Address+r.Path, strings.NewReader(string(r.Body)))
 		require.NoError(t, err)
-		req.Header.Set(service.KeyHeader, r.IdempotencyKey)
+		req.Header.Set(service.IdempotencyKeyHeader, r.IdempotencyKey)
 		req.Header.Set(service.RequestIDHeader, id)
 		resp, err := transport.RoundTrip(req)
 		require.NoError(t, err)
--- a/io/vmlist/vmlist.go
+++ b/io/vmlist/vmlist.go
@@ -113,13 +113,13 @@
 }
 
 // Close closes idle connections.
-func (c *Client) Close() { c.http.Counted(c.Address, c.Traffic).Close() }
+func (c *Client) Close() { c.http.WithTraffic(c.Address, c.Traffic).Close() }
 
 // call makes one call and classifies its failure.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.http.Counted(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
+	a, err := c.http.WithTraffic(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
 	if err != nil {
 		kind := Uncertain
 		if jsonhttp.StageOf(err) == jsonhttp.NotSent {
