--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -31,10 +31,10 @@
 )
 
 // Unexpected reports a result that the demonstration does not expect.
-type Unexpected struct{ What string }
+type UnexpectedError struct{ Text string }
 
 // Error describes the unexpected result.
-func (e *Unexpected) Error() string { return "unexpected: " + e.What }
+func (e *UnexpectedError) Error() string { return "unexpected: " + e.Text }
 
 func main() {
 	if err := run(os.Stdout); err != nil {
@@ -127,7 +127,7 @@
 	}
 	_, _ = fmt.Fprintf(out, "   the service's own journal: %d run\n", runs)
 	if runs != 1 {
-		return &Unexpected{What: fmt.Sprintf("%d runs of the booking", runs)}
+		return &UnexpectedError{Text: fmt.Sprintf("%d runs of the booking", runs)}
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 	if resp.StatusCode != http.StatusOK {
 		b, _ := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
-		return nil, &Unexpected{What: fmt.Sprintf("%s: %s", resp.Status, b)}
+		return nil, &UnexpectedError{Text: fmt.Sprintf("%s: %s", resp.Status, b)}
 	}
 	return resp, nil
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -85,7 +85,7 @@
 	fs.StringVar(&o.values, "at", "8,16,32,64", "values of it")
 	fs.StringVar(&o.output, "output", "table", "table or json")
 	fs.BoolVar(&o.busiest, "busiest", false, "show the busiest node's figures too")
-	fs.DurationVar(&o.settings.Ready, "ready", 40*time.Second, "the longest start")
+	fs.DurationVar(&o.settings.ReadyTimeout, "ready", 40*time.Second, "the longest start")
 	fs.DurationVar(&o.settings.Settle, "settle", 8*time.Second, "from ready to the first window")
 	fs.DurationVar(&o.settings.Window, "window", 4*time.Second, "length of a window")
 	fs.IntVar(&o.settings.Windows, "windows", 3, "windows, of which the median counts")
@@ -152,7 +152,7 @@
 		return p, eris.Wrap(err, "own program")
 	}
 	args := append([]string{pointCommand,
-		"-ready", o.settings.Ready.String(), "-settle", o.settings.Settle.String(),
+		"-ready", o.settings.ReadyTimeout.String(), "-settle", o.settings.Settle.String(),
 		"-window", o.settings.Window.String(), "-windows", strconv.Itoa(o.settings.Windows),
 	}, s.Flags()...)
 	cmd := exec.CommandContext(ctx, program, args...)
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -74,7 +74,7 @@
 	}
 	fmt.Printf("seed %d: %d broken; logs in %s\n", seed, len(violations), dir)
 	for _, v := range violations {
-		fmt.Printf("  %s: %s\n", v.Promise, v.What)
+		fmt.Printf("  %s: %s\n", v.Promise, v.Detail)
 	}
 	return true
 }
--- a/cmd/standin/commands.go
+++ b/cmd/standin/commands.go
@@ -63,7 +63,7 @@
 	fs := flag.NewFlagSet("service", flag.ContinueOnError)
 	fs.StringVar(&s.Listen, "listen", "127.0.0.1:9200", "IP:port to listen on")
 	fs.StringVar(&s.Name, "name", "service", "name of the backend server")
-	fs.DurationVar(&s.Work, "work", 0, "time that a call takes")
+	fs.DurationVar(&s.CallDuration, "work", 0, "time that a call takes")
 	fs.IntVar(&s.Slots, "slots", 0, "calls at the same time; 0: any number")
 	return command(fs, "run a plain service with bookings and records calls and a journal", s)
 }
--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -149,7 +149,7 @@
 		"lookup affirmed":     {"refused", tabletest.Fault{}, 3, request(lookup, "r1", "", "b"), outcome.BackendRefused},
 		"table refuses":       {"", tabletest.Fault{Refuse: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
 		"table silent":        {"", tabletest.Fault{Hang: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
-		"table answer lost":   {"", tabletest.Fault{LoseAnswer: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
+		"table answer lost":   {"", tabletest.Fault{LoseResponse: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
 		"deadline passed":     {"", tabletest.Fault{}, 3, past, outcome.DeadlinePassed},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/call/chaos_test.go
+++ b/internal/call/chaos_test.go
@@ -113,18 +113,18 @@
 		return tabletest.Fault{Delay: delay}
 	}
 	if time.Now().Before(c.outage) {
-		return []tabletest.Fault{{Refuse: true}, {Lose: true}, {Hang: true}}[c.rand.IntN(3)]
+		return []tabletest.Fault{{Refuse: true}, {DropRequest: true}, {Hang: true}}[c.rand.IntN(3)]
 	}
 	switch c.rand.IntN(20) {
 	case 0:
-		return tabletest.Fault{Delay: delay, LoseAnswer: true}
+		return tabletest.Fault{Delay: delay, LoseResponse: true}
 	case 1:
-		return tabletest.Fault{Delay: delay, Lose: true}
+		return tabletest.Fault{Delay: delay, DropRequest: true}
 	case 2:
 		return tabletest.Fault{Refuse: true}
 	case 3:
 		if call.Write {
-			return tabletest.Fault{Late: time.Duration(c.rand.IntN(5000)) * time.Millisecond}
+			return tabletest.Fault{ApplyAfter: time.Duration(c.rand.IntN(5000)) * time.Millisecond}
 		}
 	case 4:
 		return tabletest.Fault{Delay: time.Duration(c.rand.IntN(1500)) * time.Millisecond}
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -201,7 +201,7 @@
 // effect, and a second caller that the claim is not its own.
 func TestInvariantAtMostOnceLostInsertAnswer(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
-		table.SetFault(func(c tabletest.Call) tabletest.Fault { return tabletest.Fault{LoseAnswer: c.Write} })
+		table.SetFault(func(c tabletest.Call) tabletest.Fault { return tabletest.Fault{LoseResponse: c.Write} })
 		g, err := s.Claim(t.Context(), callWithKey("a"))
 		require.NoError(t, err)
 		require.NotZero(t, g.Held.Revision)
@@ -214,10 +214,10 @@
 func TestTableDownRefusesAtOnce(t *testing.T) {
 	for name, fault := range map[string]tabletest.Fault{
 		"refuses":       {Refuse: true},
-		"breaks":        {Lose: true},
+		"breaks":        {DropRequest: true},
 		"hangs":         {Hang: true},
 		"too slow":      {Delay: 10 * time.Second},
-		"loses replies": {LoseAnswer: true},
+		"loses replies": {LoseResponse: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
@@ -250,7 +250,7 @@
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		table.SetFault(func(c tabletest.Call) tabletest.Fault {
 			if c.Write {
-				return tabletest.Fault{Late: 3 * time.Second}
+				return tabletest.Fault{ApplyAfter: 3 * time.Second}
 			}
 			return tabletest.Fault{Hang: true}
 		})
--- a/internal/cli/session_test.go
+++ b/internal/cli/session_test.go
@@ -177,7 +177,7 @@
 	s.run(cli.ExitFailed, "explain -nodes NODES r-18")
 	s.run(cli.ExitInvalid, "explain -nodes NODES")
 
-	s.platform.Put(fault.Faults{Refuse: true})
+	s.platform.SetFaults(fault.Faults{Refuse: true})
 	s.run(cli.ExitFailed, "apply -file "+first+" -timeout 300ms -table PLATFORM -objects PLATFORM -nodes NODES")
 	s.run(cli.ExitFailed, "status -nodes 127.0.0.1:1 -output json")
 	transcript := strings.NewReplacer(s.nodes[0].address, "NODE-n1", s.nodes[1].address, "NODE-n2").Replace(s.transcript.String())
--- a/internal/suspects/guard_test.go
+++ b/internal/suspects/guard_test.go
@@ -71,7 +71,7 @@
 // marked request at the same time: only one may, also when the reply to its
 // charge is lost.
 func TestInvariantCrashingRequestOneTrial(t *testing.T) {
-	for name, fault := range map[string]tabletest.Fault{"sound": {}, "answer lost": {LoseAnswer: true}} {
+	for name, fault := range map[string]tabletest.Fault{"sound": {}, "answer lost": {LoseResponse: true}} {
 		t.Run(name, func(t *testing.T) {
 			withGuards(t, func(t *testing.T, table *tabletest.Table, a, b *suspects.Guard) {
 				a.Crashed(t.Context(), requireBegin(t, a, "s1", false), "b1")
--- a/internal/testbed/bound/bound_test.go
+++ b/internal/testbed/bound/bound_test.go
@@ -18,7 +18,7 @@
 
 func arrival(number int, at time.Duration, u config.Urgency, tokens int, deadline time.Duration) workload.Arrival {
 	kind := config.Kind{Name: string(u), Urgency: u, Value: 1, DeadlineMS: deadline.Milliseconds()}
-	return workload.Arrival{At: at, Number: number, Tokens: tokens, Mix: workload.Mix{Kind: kind}}
+	return workload.Arrival{At: at, Index: number, Tokens: tokens, Mix: workload.Mix{Kind: kind}}
 }
 
 func TestRun(t *testing.T) {
--- a/internal/testbed/experiment/client.go
+++ b/internal/testbed/experiment/client.go
@@ -138,7 +138,7 @@
 	now := time.Now()
 	r := report.Request{
 		At: a.At, Kind: a.Mix.Name, Urgency: a.Mix.Urgency, Team: a.Team, Value: a.Mix.Value,
-		Deadline: deadline, Outcome: got.outcome, Reason: got.reason, Total: now.Sub(at), Gaps: got.gaps,
+		Deadline: deadline, Outcome: got.outcome, Reason: got.reason, Total: now.Sub(at), TokenGaps: got.gaps,
 	}
 	if r.Outcome == "" {
 		r.Outcome, r.Reason = string(outcome.Unknown), lostReason
@@ -146,7 +146,7 @@
 	if !got.first.IsZero() {
 		r.FirstToken = got.first.Sub(at)
 	}
-	r.Whole = got.finished && strings.Join(got.tokens, "") == strings.Join(engine.Answer(c.items[a.Model], prompt, a.Tokens), "")
+	r.Complete = got.finished && strings.Join(got.tokens, "") == strings.Join(engine.Answer(c.items[a.Model], prompt, a.Tokens), "")
 	return r
 }
 
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -21,7 +21,7 @@
 func smallRun(fault string) experiment.Settings {
 	return experiment.Settings{
 		Deployment: workload.Corella().Scaled(0.25), Nodes: 3, Load: 0.2, Duration: 2 * time.Second,
-		Warm: time.Second, Fault: fault,
+		WarmUp: time.Second, Fault: fault,
 	}
 }
 
--- a/internal/testbed/experiment/fault.go
+++ b/internal/testbed/experiment/fault.go
@@ -27,9 +27,9 @@
 			r.balancer.remove(address)
 		}
 	case TableDown:
-		r.lab.Platform.Table.Faults.Put(fault.Faults{Down: true})
+		r.lab.Platform.Table.Faults.SetFaults(fault.Faults{Down: true})
 		sleep(ctx, third)
-		r.lab.Platform.Table.Faults.Put(fault.Faults{})
+		r.lab.Platform.Table.Faults.SetFaults(fault.Faults{})
 	}
 }
 
--- a/internal/testbed/experiment/moves.go
+++ b/internal/testbed/experiment/moves.go
@@ -31,7 +31,7 @@
 			now := presentItems(e)
 			for i := range now {
 				if !seen[name][i] {
-					r.Moved(report.Move{At: time.Since(start), Server: name, Item: i.String()})
+					r.AddMove(report.Move{At: time.Since(start), Server: name, Item: i.String()})
 				}
 			}
 			seen[name] = now
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -66,7 +66,7 @@
 	if err := r.lab.WaitResident(starting); err != nil {
 		return nil, &StartError{Part: "models", Err: err}
 	}
-	if !sleep(ctx, set.Warm) {
+	if !sleep(ctx, set.WarmUp) {
 		return nil, &StartError{Part: "load", Err: ctx.Err()}
 	}
 	cpu := cpuSeconds()
@@ -92,7 +92,7 @@
 	r.lab = &lab.Lab{
 		Document: &doc, Nodes: r.set.Nodes, Platform: p, Log: zap.NewNop(),
 		Engine: func(e *engine.Engine, _ config.BackendServer) { r.engine(e) },
-		Started: func(e *engine.Engine, s config.BackendServer) {
+		OnEngineStarted: func(e *engine.Engine, s config.BackendServer) {
 			for _, i := range initial[s.Name] {
 				e.Preload(i, bytes[i])
 			}
@@ -129,7 +129,7 @@
 		r.recordSendDelay(time.Since(r.start) - a.At)
 		sending.Go(func() {
 			q := c.request(ctx, a)
-			q.Bound = boundMet[a.Number]
+			q.BoundMet = boundMet[a.Index]
 			r.recorder.Add(q)
 		})
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	if n := len(r.sendDelays); n > 0 {
-		m.SentLate = r.sendDelays[n*99/100]
+		m.SendDelay = r.sendDelays[n*99/100]
 	}
 	return m
 }
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -45,7 +45,7 @@
 		Load       float64       // mean work as a fraction of the capacity, default 0.8
 		Duration   time.Duration // duration of the arrivals, default 30 s
 		Nodes      int           // default 8
-		Warm       time.Duration // between readiness and the first request, default 3 s
+		WarmUp     time.Duration // between readiness and the first request, default 3 s
 		MovePrice  float64       // default is that of the deployment; negative for zero
 		Limit      string        // how the use of teams is limited, default by cost
 		LogDir     string        // directory for the logs of the nodes; logs are discarded if empty
@@ -108,7 +108,7 @@
 	s.Load = cmp.Or(s.Load, defaultLoad)
 	s.Duration = cmp.Or(s.Duration, defaultDuration)
 	s.Nodes = cmp.Or(s.Nodes, defaultNodes)
-	s.Warm = cmp.Or(s.Warm, defaultWarm)
+	s.WarmUp = cmp.Or(s.WarmUp, defaultWarm)
 	s.Limit = cmp.Or(s.Limit, node.LimitCost)
 	s.MovePrice = cmp.Or(s.MovePrice, s.Deployment.Placement.MovePrice)
 	s.MovePrice = max(0, s.MovePrice)
--- a/internal/testbed/lab/lab.go
+++ b/internal/testbed/lab/lab.go
@@ -54,18 +54,18 @@
 		Engine func(e *engine.Engine, s config.BackendServer)
 		// Started is called for each engine that has started, before any node starts. It may
 		// be nil.
-		Started func(e *engine.Engine, s config.BackendServer)
+		OnEngineStarted func(e *engine.Engine, s config.BackendServer)
 		// Settings adjusts the settings of a node before it starts. It may be nil.
 		Settings func(s *node.Settings)
 		// Spawn starts a node in another way than in this process. It may be nil.
 		Spawn func(s node.Settings) (*Process, node.Addresses, error)
 		Log   *zap.Logger // discards everything by default
 
-		Engines   map[string]*engine.Engine
-		Services  map[string]*service.Service
-		Callers   []string // callers' address of each node
-		Operators []string // operators' address of each node
-		Address   string   // address of the platform
+		Engines         map[string]*engine.Engine
+		Services        map[string]*service.Service
+		Callers         []string // callers' address of each node
+		Operators       []string // operators' address of each node
+		PlatformAddress string   // address of the platform
 
 		dir       string
 		processes []*Process
@@ -82,11 +82,11 @@
 	}
 
 	// NotReady is the error returned when the system did not become ready in time.
-	NotReady struct{ What string }
+	NotReadyError struct{ Missing string }
 )
 
 // Error returns a message that names what is not ready.
-func (e *NotReady) Error() string { return "not ready in time: " + e.What }
+func (e *NotReadyError) Error() string { return "not ready in time: " + e.Missing }
 
 // Start starts all components and applies the document. Models are loaded afterwards; see
 // WaitResident.
@@ -101,7 +101,7 @@
 		l.Log = zap.NewNop()
 	}
 	var err error
-	if l.Address, err = l.Platform.Start(); err != nil {
+	if l.PlatformAddress, err = l.Platform.Start(); err != nil {
 		return err
 	}
 	if err := l.startServers(); err != nil {
@@ -131,14 +131,14 @@
 				Slots:         s.Slots,
 				ChecksOrders:  s.ChecksOrders,
 				Step:          time.Duration(s.StepMS * float64(time.Millisecond)),
-				WeightAddress: l.Address,
+				WeightAddress: l.PlatformAddress,
 			}
 			if l.Engine != nil {
 				l.Engine(e, *s)
 			}
 			l.Engines[s.Name] = e
-			if s.Address, err = e.Start(); err == nil && l.Started != nil {
-				l.Started(e, *s)
+			if s.Address, err = e.Start(); err == nil && l.OnEngineStarted != nil {
+				l.OnEngineStarted(e, *s)
 			}
 		case config.Service:
 			v := &service.Service{Name: s.Name}
@@ -155,8 +155,8 @@
 // Apply applies a document as an operator.
 func (l *Lab) Apply(ctx context.Context, doc *config.Document) error {
 	a := &configsync.Applier{
-		Table:    &table.Client{Address: l.Address},
-		Store:    &object.Client{Address: l.Address},
+		Table:    &table.Client{Address: l.PlatformAddress},
+		Store:    &object.Client{Address: l.PlatformAddress},
 		Operator: operatorName,
 	}
 	_, err := a.Apply(ctx, doc)
@@ -191,7 +191,7 @@
 	s := node.Settings{
 		Name: name, DataCentre: dataCentre,
 		Callers: anyPort, Peers: anyPort, Operators: anyPort,
-		Table: l.Address, Objects: l.Address, VMList: l.Address,
+		Table: l.PlatformAddress, Objects: l.PlatformAddress, VMList: l.PlatformAddress,
 		CA:   filepath.Join(l.dir, "ca.pem"),
 		Cert: filepath.Join(l.dir, name+".pem"),
 		Key:  filepath.Join(l.dir, name+".key"),
@@ -216,7 +216,7 @@
 	l.processes = append(l.processes, p)
 	l.Callers = append(l.Callers, a.Callers)
 	l.Operators = append(l.Operators, a.Operators)
-	list := &vmlist.Client{Address: l.Address}
+	list := &vmlist.Client{Address: l.PlatformAddress}
 	listCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return list.Set(listCtx, vmlist.VM{Name: name, Address: a.Peers, Role: "node", DataCentre: dataCentre, State: vmlist.Live})
@@ -303,7 +303,7 @@
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return &NotReady{What: what}
+			return &NotReadyError{Missing: what}
 		}
 	}
 	return nil
--- a/internal/testbed/measure/measure_test.go
+++ b/internal/testbed/measure/measure_test.go
@@ -116,7 +116,7 @@
 	program, err := os.Executable()
 	require.NoError(t, err)
 	p, err := measure.Run(t.Context(), measure.Size{Nodes: 2, Servers: 4, Models: 4, Teams: 2}, measure.Settings{
-		StandIns: []string{program}, Ready: 30 * time.Second, Window: time.Second, Windows: 1,
+		StandIns: []string{program}, ReadyTimeout: 30 * time.Second, Window: time.Second, Windows: 1,
 	})
 	require.NoError(t, err)
 	require.Positive(t, p.Values["all bytes sent"])
--- a/internal/testbed/measure/point.go
+++ b/internal/testbed/measure/point.go
@@ -41,11 +41,11 @@
 type (
 	// Settings configures the measurement of a point.
 	Settings struct {
-		StandIns []string      // command that runs the function StandIns
-		Ready    time.Duration // maximum time until all nodes are ready
-		Settle   time.Duration // delay between readiness and the first window
-		Window   time.Duration
-		Windows  int
+		StandIns     []string      // command that runs the function StandIns
+		ReadyTimeout time.Duration // maximum time until all nodes are ready
+		Settle       time.Duration // delay between readiness and the first window
+		Window       time.Duration
+		Windows      int
 	}
 
 	// Point is the measurement at one size. Its values are per node.
@@ -58,7 +58,7 @@
 	}
 
 	// NotReady reports a condition that was not met in time.
-	NotReady struct{ What string }
+	NotReadyError struct{ Condition string }
 
 	// measurement is the state of a measurement in progress.
 	measurement struct {
@@ -81,7 +81,7 @@
 )
 
 // Error names the condition that is not met.
-func (e *NotReady) Error() string { return "not ready in time: " + e.What }
+func (e *NotReadyError) Error() string { return "not ready in time: " + e.Condition }
 
 // Run measures a point. The process should do nothing else and should exit afterwards.
 func Run(ctx context.Context, s Size, set Settings) (Point, error) {
@@ -168,7 +168,7 @@
 
 // waitReady waits until every node knows all nodes and all servers have an owner.
 func (m *measurement) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, m.set.Ready)
+	ctx, cancel := context.WithTimeout(ctx, m.set.ReadyTimeout)
 	defer cancel()
 	t := time.NewTicker(pollPeriod)
 	defer t.Stop()
@@ -180,7 +180,7 @@
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return &NotReady{What: unmetCondition}
+			return &NotReadyError{Condition: unmetCondition}
 		}
 	}
 	time.Sleep(m.set.Settle)
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -13,8 +13,8 @@
 	// Spread is the median, minimum and maximum of a value over several seeds.
 	Spread struct {
 		Median float64 `json:"median"`
-		Least  float64 `json:"least"`
-		Most   float64 `json:"most"`
+		Min    float64 `json:"least"`
+		Max    float64 `json:"most"`
 	}
 
 	// Row summarizes the runs with the same settings over several seeds.
@@ -29,13 +29,13 @@
 		Load           float64 `json:"load"`
 		MovePrice      float64 `json:"move-price"`
 		All            Spread  `json:"attainment"`
-		OfBound        Spread  `json:"share-of-bound"`
+		ShareOfBound   Spread  `json:"share-of-bound"`
 		Urgent         Spread  `json:"urgent-attainment"`
 		Value          Spread  `json:"value-attainment"`
 		PerAccelerator Spread  `json:"met-per-accelerator-second"`
 		WorstTeam      Spread  `json:"worst-team-attainment"`
 		FirstToken95   Spread  `json:"first-token-p95-ms"`
-		Between95      Spread  `json:"between-tokens-p95-ms"`
+		InterToken95   Spread  `json:"between-tokens-p95-ms"`
 		Moves          Spread  `json:"moves"`
 	}
 
@@ -83,13 +83,13 @@
 	return Row{
 		Deployment: k.deployment, Policy: k.policy, Planner: k.planner, Fault: k.fault, Limit: k.limit, Load: k.load, MovePrice: k.price, Runs: len(runs),
 		All:            spreadOf(func(s *Summary) float64 { return s.All.Attainment }),
-		OfBound:        spreadOf(func(s *Summary) float64 { return s.All.OfBound }),
+		ShareOfBound:   spreadOf(func(s *Summary) float64 { return s.All.ShareOfBound }),
 		Urgent:         spreadOf(func(s *Summary) float64 { return s.Urgent.Attainment }),
 		Value:          spreadOf(func(s *Summary) float64 { return s.ValueAttainment }),
 		PerAccelerator: spreadOf(func(s *Summary) float64 { return s.PerAccelerator }),
 		WorstTeam:      spreadOf(func(s *Summary) float64 { return s.WorstTeam }),
 		FirstToken95:   spreadOf(func(s *Summary) float64 { return s.All.FirstToken.P95 }),
-		Between95:      spreadOf(func(s *Summary) float64 { return s.All.Between.P95 }),
+		InterToken95:   spreadOf(func(s *Summary) float64 { return s.All.InterToken.P95 }),
 		Moves:          spreadOf(func(s *Summary) float64 { return float64(s.Moves) }),
 	}
 }
@@ -99,7 +99,7 @@
 func spread(values []float64) Spread {
 	slices.SortFunc(values, cmp.Compare[float64])
 	n := len(values)
-	return Spread{Median: (values[(n-1)/2] + values[n/2]) / 2, Least: values[0], Most: values[n-1]}
+	return Spread{Median: (values[(n-1)/2] + values[n/2]) / 2, Min: values[0], Max: values[n-1]}
 }
 
 // WriteJSON writes the comparison as one JSON object.
@@ -116,13 +116,13 @@
 	_, _ = fmt.Fprintln(t, "deployment\tpolicy\tplanner\tlimit\tfault\tload\tprice\truns\tattainment\tof bound\turgent\tvalue\tmet/acc s\tworst team\tfirst p95 ms\tbetween p95 ms\tmoves")
 	for _, r := range c.Rows {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%.2f\t%g\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Deployment, r.Policy, r.Planner, r.Limit,
-			orNone(r.Fault), r.Load, r.MovePrice, r.Runs, r.All.format(3), r.OfBound.format(3), r.Urgent.format(3), r.Value.format(3),
-			r.PerAccelerator.format(2), r.WorstTeam.format(2), r.FirstToken95.format(0), r.Between95.format(0), r.Moves.format(0))
+			orNone(r.Fault), r.Load, r.MovePrice, r.Runs, r.All.format(3), r.ShareOfBound.format(3), r.Urgent.format(3), r.Value.format(3),
+			r.PerAccelerator.format(2), r.WorstTeam.format(2), r.FirstToken95.format(0), r.InterToken95.format(0), r.Moves.format(0))
 	}
 	return t.Flush()
 }
 
 // format returns "median [minimum-maximum]" with the given number of decimals.
 func (s Spread) format(decimals int) string {
-	return fmt.Sprintf("%.*f [%.*f-%.*f]", decimals, s.Median, decimals, s.Least, decimals, s.Most)
+	return fmt.Sprintf("%.*f [%.*f-%.*f]", decimals, s.Median, decimals, s.Min, decimals, s.Max)
 }
--- a/internal/testbed/report/recorder.go
+++ b/internal/testbed/report/recorder.go
@@ -28,13 +28,13 @@
 		Team       string
 		Value      float64
 		Deadline   time.Duration // relative to At
-		Bound      bool          // the bound meets its deadline
+		BoundMet   bool          // the bound meets its deadline
 		Outcome    string
 		Reason     string        // empty if the outcome is done
 		FirstToken time.Duration // relative to At, zero if there was none
 		Total      time.Duration // time to completion, relative to At
-		Gaps       []time.Duration
-		Whole      bool // the response is the expected one and was received to its end
+		TokenGaps  []time.Duration
+		Complete   bool // the response is the expected one and was received to its end
 	}
 
 	// Move is a load of an item that an engine started.
@@ -57,7 +57,7 @@
 		Limit        string        `json:"limit"`
 		Nodes        int           `json:"nodes"`
 		Accelerators int           `json:"accelerators"`
-		SentLate     time.Duration `json:"sent-late-p99-ns"` // delay of the load generator's own sends
+		SendDelay    time.Duration `json:"sent-late-p99-ns"` // delay of the load generator's own sends
 		CPUSeconds   float64       `json:"cpu-seconds"`      // of the load generator and the stand-ins
 
 		NodeCPUSeconds float64 `json:"node-cpu-seconds"`  // of all nodes, including start and stop
@@ -80,18 +80,18 @@
 
 	// Kind summarizes the requests of one kind, or of all kinds.
 	Kind struct {
-		Name       string         `json:"name"`
-		Offered    int            `json:"offered"`
-		Done       int            `json:"done"`
-		Met        int            `json:"met"`
-		Bound      int            `json:"bound-met"`
-		Wrong      int            `json:"wrong"` // done, but with another response than expected
-		Attainment float64        `json:"attainment"`
-		OfBound    float64        `json:"share-of-bound"`
-		FirstToken Quantiles      `json:"first-token"`
-		Between    Quantiles      `json:"between-tokens"`
-		Total      Quantiles      `json:"total"`
-		Refused    map[string]int `json:"refused"` // number of requests by outcome and reason
+		Name         string         `json:"name"`
+		Offered      int            `json:"offered"`
+		Done         int            `json:"done"`
+		Met          int            `json:"met"`
+		Bound        int            `json:"bound-met"`
+		Wrong        int            `json:"wrong"` // done, but with another response than expected
+		Attainment   float64        `json:"attainment"`
+		ShareOfBound float64        `json:"share-of-bound"`
+		FirstToken   Quantiles      `json:"first-token"`
+		InterToken   Quantiles      `json:"between-tokens"`
+		Total        Quantiles      `json:"total"`
+		Refused      map[string]int `json:"refused"` // number of requests by outcome and reason
 	}
 
 	// Point counts the events in one second of a run.
@@ -105,17 +105,17 @@
 
 	// Summary is the result of a run.
 	Summary struct {
-		Meta            Meta           `json:"meta"`
-		Kinds           []Kind         `json:"kinds"`
-		All             Kind           `json:"all"`
-		Urgent          Kind           `json:"urgent"`
-		ValueAttainment float64        `json:"value-attainment"`
-		ValueOfBound    float64        `json:"value-share-of-bound"`
-		PerAccelerator  float64        `json:"met-per-accelerator-second"`
-		WorstTeam       float64        `json:"worst-team-attainment"` // lowest of the teams with at least 10 requests
-		Moves           int            `json:"moves"`
-		Reasons         map[string]int `json:"reasons"`
-		Series          []Point        `json:"series"`
+		Meta              Meta           `json:"meta"`
+		Kinds             []Kind         `json:"kinds"`
+		All               Kind           `json:"all"`
+		Urgent            Kind           `json:"urgent"`
+		ValueAttainment   float64        `json:"value-attainment"`
+		ValueShareOfBound float64        `json:"value-share-of-bound"`
+		PerAccelerator    float64        `json:"met-per-accelerator-second"`
+		WorstTeam         float64        `json:"worst-team-attainment"` // lowest of the teams with at least 10 requests
+		Moves             int            `json:"moves"`
+		Reasons           map[string]int `json:"reasons"`
+		Series            []Point        `json:"series"`
 	}
 
 	// tally accumulates the results of requests.
@@ -127,7 +127,7 @@
 
 // Met reports whether the request was completed, with the whole response, before its
 // deadline.
-func (r *Request) Met() bool { return r.Outcome == "done" && r.Whole && r.Total <= r.Deadline }
+func (r *Request) Met() bool { return r.Outcome == "done" && r.Complete && r.Total <= r.Deadline }
 
 // Add records the result of a request.
 func (r *Recorder) Add(q Request) {
@@ -137,7 +137,7 @@
 }
 
 // Moved records a move.
-func (r *Recorder) Moved(m Move) {
+func (r *Recorder) AddMove(m Move) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.moves = append(r.moves, m)
@@ -167,7 +167,7 @@
 		if q.Met() {
 			met += q.Value
 		}
-		if q.Bound {
+		if q.BoundMet {
 			bound += q.Value
 		}
 	}
@@ -175,7 +175,7 @@
 		s.Kinds = append(s.Kinds, kinds[name].result())
 	}
 	s.All, s.Urgent = all.result(), urgent.result()
-	s.ValueAttainment, s.ValueOfBound = ratio(met, value), ratio(met, bound)
+	s.ValueAttainment, s.ValueShareOfBound = ratio(met, value), ratio(met, bound)
 	s.PerAccelerator = ratio(float64(s.All.Met), float64(m.Accelerators)*m.Duration.Seconds())
 	s.WorstTeam = r.worstTeam()
 	s.Series = r.series()
@@ -219,7 +219,7 @@
 		if q.Met() {
 			p.Met++
 		}
-		if q.Bound {
+		if q.BoundMet {
 			p.Bound++
 		}
 	}
@@ -243,7 +243,7 @@
 
 func (t *tally) add(q *Request) {
 	t.Offered++
-	if q.Bound {
+	if q.BoundMet {
 		t.Bound++
 	}
 	if q.Met() {
@@ -252,7 +252,7 @@
 	if q.FirstToken > 0 {
 		record(t.firstToken, q.FirstToken)
 	}
-	for _, g := range q.Gaps {
+	for _, g := range q.TokenGaps {
 		record(t.interToken, g)
 	}
 	if q.Outcome != "done" {
@@ -261,7 +261,7 @@
 	}
 	t.Done++
 	record(t.endToEnd, q.Total)
-	if !q.Whole {
+	if !q.Complete {
 		t.Wrong++
 	}
 }
@@ -269,8 +269,8 @@
 func (t *tally) result() Kind {
 	k := t.Kind
 	k.Attainment = ratio(float64(k.Met), float64(k.Offered))
-	k.OfBound = ratio(float64(k.Met), float64(k.Bound))
-	k.FirstToken, k.Between, k.Total = quantiles(t.firstToken), quantiles(t.interToken), quantiles(t.endToEnd)
+	k.ShareOfBound = ratio(float64(k.Met), float64(k.Bound))
+	k.FirstToken, k.InterToken, k.Total = quantiles(t.firstToken), quantiles(t.interToken), quantiles(t.endToEnd)
 	return k
 }
 
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -16,8 +16,8 @@
 
 func request(kind string, u config.Urgency, outcome, reason string, total time.Duration) report.Request {
 	return report.Request{
-		At: time.Second, Kind: kind, Urgency: u, Team: "c", Value: 2, Deadline: time.Second, Bound: true,
-		Outcome: outcome, Reason: reason, FirstToken: total / 2, Total: total, Gaps: []time.Duration{9 * time.Millisecond}, Whole: outcome == "done",
+		At: time.Second, Kind: kind, Urgency: u, Team: "c", Value: 2, Deadline: time.Second, BoundMet: true,
+		Outcome: outcome, Reason: reason, FirstToken: total / 2, Total: total, TokenGaps: []time.Duration{9 * time.Millisecond}, Complete: outcome == "done",
 	}
 }
 
@@ -27,9 +27,9 @@
 	r.Add(request("live", config.Urgent, "done", "", 1400*time.Millisecond))
 	r.Add(request("batch", config.Deferrable, "refused-not-run", "queue-full", 0))
 	incomplete := request("batch", config.Deferrable, "done", "", 100*time.Millisecond)
-	incomplete.Whole = false
+	incomplete.Complete = false
 	r.Add(incomplete)
-	r.Moved(report.Move{At: 1500 * time.Millisecond, Server: "e1", Item: "m"})
+	r.AddMove(report.Move{At: 1500 * time.Millisecond, Server: "e1", Item: "m"})
 	return r
 }
 
@@ -44,13 +44,13 @@
 	require.Equal(t, 4, s.All.Offered)
 	require.Equal(t, 1, s.All.Met, "late, refused and wrong answers are not met")
 	require.Equal(t, 0.25, s.All.Attainment)
-	require.Equal(t, 0.25, s.All.OfBound)
+	require.Equal(t, 0.25, s.All.ShareOfBound)
 	require.Equal(t, 0.5, s.Urgent.Attainment)
 	require.Equal(t, 0.25, s.ValueAttainment)
 	require.Equal(t, 0.5, s.PerAccelerator)
 	require.Equal(t, map[string]int{"refused-not-run/queue-full": 1}, s.Reasons)
 	require.Equal(t, 1, s.Kinds[0].Wrong)
-	require.InDelta(t, 9, s.All.Between.P99, 0.1)
+	require.InDelta(t, 9, s.All.InterToken.P99, 0.1)
 	require.Equal(t, []report.Point{{Second: 1, Offered: 4, Met: 1, Bound: 4, Moves: 1}}, s.Series)
 	var out bytes.Buffer
 	require.NoError(t, s.WriteJSON(&out))
@@ -84,8 +84,8 @@
 	require.Len(t, c.Rows, 2)
 	require.Equal(t, 2, c.Rows[0].Runs)
 	require.InDelta(t, 0.325, c.Rows[0].All.Median, 1e-9)
-	require.InDelta(t, 0.25, c.Rows[0].All.Least, 1e-9)
-	require.InDelta(t, 0.4, c.Rows[0].All.Most, 1e-9)
+	require.InDelta(t, 0.25, c.Rows[0].All.Min, 1e-9)
+	require.InDelta(t, 0.4, c.Rows[0].All.Max, 1e-9)
 	require.Equal(t, "direct", c.Rows[1].Policy)
 	var out bytes.Buffer
 	require.NoError(t, c.WriteTable(&out))
--- a/internal/testbed/report/table.go
+++ b/internal/testbed/report/table.go
@@ -25,12 +25,12 @@
 	_, _ = fmt.Fprintln(t, "kind\toffered\tdone\tmet\tattainment\tbound\tof bound\tfirst token p50/p95/p99 ms\tbetween p50/p95/p99 ms\twrong")
 	for _, k := range append(slices.Clone(s.Kinds), s.Urgent, s.All) {
 		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.4f\t%.4f\t%.4f\t%s\t%s\t%d\n", k.Name, k.Offered, k.Done, k.Met,
-			k.Attainment, ratio(float64(k.Bound), float64(k.Offered)), k.OfBound, k.FirstToken, k.Between, k.Wrong)
+			k.Attainment, ratio(float64(k.Bound), float64(k.Offered)), k.ShareOfBound, k.FirstToken, k.InterToken, k.Wrong)
 	}
 	_, _ = fmt.Fprintf(t, "value attainment %.4f (%.4f of the bound), met per accelerator and second %.3f, worst team %.3f, moves %d\n",
-		s.ValueAttainment, s.ValueOfBound, s.PerAccelerator, s.WorstTeam, s.Moves)
+		s.ValueAttainment, s.ValueShareOfBound, s.PerAccelerator, s.WorstTeam, s.Moves)
 	_, _ = fmt.Fprintf(t, "send delay of the load generator %s (p99), processor time %.1f s, of all nodes %.1f s, largest node %.0f MB\n",
-		m.SentLate, m.CPUSeconds, m.NodeCPUSeconds, float64(m.NodeMemory)/1e6)
+		m.SendDelay, m.CPUSeconds, m.NodeCPUSeconds, float64(m.NodeMemory)/1e6)
 	for _, reason := range slices.Sorted(maps.Keys(s.Reasons)) {
 		_, _ = fmt.Fprintf(t, "%s\t%d\n", reason, s.Reasons[reason])
 	}
--- a/internal/testbed/session/booking_test.go
+++ b/internal/testbed/session/booking_test.go
@@ -27,7 +27,7 @@
 // requireAtMostOnce checks the responses to all calls with one key and body: the call ran at
 // most once, all successful responses are identical, and every other response is consistent
 // with the services' journals.
-func requireAtMostOnce(t *testing.T, s *session.System, body string, answers []session.Answer) {
+func requireAtMostOnce(t *testing.T, s *session.System, body string, answers []session.Response) {
 	t.Helper()
 	ran := runsWithBody(s, body)
 	require.LessOrEqual(t, ran, 1, body)
@@ -72,45 +72,45 @@
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
 			const nodes = 4
-			s := session.New(t, session.Small(t, 1, 2), session.Options{Service: []string{"-work", "700ms"}})
-			proxy := s.Between()
+			s := session.New(t, session.SmallDocument(t, 1, 2), session.Options{Service: []string{"-work", "700ms"}})
+			proxy := s.StartProxy()
 			s.StartNodes(nodes)
 			for victim, stage := range []struct {
 				name   string
 				state  claim.State // the transaction into this state triggers the kill
-				fate   session.Fate
+				fate   session.Action
 				ran    int
 				stored bool
 			}{
-				{name: "before the send", state: claim.Claimed, fate: session.Lose, ran: 0},
+				{name: "before the send", state: claim.Claimed, fate: session.DropResponse, ran: 0},
 				{name: "during the send", ran: 1},
-				{name: "after the answer, before it is stored", state: claim.Done, fate: session.Drop, ran: 1},
+				{name: "after the answer, before it is stored", state: claim.Done, fate: session.DropRequest, ran: 1},
 				{name: "after the answer is stored", state: claim.Done, fate: session.Pass, ran: 1, stored: true},
 			} {
 				body, key := fmt.Sprintf(`{"at":%q}`, stage.name), stage.name
 				others := allExcept(nodes, victim)
 				if stage.state != "" {
-					proxy.Claims(stage.state, func(claim.Claim) session.Fate {
-						if stage.fate == session.Lose || stage.fate == session.Drop {
+					proxy.OnClaims(stage.state, func(claim.Claim) session.Action {
+						if stage.fate == session.DropResponse || stage.fate == session.DropRequest {
 							s.Nodes[victim].Kill() // the node takes no further action
 						}
 						return stage.fate
 					})
 				}
-				first := make(chan session.Answer, 1)
+				first := make(chan session.Response, 1)
 				go func() { first <- s.Do(victim, http.MethodPost, path, body, "Idempotency-Key", key) }()
 				if stage.state == "" {
 					s.Eventually("the call to run", func() bool { return runsWithBody(s, body) == 1 })
 					s.Nodes[victim].Kill()
 				}
-				answers := []session.Answer{<-first}
-				if stage.fate == session.Lose {
-					proxy.AwaitLost()
+				answers := []session.Response{<-first}
+				if stage.fate == session.DropResponse {
+					proxy.AwaitDroppedResponse()
 				}
-				proxy.Decide(nil)
+				proxy.SetAction(nil)
 				s.Nodes[victim].Kill()
-				answers = append(answers, s.Repeat(others, path, body, key)...)
-				answers = append(answers, s.Repeat(others, path, body, key)...)
+				answers = append(answers, s.PostAll(others, path, body, key)...)
+				answers = append(answers, s.PostAll(others, path, body, key)...)
 				requireAtMostOnce(t, s, body, answers)
 				require.Equal(t, stage.ran, runsWithBody(s, body), stage.name)
 				for _, a := range answers[1:] {
@@ -145,7 +145,7 @@
 func TestInvariantBookingLostAnswers(t *testing.T) {
 	t.Parallel()
 	const nodes = 4
-	s := session.New(t, session.Small(t, 1, 2), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 1, 2), session.Options{})
 	s.StartNodes(nodes)
 	all := allExcept(nodes, -1)
 	for _, c := range []struct {
@@ -165,18 +165,18 @@
 		for i, path := range []string{"/bookings/confirm", "/bookings/cancel"} {
 			body, key := fmt.Sprintf(`{"case":%q,"path":%q}`, c.name, path), c.name+path
 			setFaults := func(table, service string) {
-				s.Fault(s.Platform, "/fault/table", table)
+				s.SetFaults(s.Platform, "/fault/table", table)
 				for _, name := range []string{"desk-1", "desk-2"} {
-					s.Fault(s.Servers[name], "/fault", service)
+					s.SetFaults(s.Servers[name], "/fault", service)
 				}
 			}
 			setFaults(faultsOrNone(c.table), faultsOrNone(c.service))
-			answers := s.Repeat(all, path, body, key)
-			answers = append(answers, s.Repeat([]int{i}, path, body, key)...)
+			answers := s.PostAll(all, path, body, key)
+			answers = append(answers, s.PostAll([]int{i}, path, body, key)...)
 			setFaults("{}", "{}")
-			answers = append(answers, s.Repeat(all, path, body, key)...)
+			answers = append(answers, s.PostAll(all, path, body, key)...)
 			requireAtMostOnce(t, s, body, answers)
-			var last session.Answer
+			var last session.Response
 			s.Eventually("a final response", func() bool {
 				last = s.Do(i, http.MethodPost, path, body, "Idempotency-Key", key)
 				answers = append(answers, last)
--- a/internal/testbed/session/config_test.go
+++ b/internal/testbed/session/config_test.go
@@ -66,7 +66,7 @@
 // pause, under the old configuration.
 func TestInvariantPausedNodeAdmitsUnderNoOldConfiguration(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 	s.StartNodes(3)
 	const paused = 2
 	require.Equal(t, http.StatusOK, s.Do(paused, http.MethodGet, "/v1/models", "", "Authorization", rivalKey).Status)
@@ -79,8 +79,8 @@
 	defer func() { _ = waiting.Close() }()
 	_, err = fmt.Fprintf(waiting, "GET /v1/models HTTP/1.1\r\nHost: node\r\nAuthorization: %s\r\n\r\n", rivalKey)
 	require.NoError(t, err)
-	s.Fault(s.Platform, "/fault/table", downFault)
-	s.Fault(s.Platform, "/fault/object", downFault)
+	s.SetFaults(s.Platform, "/fault/table", downFault)
+	s.SetFaults(s.Platform, "/fault/object", downFault)
 	s.Nodes[paused].Signal(syscall.SIGCONT)
 	require.NoError(t, waiting.SetReadDeadline(time.Now().Add(10*time.Second)))
 	waited, err := http.ReadResponse(bufio.NewReader(waiting), nil)
@@ -100,12 +100,12 @@
 // down. The new process must get the configuration from its peers.
 func TestInvariantNodeStartsInOutage(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 	s.StartNodes(3)
 	code, out := s.Apply(withoutRival(s.Document))
 	require.Equal(t, cli.ExitOK, code, out)
-	s.Fault(s.Platform, "/fault/table", downFault)
-	s.Fault(s.Platform, "/fault/object", downFault)
+	s.SetFaults(s.Platform, "/fault/table", downFault)
+	s.SetFaults(s.Platform, "/fault/object", downFault)
 	s.Nodes[1].Kill()
 	s.RestartNode(1)
 	s.Eventually("a successful request on the restarted node", func() bool {
@@ -162,7 +162,7 @@
 func TestInvariantOperatorsRaceAsProcesses(t *testing.T) {
 	t.Parallel()
 	const operators, nodes = 8, 2
-	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 	s.StartNodes(nodes)
 	platform := s.Platform.Address("address")
 	forwarder := &operatorProxy{table: platform}
--- a/internal/testbed/session/crash_test.go
+++ b/internal/testbed/session/crash_test.go
@@ -16,17 +16,17 @@
 func TestInvariantCrashingRequest(t *testing.T) {
 	t.Parallel()
 	const nodes, engines = 8, 5
-	doc := session.Small(t, engines, 1)
+	doc := session.SmallDocument(t, engines, 1)
 	for i := range doc.Models {
 		doc.Models[i].MinCopies = 4
 	}
 	s := session.New(t, doc, session.Options{})
 	s.StartNodes(nodes)
 	for i := range engines {
-		s.Fault(s.Servers[fmt.Sprintf("gpu-%d", i+1)], "/fault", `{"crash-on":"POISON"}`)
+		s.SetFaults(s.Servers[fmt.Sprintf("gpu-%d", i+1)], "/fault", `{"crash-on":"POISON"}`)
 	}
 	poison := `{"model":"drafter","max_tokens":20,"messages":[{"role":"user","content":"POISON"}]}`
-	var last session.Answer
+	var last session.Response
 	for i := range nodes {
 		last = s.Do(i, http.MethodPost, chat, poison)
 		require.NoError(t, last.Err)
@@ -49,17 +49,17 @@
 // crashed it are served.
 func TestInvariantCrashNeighbours(t *testing.T) {
 	t.Parallel()
-	doc := session.Small(t, 3, 1)
+	doc := session.SmallDocument(t, 3, 1)
 	for i := range doc.Models {
 		doc.Models[i].MinCopies = 3
 	}
 	s := session.New(t, doc, session.Options{})
 	s.StartNodes(2)
 	for _, name := range []string{"gpu-1", "gpu-2", "gpu-3"} {
-		s.Fault(s.Servers[name], "/fault", `{"crash-on":"POISON"}`)
+		s.SetFaults(s.Servers[name], "/fault", `{"crash-on":"POISON"}`)
 	}
 	before := generationsRun(s)
-	answers := make(chan session.Answer)
+	answers := make(chan session.Response)
 	for i := range 6 {
 		body := fmt.Sprintf(`{"model":"drafter","max_tokens":150,"messages":[{"role":"user","content":"innocent %d"}]}`, i)
 		go func() { answers <- s.Do(i%2, http.MethodPost, chat, body) }()
@@ -78,7 +78,7 @@
 func crashedEngines(s *session.System) int {
 	n := 0
 	for _, p := range s.Servers {
-		if p.Ended() {
+		if p.Exited() {
 			n++
 		}
 	}
--- a/internal/testbed/session/document.go
+++ b/internal/testbed/session/document.go
@@ -15,7 +15,7 @@
 // Small returns a document with the engines gpu-1, gpu-2 and so on, the services desk-1,
 // desk-2 and so on, the models drafter and checker, the adapter shire-style, and two teams.
 // Engines with odd numbers check fencing numbers.
-func Small(t testing.TB, engines, services int) *config.Document {
+func SmallDocument(t testing.TB, engines, services int) *config.Document {
 	var servers []string
 	for i := range engines {
 		servers = append(servers, fmt.Sprintf(`{"name":"gpu-%d","type":"engine","address":"127.0.0.1:%d",
--- a/internal/testbed/session/explain_test.go
+++ b/internal/testbed/session/explain_test.go
@@ -20,7 +20,7 @@
 
 // explainLines returns the output of the explain command for a response's request, one event
 // per line, without times.
-func explainLines(t *testing.T, s *session.System, node int, a session.Answer) []string {
+func explainLines(t *testing.T, s *session.System, node int, a session.Response) []string {
 	code, out := s.Command("explain", "-nodes", s.Nodes[node].Address("operators"), "-output", "json", a.Header.Get("X-Request-ID"))
 	require.Equal(t, cli.ExitOK, code, out)
 	var e status.Explanation
@@ -40,19 +40,19 @@
 // that includes a node's death and a table outage.
 func TestInvariantFaultSession(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, session.Small(t, 1, 1), session.Options{Service: []string{"-work", "400ms"}})
+	s := session.New(t, session.SmallDocument(t, 1, 1), session.Options{Service: []string{"-work", "400ms"}})
 	s.StartNodes(3)
 	var r session.Transcript
-	book := func(node int, key string) session.Answer {
+	book := func(node int, key string) session.Response {
 		return s.Do(node, http.MethodPost, "/bookings/confirm", fmt.Sprintf(`{"section":%q}`, key), "Idempotency-Key", key)
 	}
-	explain := func(node int, a session.Answer) {
+	explain := func(node int, a session.Response) {
 		r.Text(volatileFields.ReplaceAllString(strings.Join(explainLines(t, s, node, a), "\n"), "$1=..."))
 	}
 
 	r.Step("a booking through node 1")
 	a := book(0, "B12")
-	r.Answer(a)
+	r.Response(a)
 	r.Step("what operators are told of it")
 	explain(2, a)
 	r.Step("the same booking through node 2")
@@ -60,46 +60,46 @@
 		a = book(1, "B12")
 		return a.Status != http.StatusConflict
 	})
-	r.Answer(a)
+	r.Response(a)
 	r.Step("what operators are told of it")
 	explain(2, a)
 
 	r.Step("node 1 dies while it has a booking")
-	first := make(chan session.Answer, 1)
+	first := make(chan session.Response, 1)
 	go func() { first <- book(0, "B13") }()
 	s.Eventually("the booking to run", func() bool { return runsWithBody(s, `{"section":"B13"}`) == 1 })
 	s.Nodes[0].Kill()
-	r.Answer(<-first)
+	r.Response(<-first)
 	s.WaitNodes(2)
 	for node := 1; node < 3; node++ {
 		r.Step("the same booking through node %d", node+1)
 		a = book(node, "B13")
-		r.Answer(a)
+		r.Response(a)
 	}
 	r.Step("what operators are told of it")
 	explain(1, a)
 
 	r.Step("the table is down: a booking through node 2")
-	s.Fault(s.Platform, "/fault/table", downFault)
+	s.SetFaults(s.Platform, "/fault/table", downFault)
 	a = book(1, "B14")
-	r.Answer(a)
+	r.Response(a)
 	r.Step("what operators are told of it")
 	explain(1, a)
 	r.Step("an answer of a model meanwhile")
-	a = s.Do(1, http.MethodPost, chat, session.Whole("drafter", "Draft a plan.", 3))
-	r.Answer(a)
+	a = s.Do(1, http.MethodPost, chat, session.UnstreamedChat("drafter", "Draft a plan.", 3))
+	r.Response(a)
 	r.Step("the table is back: the same booking through nodes 2 and 3")
-	s.Fault(s.Platform, "/fault/table", "{}")
+	s.SetFaults(s.Platform, "/fault/table", "{}")
 	s.Eventually("bookings", func() bool {
 		a = book(1, "B14")
 		return a.Header.Get("X-Reason") != "table-down"
 	})
-	r.Answer(a)
+	r.Response(a)
 	s.Eventually("the stored response", func() bool {
 		a = book(2, "B14")
 		return a.Status != http.StatusConflict
 	})
-	r.Answer(a)
+	r.Response(a)
 	r.Step("runs by the service's own journal")
 	for _, key := range []string{"B12", "B13", "B14"} {
 		r.Text(fmt.Sprintf("%s: %d", key, runsWithBody(s, fmt.Sprintf(`{"section":%q}`, key))))
@@ -113,14 +113,14 @@
 // orders were sent to the engine.
 func TestInvariantExplainForwarded(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, session.Small(t, 1, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 1, 1), session.Options{})
 	s.StartNodes(2)
 	owner := s.Owner(0, "gpu-1")
 	require.GreaterOrEqual(t, owner, 0)
 	entry := 1 - owner
 	var lines string
 	s.Eventually("a forwarded request", func() bool { // the owner may still change
-		a := s.Do(entry, http.MethodPost, chat, session.Whole("drafter", "who decided", 3))
+		a := s.Do(entry, http.MethodPost, chat, session.UnstreamedChat("drafter", "who decided", 3))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		lines = strings.Join(explainLines(t, s, entry, a), "\n")
 		return strings.Contains(lines, " forwarded ")
--- a/internal/testbed/session/log_test.go
+++ b/internal/testbed/session/log_test.go
@@ -15,10 +15,10 @@
 func TestInvariantUnreadLogHoldsNothingUp(t *testing.T) {
 	t.Parallel()
 	const requests = 1500 // their log lines exceed the capacity of the pipe
-	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 	s.StartNodes(1)
 	node := s.Nodes[0]
-	node.RestartUnread()
+	node.RestartWithUnreadOutput()
 	s.Eventually("a successful request on the restarted node", func() bool {
 		return s.Do(0, http.MethodPost, chat, `{"model":"drafter","max_tokens":1,`+prompt+`}`).Status == http.StatusOK
 	})
--- a/internal/testbed/session/memory_test.go
+++ b/internal/testbed/session/memory_test.go
@@ -19,7 +19,7 @@
 // fencing numbers. Each has memory for all items and for one more version of drafter
 // while that loads.
 func tightMemoryDocument(t *testing.T) *config.Document {
-	doc := session.Small(t, 2, 1)
+	doc := session.SmallDocument(t, 2, 1)
 	for i := range doc.Models {
 		doc.Models[i].MinCopies = 2
 	}
@@ -50,7 +50,7 @@
 func requireMemoryBounds(t *testing.T, s *session.System) {
 	t.Helper()
 	for _, b := range s.Document.Servers {
-		if b.Type != config.Engine || s.Servers[b.Name].Ended() {
+		if b.Type != config.Engine || s.Servers[b.Name].Exited() {
 			continue
 		}
 		c := s.Counters(s.Servers[b.Name])
@@ -76,7 +76,7 @@
 		}
 		return true
 	})
-	a := s.Do(node, http.MethodPost, chat, session.Whole("drafter", "after the change", 5))
+	a := s.Do(node, http.MethodPost, chat, session.UnstreamedChat("drafter", "after the change", 5))
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
 }
 
@@ -92,8 +92,8 @@
 			s := session.New(t, tightMemoryDocument(t), session.Options{})
 			s.StartNodes(3)
 			t.Cleanup(func() { requireMemoryBounds(t, s) })
-			s.Fault(s.Servers["gpu-1"], "/fault", `{"order-delay-ms":9000}`) // arrives after the next owner's fence
-			s.Fault(s.Servers["gpu-2"], "/fault", delayedOrders)             // within the order's lifetime
+			s.SetFaults(s.Servers["gpu-1"], "/fault", `{"order-delay-ms":9000}`) // arrives after the next owner's fence
+			s.SetFaults(s.Servers["gpu-2"], "/fault", delayedOrders)             // within the order's lifetime
 			before := s.Counters(s.Servers[server])["orders"]
 			paused := s.Owner(0, server)
 			require.GreaterOrEqual(t, paused, 0)
@@ -106,10 +106,10 @@
 				return owner >= 0 && owner != paused
 			})
 			for _, name := range []string{"gpu-1", "gpu-2"} {
-				s.Fault(s.Servers[name], "/fault", `{}`)
+				s.SetFaults(s.Servers[name], "/fault", `{}`)
 			}
 			s.Document.Models[0].Version = "3"
-			s.ApplyFrom(observer, s.Document)
+			s.ApplyOnNode(observer, s.Document)
 			s.Nodes[paused].Signal(syscall.SIGCONT)
 			awaitVersion(t, s, observer, "3")
 		})
@@ -125,14 +125,14 @@
 	s.StartNodes(2)
 	t.Cleanup(func() { requireMemoryBounds(t, s) })
 	for _, name := range []string{"gpu-1", "gpu-2"} {
-		s.Fault(s.Servers[name], "/fault", delayedOrders)
+		s.SetFaults(s.Servers[name], "/fault", delayedOrders)
 	}
 	before := s.Counters(s.Servers["gpu-2"])["orders"]
 	applyVersion(t, s, "2")
 	awaitOrder(s, "gpu-2", before)
 	applyVersion(t, s, "3")
 	for _, name := range []string{"gpu-1", "gpu-2"} {
-		s.Fault(s.Servers[name], "/fault", `{"lose-orders":1}`)
+		s.SetFaults(s.Servers[name], "/fault", `{"lose-orders":1}`)
 	}
 	awaitVersion(t, s, 0, "3")
 }
@@ -149,13 +149,13 @@
 	require.GreaterOrEqual(t, owner, 0)
 	observer := allExcept(3, owner)[0]
 	for _, name := range []string{"gpu-1", "gpu-2"} {
-		s.Fault(s.Servers[name], "/fault", delayedOrders)
+		s.SetFaults(s.Servers[name], "/fault", delayedOrders)
 	}
 	before := s.Counters(s.Servers["gpu-2"])["orders"]
 	applyVersion(t, s, "2")
 	awaitOrder(s, "gpu-2", before)
 	for _, name := range []string{"gpu-1", "gpu-2"} {
-		s.Fault(s.Servers[name], "/fault", `{}`)
+		s.SetFaults(s.Servers[name], "/fault", `{}`)
 	}
 	require.Equal(t, 0, s.Nodes[owner].Terminate())
 	applyVersion(t, s, "3")
--- a/internal/testbed/session/pair_test.go
+++ b/internal/testbed/session/pair_test.go
@@ -21,21 +21,21 @@
 func TestInvariantPairTableOutageAndNodeDeath(t *testing.T) {
 	t.Parallel()
 	const nodes, path, body, key = 4, "/bookings/cancel", `"pair"`, "pair"
-	s := session.New(t, session.Small(t, 1, 2), session.Options{Service: []string{"-work", "500ms"}})
+	s := session.New(t, session.SmallDocument(t, 1, 2), session.Options{Service: []string{"-work", "500ms"}})
 	s.StartNodes(nodes)
-	first := make(chan session.Answer, 1)
+	first := make(chan session.Response, 1)
 	go func() { first <- s.Do(0, http.MethodPost, path, body, "Idempotency-Key", key) }()
 	s.Eventually("the call to run", func() bool { return runsWithBody(s, body) == 1 })
-	s.Fault(s.Platform, "/fault/table", `{"black-hole":true}`)
+	s.SetFaults(s.Platform, "/fault/table", `{"black-hole":true}`)
 	s.Nodes[0].Kill()
 	others := allExcept(nodes, 0)
-	answers := append([]session.Answer{<-first}, s.Repeat(others, path, body, key)...)
+	answers := append([]session.Response{<-first}, s.PostAll(others, path, body, key)...)
 	for _, a := range answers[1:] {
 		requireRefused(t, a, "table-down")
 	}
-	s.Fault(s.Platform, "/fault/table", "{}")
+	s.SetFaults(s.Platform, "/fault/table", "{}")
 	s.Eventually("claims to be readable again", func() bool {
-		more := s.Repeat(others, path, body, key)
+		more := s.PostAll(others, path, body, key)
 		answers = append(answers, more...)
 		for _, a := range more {
 			if a.Header.Get("X-Reason") == "table-down" {
@@ -56,11 +56,11 @@
 // leaving engine must get no new work 3 s later.
 func TestInvariantPairLeavingServerAndSilentEngine(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 3, 1)), session.Options{Platform: []string{"-vm-lag", "10s"}})
+	s := session.New(t, allCopies(session.SmallDocument(t, 3, 1)), session.Options{Platform: []string{"-vm-lag", "10s"}})
 	s.StartNodes(3)
 	streams := map[string]*session.Stream{} // by server
 	for i := 0; len(streams) < 3 && i < 60; i++ {
-		st := s.Stream(i%3, session.Chat("drafter", fmt.Sprint("stream ", i), 400))
+		st := s.Stream(i%3, session.StreamedChat("drafter", fmt.Sprint("stream ", i), 400))
 		require.True(t, st.Read(2), st.Error)
 		server := st.Last[strings.LastIndex(st.Last, ".")+1:]
 		if streams[server] != nil {
@@ -70,18 +70,18 @@
 		streams[server] = st
 	}
 	require.Len(t, streams, 3)
-	s.Fault(s.Servers["gpu-1"], "/fault", `{"leaving":true}`)
-	s.Fault(s.Servers["gpu-2"], "/fault", silentFault)
+	s.SetFaults(s.Servers["gpu-1"], "/fault", `{"leaving":true}`)
+	s.SetFaults(s.Servers["gpu-2"], "/fault", silentFault)
 	announced := time.Now()
 	for i := 0; time.Since(announced) < 3*time.Second; i++ {
-		requireServedWithin(t, endBound, func() session.Answer {
-			return s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("meanwhile ", i), 3))
+		requireServedWithin(t, endBound, func() session.Response {
+			return s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("meanwhile ", i), 3))
 		})
 	}
 	before := s.Counters(s.Servers["gpu-1"])["runs"]
 	for i := range 12 {
-		requireServedWithin(t, promptBound, func() session.Answer {
-			return s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("after ", i), 3))
+		requireServedWithin(t, promptBound, func() session.Response {
+			return s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("after ", i), 3))
 		})
 	}
 	require.Equal(t, before, s.Counters(s.Servers["gpu-1"])["runs"])
@@ -116,10 +116,10 @@
 				default:
 				}
 				prompt := fmt.Sprint(node, " request ", i)
-				a := s.Do(node, http.MethodPost, chat, session.Whole("drafter", prompt, 6))
+				a := s.Do(node, http.MethodPost, chat, session.UnstreamedChat("drafter", prompt, 6))
 				got := fmt.Sprint("wrong: ", a.Err, a.Status, a.Body)
 				for _, v := range []string{"1", "2"} {
-					if a.Status == http.StatusOK && strings.Contains(a.Body, strings.Join(session.Expect("drafter@"+v, prompt, 6), "")) {
+					if a.Status == http.StatusOK && strings.Contains(a.Body, strings.Join(session.ExpectedTokens("drafter@"+v, prompt, 6), "")) {
 						got = v
 					}
 				}
@@ -152,35 +152,35 @@
 func TestInvariantPairLostAnswersAndSilentService(t *testing.T) {
 	t.Parallel()
 	const nodes = 3
-	s := session.New(t, session.Small(t, 1, 2), session.Options{Service: []string{"-work", "100ms"}})
-	proxy := s.Between()
+	s := session.New(t, session.SmallDocument(t, 1, 2), session.Options{Service: []string{"-work", "100ms"}})
+	proxy := s.StartProxy()
 	s.StartNodes(nodes)
 	var lost sync.Map
-	proxy.Claims(claim.Claimed, func(c claim.Claim) session.Fate { // the response to each attempt's first insert is lost
+	proxy.OnClaims(claim.Claimed, func(c claim.Claim) session.Action { // the response to each attempt's first insert is lost
 		if _, again := lost.LoadOrStore(c.Attempt, true); !again {
-			return session.Lose
+			return session.DropResponse
 		}
 		return session.Pass
 	})
 	type booked struct {
 		body    string
-		answers []session.Answer
+		answers []session.Response
 	}
 	all := make([]booked, 8)
 	var wg sync.WaitGroup
 	for i := range all {
 		wg.Go(func() {
 			body := fmt.Sprintf(`{"pair":%d}`, i)
-			post := func(node int) session.Answer {
+			post := func(node int) session.Response {
 				return s.Do(node, http.MethodPost, "/bookings/confirm", body, "Idempotency-Key", body, "X-Deadline-Ms", "3000")
 			}
-			all[i] = booked{body: body, answers: []session.Answer{post(i % nodes), post((i + 1) % nodes), post(i % nodes)}}
+			all[i] = booked{body: body, answers: []session.Response{post(i % nodes), post((i + 1) % nodes), post(i % nodes)}}
 		})
 	}
 	s.Eventually("bookings to run", func() bool { return len(s.Journal()) > 2 })
-	s.Fault(s.Servers["desk-1"], "/fault", silentFault)
+	s.SetFaults(s.Servers["desk-1"], "/fault", silentFault)
 	wg.Wait()
 	for _, b := range all {
-		requireAtMostOnce(t, s, b.body, append(b.answers, s.Repeat(allExcept(nodes, -1), "/bookings/confirm", b.body, b.body)...))
+		requireAtMostOnce(t, s, b.body, append(b.answers, s.PostAll(allExcept(nodes, -1), "/bookings/confirm", b.body, b.body)...))
 	}
 }
--- a/internal/testbed/session/platform_test.go
+++ b/internal/testbed/session/platform_test.go
@@ -21,15 +21,15 @@
 // accepted again afterwards.
 func TestInvariantPlatformOutage(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 2, 1)), session.Options{})
 	s.StartNodes(3)
 	for _, part := range []string{"/fault/table", "/fault/object"} {
-		s.Fault(s.Platform, part, `{"down":true}`)
+		s.SetFaults(s.Platform, part, `{"down":true}`)
 	}
 	end := time.Now().Add(12 * time.Second)
 	restarted := false
 	for i := 0; time.Now().Before(end); i++ {
-		a := s.Do(i%2, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("outage ", i), 5))
+		a := s.Do(i%2, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("outage ", i), 5))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		b := s.Do(i%2, http.MethodPost, "/bookings/confirm", `{}`, "Idempotency-Key", fmt.Sprint("k", i))
 		require.Equal(t, http.StatusServiceUnavailable, b.Status, b.Body)
@@ -46,11 +46,11 @@
 		r, err := s.Status(2)
 		return err == nil && r.ConfigVersion == 1 && r.Ready
 	})
-	a := s.Do(2, http.MethodPost, chat, session.Whole("drafter", "the new node", 5))
+	a := s.Do(2, http.MethodPost, chat, session.UnstreamedChat("drafter", "the new node", 5))
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
 
 	for _, part := range []string{"/fault/table", "/fault/object"} {
-		s.Fault(s.Platform, part, `{}`)
+		s.SetFaults(s.Platform, part, `{}`)
 	}
 	s.Eventually("bookings", func() bool {
 		return s.Do(0, http.MethodPost, "/bookings/confirm", `{}`, "Idempotency-Key", "k0").Status == http.StatusOK
@@ -65,9 +65,9 @@
 func TestInvariantOperatorsRaceProcesses(t *testing.T) {
 	t.Parallel()
 	const operators = 8
-	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 	s.StartNodes(3)
-	s.Fault(s.Platform, "/fault/table", `{"drop-answers":4}`)
+	s.SetFaults(s.Platform, "/fault/table", `{"drop-answers":4}`)
 	codes := make([]int, operators)
 	outs := make([]string, operators)
 	var wg sync.WaitGroup
@@ -105,28 +105,28 @@
 // seconds after the engine has announced it, the engine must get no new work.
 func TestInvariantLeavingServer(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 3, 1)), session.Options{Platform: []string{"-vm-lag", "10s"}})
+	s := session.New(t, allCopies(session.SmallDocument(t, 3, 1)), session.Options{Platform: []string{"-vm-lag", "10s"}})
 	s.StartNodes(3)
-	running := s.Stream(0, session.Chat("drafter", "goes on", streamTokens))
+	running := s.Stream(0, session.StreamedChat("drafter", "goes on", streamTokens))
 	require.True(t, running.Read(3))
 	server := running.Last[strings.LastIndex(running.Last, ".")+1:]
-	s.Fault(s.Servers[server], "/fault", `{"leaving":true}`)
+	s.SetFaults(s.Servers[server], "/fault", `{"leaving":true}`)
 	announced := time.Now()
 	served := 0
 	for i := 0; time.Since(announced) < 3*time.Second; i++ {
-		a := s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("leaving ", i), 3))
+		a := s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("leaving ", i), 3))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		served++
 	}
 	require.Positive(t, served)
 	before := s.Counters(s.Servers[server])["runs"]
 	for i := range 30 {
-		a := s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("after ", i), 3))
+		a := s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("after ", i), 3))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 	}
 	require.Equal(t, before, s.Counters(s.Servers[server])["runs"])
 	require.True(t, running.Read(-1), running.Error)
-	require.Equal(t, session.Expect("drafter@1", "goes on", streamTokens), running.Tokens)
+	require.Equal(t, session.ExpectedTokens("drafter@1", "goes on", streamTokens), running.Tokens)
 }
 
 // TestInvariantLeavingByVMList announces that an engine leaves only through the VM list,
@@ -134,7 +134,7 @@
 // new work, although it would accept it.
 func TestInvariantLeavingByVMList(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{Platform: []string{"-vm-lag", "2s"}})
+	s := session.New(t, allCopies(session.SmallDocument(t, 2, 1)), session.Options{Platform: []string{"-vm-lag", "2s"}})
 	s.StartNodes(3)
 	s.SetVM("gpu-1", "engine", vmlist.Leaving)
 	s.Eventually("a node to see gpu-1 as leaving", func() bool {
@@ -147,12 +147,12 @@
 	})
 	noticed := time.Now()
 	for i := 0; time.Since(noticed) < 3*time.Second; i++ {
-		a := s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("leaving ", i), 3))
+		a := s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("leaving ", i), 3))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 	}
 	before := s.Counters(s.Servers["gpu-1"])["runs"]
 	for i := range 30 {
-		a := s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("after ", i), 3))
+		a := s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("after ", i), 3))
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 	}
 	require.Equal(t, before, s.Counters(s.Servers["gpu-1"])["runs"])
@@ -173,7 +173,7 @@
 // version.
 func TestInvariantVersionChange(t *testing.T) {
 	t.Parallel()
-	doc := session.Small(t, 2, 1)
+	doc := session.SmallDocument(t, 2, 1)
 	for i := range doc.Servers {
 		if doc.Servers[i].MemoryBytes > 0 { // room for one version of every item and little more
 			doc.Servers[i].MemoryBytes = 4_000_000_000 + 8_800_000_000 + 4_400_000_000 + 500_000_000 + 9_000_000_000
@@ -195,14 +195,14 @@
 				default:
 				}
 				prompt := fmt.Sprintf("worker %d request %d", k, i)
-				a := s.Do(k%2, http.MethodPost, chat, session.Whole("drafter", prompt, 12))
+				a := s.Do(k%2, http.MethodPost, chat, session.UnstreamedChat("drafter", prompt, 12))
 				mu.Lock()
 				switch {
 				case a.Status != http.StatusOK:
 					wrong = append(wrong, fmt.Sprint(a.Status, a.Body))
-				case strings.Contains(a.Body, strings.Join(session.Expect("drafter@1", prompt, 12), "")):
+				case strings.Contains(a.Body, strings.Join(session.ExpectedTokens("drafter@1", prompt, 12), "")):
 					versions["1"]++
-				case strings.Contains(a.Body, strings.Join(session.Expect("drafter@2", prompt, 12), "")):
+				case strings.Contains(a.Body, strings.Join(session.ExpectedTokens("drafter@2", prompt, 12), "")):
 					versions["2"]++
 				default:
 					wrong = append(wrong, "mixed: "+a.Body)
--- a/internal/testbed/session/process.go
+++ b/internal/testbed/session/process.go
@@ -233,7 +233,7 @@
 }
 
 // Ended reports whether the process has exited.
-func (p *Process) Ended() bool {
+func (p *Process) Exited() bool {
 	select {
 	case <-p.exited:
 		return true
@@ -252,7 +252,7 @@
 
 // RestartUnread restarts the process with a pipe as its output, which is read only until the
 // process listens.
-func (p *Process) RestartUnread() {
+func (p *Process) RestartWithUnreadOutput() {
 	p.Kill()
 	r, w, err := os.Pipe()
 	require.NoError(p.t, err)
--- a/internal/testbed/session/proxy.go
+++ b/internal/testbed/session/proxy.go
@@ -16,15 +16,15 @@
 )
 
 // Fate is what a Proxy does with a transaction.
-type Fate int
+type Action int
 
 const (
 	// Pass forwards the transaction and its response.
-	Pass Fate = iota
+	Pass Action = iota
 	// Drop closes the connection; the transaction does not reach the table.
-	Drop
+	DropRequest
 	// Lose closes the connection after the transaction took effect.
-	Lose
+	DropResponse
 )
 
 // Proxy forwards calls from the nodes to the table of a System. The function set by Decide
@@ -33,7 +33,7 @@
 	table string
 
 	mu            sync.Mutex
-	decide        func(tx row.Tx) Fate
+	decide        func(tx row.Tx) Action
 	lostResponses chan struct{} // receives a value when a transaction took effect whose response is lost
 }
 
@@ -41,7 +41,7 @@
 const maxLostResponses = 64
 
 // Between starts a Proxy in front of the table. Nodes that start afterwards use it.
-func (s *System) Between() *Proxy {
+func (s *System) StartProxy() *Proxy {
 	p := &Proxy{table: s.Platform.Address("address"), lostResponses: make(chan struct{}, maxLostResponses)}
 	server := httptest.NewServer(p)
 	s.t.Cleanup(server.Close)
@@ -51,7 +51,7 @@
 
 // Decide sets the function that chooses what happens to subsequent transactions; nil
 // forwards all of them.
-func (p *Proxy) Decide(f func(tx row.Tx) Fate) {
+func (p *Proxy) SetAction(f func(tx row.Tx) Action) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.decide = f
@@ -60,12 +60,12 @@
 // AwaitLost waits until a transaction with fate Lose has taken effect. A node that is killed
 // in the meantime breaks its caller's connection earlier, so the caller's view doesn't show
 // whether the transaction took effect.
-func (p *Proxy) AwaitLost() { <-p.lostResponses }
+func (p *Proxy) AwaitDroppedResponse() { <-p.lostResponses }
 
 // Claims calls f for transactions that move a claim into the given state, and forwards all
 // others.
-func (p *Proxy) Claims(state claim.State, f func(c claim.Claim) Fate) {
-	p.Decide(func(tx row.Tx) Fate {
+func (p *Proxy) OnClaims(state claim.State, f func(c claim.Claim) Action) {
+	p.SetAction(func(tx row.Tx) Action {
 		for _, w := range tx.Writes {
 			c, found, err := claim.Decode(row.Row{Key: w.Key, Value: w.Value, Revision: 1})
 			if strings.HasPrefix(w.Key, claim.Prefix) && err == nil && found && c.State == state {
@@ -86,7 +86,7 @@
 	if strings.HasSuffix(r.URL.Path, "/transact") {
 		action = p.action(body)
 	}
-	if action == Drop {
+	if action == DropRequest {
 		panic(http.ErrAbortHandler)
 	}
 	resp, err := http.Post("http://"+p.table+r.URL.Path, r.Header.Get("Content-Type"), bytes.NewReader(body))
@@ -95,13 +95,13 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(resp.Body)
-	if action == Lose {
+	if action == DropResponse {
 		select {
 		case p.lostResponses <- struct{}{}:
 		default:
 		}
 	}
-	if err != nil || action == Lose {
+	if err != nil || action == DropResponse {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(resp.StatusCode)
@@ -109,7 +109,7 @@
 }
 
 // action returns what to do with a transaction.
-func (p *Proxy) action(body []byte) Fate {
+func (p *Proxy) action(body []byte) Action {
 	p.mu.Lock()
 	decide := p.decide
 	p.mu.Unlock()
@@ -121,8 +121,8 @@
 }
 
 // Repeat sends the same call to all given nodes concurrently.
-func (s *System) Repeat(nodes []int, path, body, key string) []Answer {
-	answers := make([]Answer, len(nodes))
+func (s *System) PostAll(nodes []int, path, body, key string) []Response {
+	answers := make([]Response, len(nodes))
 	var wg sync.WaitGroup
 	for k, i := range nodes {
 		wg.Go(func() { answers[k] = s.Do(i, http.MethodPost, path, body, "Idempotency-Key", key) })
--- a/internal/testbed/session/retry_test.go
+++ b/internal/testbed/session/retry_test.go
@@ -29,7 +29,7 @@
 		t.Run(outage, func(t *testing.T) {
 			t.Parallel()
 			const workers, perWorker = 40, 8
-			doc := allCopies(session.Small(t, 4, 1))
+			doc := allCopies(session.SmallDocument(t, 4, 1))
 			for i := range doc.Servers {
 				if doc.Servers[i].Type == config.Engine {
 					doc.Servers[i].Slots = 2
@@ -46,7 +46,7 @@
 					wg.Go(func() {
 						for i := range n {
 							sent.Add(1)
-							a := s.Do(w%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint(phase, w, " ", i), 15))
+							a := s.Do(w%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint(phase, w, " ", i), 15))
 							if a.Status == http.StatusOK {
 								done.Add(1)
 							}
@@ -64,9 +64,9 @@
 				case "killed":
 					s.Servers[name].Kill()
 				case "down":
-					s.Fault(s.Servers[name], "/fault", downFault)
+					s.SetFaults(s.Servers[name], "/fault", downFault)
 				case "refusing":
-					s.Fault(s.Servers[name], "/fault", `{"refuse":true}`)
+					s.SetFaults(s.Servers[name], "/fault", `{"refuse":true}`)
 				}
 			}
 			work(perWorker, "outage ")
@@ -87,7 +87,7 @@
 func TestInvariantRetriesOfServiceCalls(t *testing.T) {
 	t.Parallel()
 	const workers, perWorker = 32, 25
-	doc := session.Small(t, 1, 4)
+	doc := session.SmallDocument(t, 1, 4)
 	doc.Services[0].Path = "/records/"
 	doc.Services[0].Calls = []config.Call{{Method: http.MethodGet, Path: "", Kind: "booking-read"}}
 	s := session.New(t, doc, session.Options{Service: []string{"-work", "30ms", "-slots", "2"}})
@@ -101,8 +101,8 @@
 		}
 		return n
 	}
-	s.Fault(s.Servers["desk-1"], "/fault", `{"refuse":true}`)
-	s.Fault(s.Servers["desk-2"], "/fault", downFault)
+	s.SetFaults(s.Servers["desk-1"], "/fault", `{"refuse":true}`)
+	s.SetFaults(s.Servers["desk-2"], "/fault", downFault)
 	before := offeredCalls()
 	var done atomic.Int64
 	var wg sync.WaitGroup
--- a/internal/testbed/session/session_test.go
+++ b/internal/testbed/session/session_test.go
@@ -25,41 +25,41 @@
 // each in its own process.
 func TestSession(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 	s.StartNodes(2)
 	var r session.Transcript
 
 	r.Step("models that the team crew may call")
-	r.Answer(s.Do(0, http.MethodGet, "/v1/models", ""))
+	r.Response(s.Do(0, http.MethodGet, "/v1/models", ""))
 	r.Step("models that the team rival may call")
-	r.Answer(s.Do(1, http.MethodGet, "/v1/models", "", "Authorization", "Bearer "+session.OtherKey))
+	r.Response(s.Do(1, http.MethodGet, "/v1/models", "", "Authorization", "Bearer "+session.OtherKey))
 	r.Step("a key that nobody has")
-	r.Answer(s.Do(1, http.MethodGet, "/v1/models", "", "Authorization", "Bearer nobody"))
+	r.Response(s.Do(1, http.MethodGet, "/v1/models", "", "Authorization", "Bearer nobody"))
 
 	for node := range s.Nodes {
 		r.Step("a whole answer, asked of node %d", node+1)
-		r.Answer(s.Do(node, http.MethodPost, chat, `{"model":"drafter","max_tokens":3,`+prompt+`}`))
+		r.Response(s.Do(node, http.MethodPost, chat, `{"model":"drafter","max_tokens":3,`+prompt+`}`))
 		r.Step("a streamed answer of an adapter, asked of node %d", node+1)
-		r.Answer(s.Do(node, http.MethodPost, chat, `{"model":"shire-style","stream":true,"max_tokens":3,`+prompt+`}`))
+		r.Response(s.Do(node, http.MethodPost, chat, `{"model":"shire-style","stream":true,"max_tokens":3,`+prompt+`}`))
 	}
 	r.Step("a model of another team")
-	r.Answer(s.Do(0, http.MethodPost, chat, `{"model":"drafter",`+prompt+`}`, "Authorization", "Bearer "+session.OtherKey))
+	r.Response(s.Do(0, http.MethodPost, chat, `{"model":"drafter",`+prompt+`}`, "Authorization", "Bearer "+session.OtherKey))
 	r.Step("a body that is not JSON")
-	r.Answer(s.Do(0, http.MethodPost, chat, `{"model":`))
+	r.Response(s.Do(0, http.MethodPost, chat, `{"model":`))
 	r.Step("a kind that is not declared")
-	r.Answer(s.Do(0, http.MethodPost, chat, `{"model":"drafter",`+prompt+`}`, "X-Kind", "none"))
+	r.Response(s.Do(0, http.MethodPost, chat, `{"model":"drafter",`+prompt+`}`, "X-Kind", "none"))
 
 	r.Step("a booking")
-	r.Answer(s.Do(0, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1"))
+	r.Response(s.Do(0, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1"))
 	r.Step("the same booking through the other node")
-	var repeated session.Answer
+	var repeated session.Response
 	s.Eventually("the stored response", func() bool {
 		repeated = s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B12"}`, "Idempotency-Key", "k1")
 		return repeated.Status != http.StatusConflict
 	})
-	r.Answer(repeated)
+	r.Response(repeated)
 	r.Step("the same key with another body")
-	r.Answer(s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B13"}`, "Idempotency-Key", "k1"))
+	r.Response(s.Do(1, http.MethodPost, "/bookings/confirm", `{"section":"B13"}`, "Idempotency-Key", "k1"))
 	require.Equal(t, 1, s.Runs("desk-1", "/bookings/confirm"))
 
 	r.Step("a configuration with a new version of drafter")
@@ -69,7 +69,7 @@
 	r.Text(out)
 	s.WaitResident()
 	r.Step("the new version answers")
-	r.Answer(s.Do(0, http.MethodPost, chat, `{"model":"drafter","max_tokens":3,`+prompt+`}`))
+	r.Response(s.Do(0, http.MethodPost, chat, `{"model":"drafter","max_tokens":3,`+prompt+`}`))
 	r.Step("both nodes are stopped")
 	for _, n := range s.Nodes {
 		require.Equal(t, 0, n.Terminate(), n.Log())
--- a/internal/testbed/session/silent_test.go
+++ b/internal/testbed/session/silent_test.go
@@ -38,7 +38,7 @@
 }
 
 // requireServedWithin checks that a request succeeds within a time limit.
-func requireServedWithin(t *testing.T, bound time.Duration, send func() session.Answer) {
+func requireServedWithin(t *testing.T, bound time.Duration, send func() session.Response) {
 	t.Helper()
 	begin := time.Now()
 	a := send()
@@ -71,11 +71,13 @@
 // openConnections opens several connections from each node to each server.
 func openConnections(t *testing.T, s *session.System) {
 	var wg sync.WaitGroup
-	answers := make(chan session.Answer, 64)
+	answers := make(chan session.Response, 64)
 	for node := range s.Nodes {
 		for i := range 8 {
 			wg.Go(func() { answers <- s.Do(node, http.MethodGet, "/records/7", "") })
-			wg.Go(func() { answers <- s.Do(node, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint(i), 3)) })
+			wg.Go(func() {
+				answers <- s.Do(node, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint(i), 3))
+			})
 		}
 	}
 	wg.Wait()
@@ -87,19 +89,19 @@
 
 // testSilentHops makes the connections of the hops go silent, one hop after another.
 func testSilentHops(t *testing.T, hops []hop) {
-	s := session.New(t, withRecords(allCopies(session.Small(t, 2, 2))), session.Options{Service: []string{"-work", "50ms"}})
+	s := session.New(t, withRecords(allCopies(session.SmallDocument(t, 2, 2))), session.Options{Service: []string{"-work", "50ms"}})
 	s.StartNodes(2)
-	read := func(node int) func() session.Answer {
-		return func() session.Answer { return s.Do(node, http.MethodGet, "/records/7", "") }
+	read := func(node int) func() session.Response {
+		return func() session.Response { return s.Do(node, http.MethodGet, "/records/7", "") }
 	}
-	book := func(node int, key string) func() session.Answer {
-		return func() session.Answer {
+	book := func(node int, key string) func() session.Response {
+		return func() session.Response {
 			return s.Do(node, http.MethodPost, "/bookings/confirm", fmt.Sprintf("%q", key), "Idempotency-Key", key)
 		}
 	}
-	draft := func(node, i int) func() session.Answer {
-		return func() session.Answer {
-			return s.Do(node, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("draft ", i), 5))
+	draft := func(node, i int) func() session.Response {
+		return func() session.Response {
+			return s.Do(node, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("draft ", i), 5))
 		}
 	}
 	for _, hop := range hops {
@@ -110,10 +112,10 @@
 		}
 		streams := make([]*session.Stream, 4)
 		for i := range streams {
-			streams[i] = s.Stream(i%2, session.Chat("drafter", fmt.Sprint(hop, i), 60))
+			streams[i] = s.Stream(i%2, session.StreamedChat("drafter", fmt.Sprint(hop, i), 60))
 			require.True(t, streams[i].Read(1), streams[i].Error)
 		}
-		s.Fault(p, hop.path, silentFault)
+		s.SetFaults(p, hop.path, silentFault)
 		begin := time.Now()
 		for node := range s.Nodes { // the first requests that may meet a silent connection
 			requireServedWithin(t, endBound, read(node))
@@ -122,7 +124,7 @@
 		}
 		for i, st := range streams {
 			require.True(t, st.Read(-1), "%s: %v %s", hop, st.Err, st.Error)
-			require.Equal(t, session.Expect("drafter@1", fmt.Sprint(hop, i), 60), st.Tokens)
+			require.Equal(t, session.ExpectedTokens("drafter@1", fmt.Sprint(hop, i), 60), st.Tokens)
 		}
 		require.Less(t, time.Since(begin), endBound, hop)
 		t.Logf("%s: all requests ended after %v", hop, time.Since(begin).Round(time.Millisecond))
@@ -134,7 +136,7 @@
 		begin = time.Now()
 		openConnections(t, s) // concurrent requests use all kept-alive connections
 		require.Less(t, time.Since(begin), promptBound)
-		s.Fault(p, hop.path, "{}")
+		s.SetFaults(p, hop.path, "{}")
 	}
 }
 
@@ -143,18 +145,18 @@
 // must run once, and the next booking must be served promptly.
 func TestInvariantSilentBooking(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, session.Small(t, 1, 1), session.Options{Service: []string{"-work", "300ms"}})
+	s := session.New(t, session.SmallDocument(t, 1, 1), session.Options{Service: []string{"-work", "300ms"}})
 	s.StartNodes(2)
-	first := make(chan session.Answer, 1)
+	first := make(chan session.Response, 1)
 	go func() {
 		first <- s.Do(0, http.MethodPost, "/bookings/confirm", `"one"`, "Idempotency-Key", "one", "X-Deadline-Ms", "2000")
 	}()
 	s.Eventually("the booking to run", func() bool { return runsWithBody(s, `"one"`) == 1 })
-	s.Fault(s.Servers["desk-1"], "/fault", silentFault)
-	requireServedWithin(t, promptBound, func() session.Answer {
+	s.SetFaults(s.Servers["desk-1"], "/fault", silentFault)
+	requireServedWithin(t, promptBound, func() session.Response {
 		return s.Do(1, http.MethodPost, "/bookings/confirm", `"two"`, "Idempotency-Key", "two")
 	})
-	answers := append(s.Repeat([]int{0, 1}, "/bookings/confirm", `"one"`, "one"), <-first)
+	answers := append(s.PostAll([]int{0, 1}, "/bookings/confirm", `"one"`, "one"), <-first)
 	requireAtMostOnce(t, s, `"one"`, answers)
 	for _, a := range answers {
 		require.Equal(t, "unknown", a.Header.Get("X-Outcome"), a.Body)
@@ -165,25 +167,25 @@
 // forward to it must be served in another way, and later requests promptly.
 func TestInvariantSilentNode(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 2, 1)), session.Options{})
 	s.StartNodes(3)
 	frozen := s.Owner(0, "gpu-1")
 	require.GreaterOrEqual(t, frozen, 0)
 	others := allExcept(3, frozen)
 	for _, i := range others { // opens connections between nodes
 		for k := range 4 {
-			requireServedWithin(t, promptBound, func() session.Answer {
-				return s.Do(i, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("warm ", k), 3))
+			requireServedWithin(t, promptBound, func() session.Response {
+				return s.Do(i, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("warm ", k), 3))
 			})
 		}
 	}
 	s.Nodes[frozen].Signal(syscall.SIGSTOP)
 	var wg sync.WaitGroup
-	answers := make([]session.Answer, 12)
+	answers := make([]session.Response, 12)
 	begin := time.Now()
 	for k := range answers {
 		wg.Go(func() {
-			answers[k] = s.Do(others[k%2], http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("frozen ", k), 5))
+			answers[k] = s.Do(others[k%2], http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("frozen ", k), 5))
 		})
 	}
 	wg.Wait()
@@ -192,14 +194,14 @@
 	}
 	require.Less(t, time.Since(begin), endBound)
 	for k := range 8 {
-		requireServedWithin(t, promptBound, func() session.Answer {
-			return s.Do(others[k%2], http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("later ", k), 5))
+		requireServedWithin(t, promptBound, func() session.Response {
+			return s.Do(others[k%2], http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("later ", k), 5))
 		})
 	}
 	s.Nodes[frozen].Signal(syscall.SIGCONT)
 	s.WaitNodes(3)
-	requireServedWithin(t, promptBound, func() session.Answer {
-		return s.Do(frozen, http.MethodPost, chat, session.Whole("drafter", "awake", 5))
+	requireServedWithin(t, promptBound, func() session.Response {
+		return s.Do(frozen, http.MethodPost, chat, session.UnstreamedChat("drafter", "awake", 5))
 	})
 }
 
@@ -208,9 +210,9 @@
 // the node must stop gracefully although both connections stay open.
 func TestInvariantSilentCaller(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 1, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 1, 1)), session.Options{})
 	s.StartNodes(1)
-	body := session.Chat("drafter", "nobody reads", 100)
+	body := session.StreamedChat("drafter", "nobody reads", 100)
 	for _, text := range []string{
 		"POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nContent-Length: 1000\r\n\r\n{",
 		fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -223,8 +225,8 @@
 		require.NoError(t, err)
 	}
 	for i := range 5 {
-		requireServedWithin(t, promptBound, func() session.Answer {
-			return s.Do(0, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("beside ", i), 5))
+		requireServedWithin(t, promptBound, func() session.Response {
+			return s.Do(0, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("beside ", i), 5))
 		})
 	}
 	begin := time.Now()
--- a/internal/testbed/session/stop_test.go
+++ b/internal/testbed/session/stop_test.go
@@ -24,7 +24,7 @@
 func TestInvariantStopRightAfterStart(t *testing.T) {
 	t.Parallel()
 	const nodes, rounds = 4, 4
-	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 	s.StartNodes(nodes)
 	var wg sync.WaitGroup
 	for i, n := range s.Nodes {
--- a/internal/testbed/session/stream.go
+++ b/internal/testbed/session/stream.go
@@ -28,18 +28,18 @@
 }
 
 // Chat returns the body of a streamed chat request.
-func Chat(model, prompt string, tokens int) string {
+func StreamedChat(model, prompt string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, model, tokens, prompt)
 }
 
 // Whole returns the body of a chat request that is not streamed.
-func Whole(model, prompt string, tokens int) string {
-	return strings.Replace(Chat(model, prompt, tokens), `"stream":true,`, "", 1)
+func UnstreamedChat(model, prompt string, tokens int) string {
+	return strings.Replace(StreamedChat(model, prompt, tokens), `"stream":true,`, "", 1)
 }
 
 // Expect returns the tokens that the stand-in engine generates for a chat with one user
 // message. item is "name@version", or "base+name@version" for an adapter.
-func Expect(item, prompt string, tokens int) []string {
+func ExpectedTokens(item, prompt string, tokens int) []string {
 	out := make([]string, tokens)
 	for i := range out {
 		h := xxhash.Sum64String(fmt.Sprintf("%s\x00user: %s\n\x00%d", item, prompt, i))
--- a/internal/testbed/session/stream_test.go
+++ b/internal/testbed/session/stream_test.go
@@ -35,14 +35,14 @@
 func ownerAndOther(s *session.System, st *session.Stream) (owner, other int) {
 	server := st.Last[strings.LastIndex(st.Last, ".")+1:]
 	for i, n := range s.Nodes {
-		if n.Ended() {
+		if n.Exited() {
 			continue
 		}
 		owner = s.Owner(i, server)
 		break
 	}
 	for i := range s.Nodes {
-		if i != owner && !s.Nodes[i].Ended() {
+		if i != owner && !s.Nodes[i].Exited() {
 			return owner, i
 		}
 	}
@@ -56,15 +56,15 @@
 	for _, victim := range []string{"entry", "owner", "owner frozen"} {
 		t.Run(victim, func(t *testing.T) {
 			t.Parallel()
-			s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
+			s := session.New(t, allCopies(session.SmallDocument(t, 2, 1)), session.Options{})
 			s.StartNodes(3)
-			probe := s.Stream(0, session.Chat("drafter", "who owns", 2))
+			probe := s.Stream(0, session.StreamedChat("drafter", "who owns", 2))
 			require.True(t, probe.Read(-1))
 			// Open a stream whose entry node does not own its engine.
 			var st *session.Stream
 			var owner, entry int
 			for entry = range s.Nodes {
-				st = s.Stream(entry, session.Chat("drafter", "a long plan", streamTokens))
+				st = s.Stream(entry, session.StreamedChat("drafter", "a long plan", streamTokens))
 				require.True(t, st.Read(10), st.Error)
 				if owner, _ = ownerAndOther(s, st); owner != entry {
 					break
@@ -77,14 +77,14 @@
 				s.Nodes[entry].Kill()
 				require.False(t, st.Read(-1))
 				_, third := ownerAndOther(s, st)
-				s.Resume(st, third, session.Chat("drafter", "a long plan", streamTokens))
+				s.Resume(st, third, session.StreamedChat("drafter", "a long plan", streamTokens))
 			case "owner":
 				s.Nodes[owner].Kill()
 			case "owner frozen":
 				s.Nodes[owner].Signal(syscall.SIGSTOP)
 			}
 			require.True(t, st.Read(-1), "%v %s", st.Err, st.Error)
-			require.Equal(t, session.Expect("drafter@1", "a long plan", streamTokens), st.Tokens)
+			require.Equal(t, session.ExpectedTokens("drafter@1", "a long plan", streamTokens), st.Tokens)
 		})
 	}
 }
@@ -93,10 +93,10 @@
 // must end with an error, never as a truncated success.
 func TestInvariantServerKilledMidStream(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 2, 1)), session.Options{})
 	s.StartNodes(2)
 	for node := range s.Nodes {
-		st := s.Stream(node, session.Chat("drafter", "cut", streamTokens))
+		st := s.Stream(node, session.StreamedChat("drafter", "cut", streamTokens))
 		require.True(t, st.Read(10), st.Error)
 		if node == 0 {
 			s.Servers[st.Last[strings.LastIndex(st.Last, ".")+1:]].Kill()
@@ -113,14 +113,14 @@
 // team's resume token.
 func TestInvariantStreamOfAnotherTeam(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 1, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 1, 1)), session.Options{})
 	s.StartNodes(2)
-	st := s.Stream(0, session.Chat("checker", "secret", streamTokens))
+	st := s.Stream(0, session.StreamedChat("checker", "secret", streamTokens))
 	require.True(t, st.Read(5))
-	a := s.Do(1, http.MethodPost, chat, session.Chat("checker", "secret", streamTokens),
+	a := s.Do(1, http.MethodPost, chat, session.StreamedChat("checker", "secret", streamTokens),
 		"Authorization", "Bearer "+session.OtherKey, "Last-Event-ID", st.Last)
 	require.NotEqual(t, http.StatusOK, a.Status, a.Body)
-	require.NotContains(t, a.Body, session.Expect("checker@1", "secret", 6)[5])
+	require.NotContains(t, a.Body, session.ExpectedTokens("checker@1", "secret", 6)[5])
 	require.True(t, st.Read(-1), st.Error)
 }
 
@@ -130,7 +130,7 @@
 func TestInvariantGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	const nodes = 8
-	s := session.New(t, allCopies(session.Small(t, 3, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 3, 1)), session.Options{})
 	s.StartNodes(nodes)
 	for i := range nodes - 1 {
 		var wg sync.WaitGroup
@@ -141,21 +141,21 @@
 			if k >= 3 {
 				at = nodes - 1
 			}
-			streams[k] = s.Stream(at, session.Chat("drafter", prompt, 150))
+			streams[k] = s.Stream(at, session.StreamedChat("drafter", prompt, 150))
 			require.True(t, streams[k].Read(3), streams[k].Error)
 			wg.Go(func() { streams[k].Read(-1) })
 		}
 		code := -1
 		wg.Go(func() { code = s.Nodes[i].Terminate() })
 		for range 10 {
-			a := s.Do(nodes-1, http.MethodPost, chat, session.Whole("checker", "meanwhile", 4))
+			a := s.Do(nodes-1, http.MethodPost, chat, session.UnstreamedChat("checker", "meanwhile", 4))
 			require.Equal(t, http.StatusOK, a.Status, a.Body)
 		}
 		wg.Wait()
 		require.Equal(t, 0, code, s.Nodes[i].Log())
 		for k, st := range streams {
 			require.True(t, st.Done, "node %d stream %d: %v %s", i, k, st.Err, st.Error)
-			require.Equal(t, session.Expect("drafter@1", fmt.Sprintf("stream %d of node %d", k, i), 150), st.Tokens)
+			require.Equal(t, session.ExpectedTokens("drafter@1", fmt.Sprintf("stream %d of node %d", k, i), 150), st.Tokens)
 		}
 	}
 }
@@ -165,25 +165,25 @@
 func TestInvariantOwnAnswer(t *testing.T) {
 	t.Parallel()
 	const callers = 1000
-	doc := allCopies(session.Small(t, 4, 1))
+	doc := allCopies(session.SmallDocument(t, 4, 1))
 	for i := range doc.Kinds {
 		doc.Kinds[i].DeadlineMS = 120_000
 	}
 	doc.Limits.QueuePerServer = callers
 	s := session.New(t, doc, session.Options{Engine: map[string][]string{"": {"-step", "1ms"}}})
 	s.StartNodes(3)
-	answers := make([]session.Answer, callers)
+	answers := make([]session.Response, callers)
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			answers[i] = s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", fmt.Sprint("prompt ", i/2), 1+i%7))
+			answers[i] = s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("prompt ", i/2), 1+i%7))
 		})
 	}
 	wg.Wait()
 	for i, a := range answers {
 		require.NoError(t, a.Err)
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
-		want := strings.Join(session.Expect("drafter@1", fmt.Sprint("prompt ", i/2), 1+i%7), "")
+		want := strings.Join(session.ExpectedTokens("drafter@1", fmt.Sprint("prompt ", i/2), 1+i%7), "")
 		require.Contains(t, a.Body, fmt.Sprintf(`"content":%q`, want))
 	}
 }
@@ -193,17 +193,19 @@
 // or be told that it is in progress, and another body with the same key must be refused.
 func TestInvariantGenerationAtMostOnce(t *testing.T) {
 	t.Parallel()
-	s := session.New(t, allCopies(session.Small(t, 2, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 2, 1)), session.Options{})
 	s.StartNodes(3)
 	header := []string{"X-Kind", "signed-plan", "Idempotency-Key", "plan-7"}
 	before := generationsRun(s)
-	answers := make([]session.Answer, 9)
+	answers := make([]session.Response, 9)
 	var wg sync.WaitGroup
 	for i := range answers {
-		wg.Go(func() { answers[i] = s.Do(i%3, http.MethodPost, chat, session.Whole("drafter", "sign", 30), header...) })
+		wg.Go(func() {
+			answers[i] = s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", "sign", 30), header...)
+		})
 	}
 	wg.Wait()
-	want := strings.Join(session.Expect("drafter@1", "sign", 30), "")
+	want := strings.Join(session.ExpectedTokens("drafter@1", "sign", 30), "")
 	done := 0
 	for _, a := range answers {
 		require.NoError(t, a.Err)
@@ -215,10 +217,10 @@
 		require.Equal(t, "in-progress", a.Header.Get("X-Reason"), a.Body)
 	}
 	require.Positive(t, done)
-	conflicting := s.Stream(2, session.Chat("drafter", "sign", 30), header...)
+	conflicting := s.Stream(2, session.StreamedChat("drafter", "sign", 30), header...)
 	require.False(t, conflicting.Read(-1), "another body under the same key")
 	require.Equal(t, http.StatusUnprocessableEntity, conflicting.Status)
-	stored := s.Do(2, http.MethodPost, chat, session.Whole("drafter", "sign", 30), header...)
+	stored := s.Do(2, http.MethodPost, chat, session.UnstreamedChat("drafter", "sign", 30), header...)
 	require.Equal(t, http.StatusOK, stored.Status)
 	require.Contains(t, stored.Body, want)
 	require.Equal(t, before+1, generationsRun(s))
@@ -238,7 +240,7 @@
 func TestInvariantNewConnectionsAreAnswered(t *testing.T) {
 	t.Parallel()
 	const callers, each = 8, 1000
-	s := session.New(t, allCopies(session.Small(t, 1, 1)), session.Options{})
+	s := session.New(t, allCopies(session.SmallDocument(t, 1, 1)), session.Options{})
 	s.StartNodes(1)
 	failed := make(chan string, callers*each)
 	var wg sync.WaitGroup
--- a/internal/testbed/session/system.go
+++ b/internal/testbed/session/system.go
@@ -65,7 +65,7 @@
 	}
 
 	// Answer is the response that a caller received.
-	Answer struct {
+	Response struct {
 		Status int
 		Header http.Header
 		Body   string
@@ -128,7 +128,7 @@
 func (s *System) WaitOwners() {
 	var live []string
 	for _, n := range s.Nodes {
-		if !n.Ended() {
+		if !n.Exited() {
 			live = append(live, n.Name)
 		}
 	}
@@ -218,7 +218,7 @@
 }
 
 // ApplyFrom applies a document and waits for one node only, for use while others are frozen.
-func (s *System) ApplyFrom(node int, doc *config.Document) {
+func (s *System) ApplyOnNode(node int, doc *config.Document) {
 	body, err := json.Marshal(doc)
 	require.NoError(s.t, err)
 	require.NoError(s.t, os.WriteFile(s.documentFile, body, 0o600))
@@ -234,7 +234,7 @@
 func (s *System) operatorAddresses() string {
 	var all []string
 	for _, n := range s.Nodes {
-		if !n.Ended() {
+		if !n.Exited() {
 			all = append(all, n.Address("operators"))
 		}
 	}
@@ -301,7 +301,7 @@
 // everyNode reports whether the status of every running node satisfies a condition.
 func (s *System) everyNode(condition func(r status.Report) bool) bool {
 	for i, n := range s.Nodes {
-		if n.Ended() {
+		if n.Exited() {
 			continue
 		}
 		r, err := s.Status(i)
@@ -359,14 +359,14 @@
 
 // Do sends a request to a node as a caller and returns the complete response. header holds
 // alternating names and values; the API key is Key unless header sets Authorization.
-func (s *System) Do(node int, method, path, body string, header ...string) Answer {
+func (s *System) Do(node int, method, path, body string, header ...string) Response {
 	resp, err := s.Open(node, method, path, body, header...)
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(b), Err: err}
+	return Response{Status: resp.StatusCode, Header: resp.Header, Body: string(b), Err: err}
 }
 
 // Open sends a request to a node as a caller, on a new connection, and returns when the
@@ -384,7 +384,7 @@
 }
 
 // Fault configures the faults of a stand-in.
-func (s *System) Fault(p *Process, path string, faults string) {
+func (s *System) SetFaults(p *Process, path string, faults string) {
 	resp, err := http.Post("http://"+p.Address("address")+path, "application/json", strings.NewReader(faults))
 	require.NoError(s.t, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -403,7 +403,7 @@
 func (s *System) Journal() []service.Run {
 	var all []service.Run
 	for _, b := range s.Document.Servers {
-		if p := s.Servers[b.Name]; b.Type == config.Service && !p.Ended() {
+		if p := s.Servers[b.Name]; b.Type == config.Service && !p.Exited() {
 			var j service.Journal
 			s.getJSON(p, "/journal", &j)
 			all = append(all, j.Runs...)
@@ -427,10 +427,10 @@
 
 // Ran returns how many requests began to run at all running backend servers, from the
 // servers' own counters.
-func (s *System) Ran() int64 {
+func (s *System) RequestsStarted() int64 {
 	n := int64(0)
 	for _, p := range s.Servers {
-		if !p.Ended() {
+		if !p.Exited() {
 			n += s.Counters(p)["runs"]
 		}
 	}
--- a/internal/testbed/session/transcript.go
+++ b/internal/testbed/session/transcript.go
@@ -45,7 +45,7 @@
 }
 
 // Answer records a response.
-func (r *Transcript) Answer(a Answer) {
+func (r *Transcript) Response(a Response) {
 	if a.Err != nil {
 		fmt.Fprintf(&r.b, "connection broke\n")
 	}
--- a/internal/testbed/soak/check.go
+++ b/internal/testbed/soak/check.go
@@ -14,7 +14,7 @@
 	// Violation is an observed breach of an invariant.
 	Violation struct {
 		Promise string // "whole", "twice", "not-run", "order", "config", "fence", "memory", "key", "quota", "leaving", "rest", "rate", "recover"
-		What    string
+		Detail  string
 	}
 
 	// Checker collects what clients and servers observed and checks it.
@@ -56,7 +56,7 @@
 }
 
 // Break records a violation of an invariant.
-func (c *Checker) Break(promise, format string, a ...any) {
+func (c *Checker) RecordViolation(promise, format string, a ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violations = append(c.violations, Violation{promise, fmt.Sprintf(format, a...)})
@@ -70,7 +70,7 @@
 }
 
 // Sent records a request. It must be called before the request is sent.
-func (c *Checker) Sent(id string, repeatable bool, who Caller) {
+func (c *Checker) RecordRequest(id string, repeatable bool, who Caller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.callers[id] = who
@@ -80,7 +80,7 @@
 }
 
 // Answered records the status of a response, 0 if there was none.
-func (c *Checker) Answered(id, node string, status int) {
+func (c *Checker) RecordResponse(id, node string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[fmt.Sprint(status)]++
@@ -105,48 +105,48 @@
 
 // Whole checks a successful response: that it belongs to the request, that it carries a
 // server's stamp, and that it is complete.
-func (c *Checker) Whole(id, gotID, stamp, body string, events int) {
+func (c *Checker) CheckResponse(id, gotID, stamp, body string, events int) {
 	switch {
 	case gotID != id:
-		c.Break("whole", "request %s got the response to %q", id, gotID)
+		c.RecordViolation("whole", "request %s got the response to %q", id, gotID)
 	case stamp == "":
-		c.Break("whole", "request %s got a response without a server's stamp", id)
+		c.RecordViolation("whole", "request %s got a response without a server's stamp", id)
 	case events == 0 && body != "answer":
-		c.Break("whole", "request %s got %q", id, body)
+		c.RecordViolation("whole", "request %s got %q", id, body)
 	case events > 0:
-		c.Order(id, body, events, true)
+		c.CheckEvents(id, body, events, true)
 	}
 }
 
 // Order checks the order of a stream's events. If the stream ended as complete, all events
 // must be present.
-func (c *Checker) Order(id, body string, events int, complete bool) {
+func (c *Checker) CheckEvents(id, body string, events int, complete bool) {
 	list := strings.Split(body, "\n\n")
 	received := list[:len(list)-1]
 	for i, e := range received {
 		if want := fmt.Sprintf("id: %d\ndata: event %d", i+1, i+1); e != want {
-			c.Break("order", "event %d of request %s is %q", i+1, id, e)
+			c.RecordViolation("order", "event %d of request %s is %q", i+1, id, e)
 			return
 		}
 	}
 	if complete && (len(received) != events || list[len(list)-1] != "") {
-		c.Break("order", "request %s ended as complete after %d of %d events", id, len(received), events)
+		c.RecordViolation("order", "request %s ended as complete after %d of %d events", id, len(received), events)
 	}
 }
 
 // Served records that a process served a route that only one configuration has.
-func (c *Checker) Served(process string, version int) {
+func (c *Checker) RecordServed(process string, version int) {
 	c.mu.Lock()
 	newestConfig := c.newestConfig[process]
 	c.newestConfig[process] = max(newestConfig, version)
 	c.mu.Unlock()
 	if version < newestConfig {
-		c.Break("config", "%s returned from configuration %d to %d", process, newestConfig, version)
+		c.RecordViolation("config", "%s returned from configuration %d to %d", process, newestConfig, version)
 	}
 }
 
 // Runs checks the requests that ran at servers against the responses that clients received.
-func (c *Checker) Runs(ids []string) {
+func (c *Checker) CheckRuns(ids []string) {
 	counts := map[string]int{}
 	for _, id := range ids {
 		counts[id]++
@@ -156,16 +156,16 @@
 	c.mu.Unlock()
 	for id, n := range counts {
 		if nonRepeatable[id] && n > 1 {
-			c.Break("twice", "request %s ran %d times", id, n)
+			c.RecordViolation("twice", "request %s ran %d times", id, n)
 		}
 		if node, ok := refusedNotRun[id]; ok && nonRepeatable[id] {
-			c.Break("not-run", "request %s ran although %s refused it as not run", id, node)
+			c.RecordViolation("not-run", "request %s ran although %s refused it as not run", id, node)
 		}
 	}
 }
 
 // Revoked records until when the keys of a configuration may be used.
-func (c *Checker) Revoked(version int, until time.Time) {
+func (c *Checker) RecordRevocation(version int, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.revoked[version]; !ok {
@@ -175,7 +175,7 @@
 
 // Keys checks the key and the team of the requests that a server ran, and records their
 // token usage.
-func (c *Checker) Keys(list []standin.RunRecord) {
+func (c *Checker) CheckKeys(list []standin.RunRecord) {
 	for _, ran := range list {
 		c.mu.Lock()
 		who, known := c.callers[ran.ID]
@@ -184,20 +184,20 @@
 		c.mu.Unlock()
 		switch {
 		case !known:
-			c.Break("key", "request %s ran but was never sent", ran.ID)
+			c.RecordViolation("key", "request %s ran but was never sent", ran.ID)
 		case ran.Key != "":
-			c.Break("key", "request %s reached a server with its API key", ran.ID)
+			c.RecordViolation("key", "request %s reached a server with its API key", ran.ID)
 		case ran.Team != who.Team:
-			c.Break("key", "request %s of team %s ran for team %q", ran.ID, who.Team, ran.Team)
+			c.RecordViolation("key", "request %s of team %s ran for team %q", ran.ID, who.Team, ran.Team)
 		case revoked && who.At.After(until):
-			c.Break("key", "request %s ran although it was sent %v after its key was no longer valid", ran.ID, who.At.Sub(until))
+			c.RecordViolation("key", "request %s ran although it was sent %v after its key was no longer valid", ran.ID, who.At.Sub(until))
 		}
 	}
 }
 
 // Quota checks that no more than the allowed number of a team's tokens were sent and ran
 // within any window.
-func (c *Checker) Quota(team string, window time.Duration, allowed float64) {
+func (c *Checker) CheckQuota(team string, window time.Duration, allowed float64) {
 	c.mu.Lock()
 	list := slices.Clone(c.tokenUsage[team])
 	c.mu.Unlock()
@@ -210,18 +210,18 @@
 			}
 		}
 		if float64(sum) > allowed {
-			c.Break("quota", "team %s had %d tokens served in %v, %.0f are allowed", team, sum, window, allowed)
+			c.RecordViolation("quota", "team %s had %d tokens served in %v, %.0f are allowed", team, sum, window, allowed)
 			return
 		}
 	}
 }
 
 // Orders checks that no epoch of an engine has orders from two nodes.
-func (c *Checker) Orders(engine string, orders []standin.OrderSender) {
+func (c *Checker) CheckOrders(engine string, orders []standin.OrderSender) {
 	nodes := map[int64]string{}
 	for _, o := range orders {
 		if h, ok := nodes[o.Fence]; ok && h != o.Holder {
-			c.Break("fence", "engine %s got orders from %s and %s under epoch %d", engine, h, o.Holder, o.Fence)
+			c.RecordViolation("fence", "engine %s got orders from %s and %s under epoch %d", engine, h, o.Holder, o.Fence)
 		}
 		nodes[o.Fence] = o.Holder
 	}
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -28,7 +28,7 @@
 		_ = n.signal(syscall.SIGSTOP) // fails only if the process has exited
 		time.Sleep(randomDuration(rng, 200, 3000))
 		_ = n.signal(syscall.SIGCONT)
-		r.check.Disturbed(n.settings.Node, began, time.Now(), false)
+		r.check.RecordDisturbance(n.settings.Node, began, time.Now(), false)
 	}},
 	{"reload", func(r *Run, rng *rand.Rand) { _ = r.randomNode(rng).signal(syscall.SIGHUP) }},
 	{"store-down", func(r *Run, rng *rand.Rand) {
@@ -99,10 +99,10 @@
 // degradeProxy sets the proxy of a node or server to a random fault mode for a while.
 func (r *Run) degradeProxy(name string, p *Proxy, rng *rand.Rand, maxMS int) {
 	began := time.Now()
-	defer func() { r.check.Disturbed(name, began, time.Now(), true) }()
-	p.Set(Mode(1 + rng.IntN(int(modes)-1)))
+	defer func() { r.check.RecordDisturbance(name, began, time.Now(), true) }()
+	p.SetMode(Mode(1 + rng.IntN(int(modes)-1)))
 	time.Sleep(randomDuration(rng, 200, maxMS))
-	p.Set(Pass)
+	p.SetMode(Pass)
 }
 
 // restart ends a node with a signal and starts it again. Restarts of one node don't overlap.
@@ -111,7 +111,7 @@
 	n.restartMu.Lock()
 	defer n.restartMu.Unlock()
 	began := time.Now()
-	defer func() { r.check.Disturbed(n.settings.Node, began, time.Now(), false) }()
+	defer func() { r.check.RecordDisturbance(n.settings.Node, began, time.Now(), false) }()
 	_ = n.signal(s)
 	kill := time.AfterFunc(time.Duration(graceS*float64(time.Second)), func() {
 		_ = n.signal(syscall.SIGCONT)
@@ -121,7 +121,7 @@
 	kill.Stop()
 	time.Sleep(randomDuration(rng, 10, 800))
 	if err := n.start(); err != nil {
-		r.check.Break("recover", "cannot start %s: %v", n.settings.Node, err)
+		r.check.RecordViolation("recover", "cannot start %s: %v", n.settings.Node, err)
 	}
 }
 
@@ -133,7 +133,7 @@
 		return
 	}
 	if err := r.addWorker(old.service, fmt.Sprintf("i-%x", rng.Uint32())); err != nil {
-		r.check.Break("recover", "cannot start a new server: %v", err)
+		r.check.RecordViolation("recover", "cannot start a new server: %v", err)
 		return
 	}
 	time.Sleep(randomDuration(rng, 100, 500))
--- a/internal/testbed/soak/limits.go
+++ b/internal/testbed/soak/limits.go
@@ -64,7 +64,7 @@
 		return
 	}
 	if err := r.addWorker(w.service, next); err != nil {
-		r.check.Break("recover", "cannot start a new server: %v", err)
+		r.check.RecordViolation("recover", "cannot start a new server: %v", err)
 		return
 	}
 	clock.Sleep(ctx, 300*time.Millisecond)
@@ -74,7 +74,7 @@
 }
 
 // Disturbed records that a node or server was stopped, paused or disconnected.
-func (c *Checker) Disturbed(name string, from, to time.Time, cut bool) {
+func (c *Checker) RecordDisturbance(name string, from, to time.Time, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disturbed[name] = append(c.disturbed[name], disturbance{from, to, cut})
@@ -107,12 +107,12 @@
 }
 
 // Needs checks the requests that a server got against the limits that it set for nodes.
-func (c *Checker) Needs(server string, list []standin.Visit) {
+func (c *Checker) CheckLimits(server string, list []standin.Visit) {
 	c.mu.Lock()
 	violations := slices.Concat(c.afterLeaving(server, list), c.duringBackoff(server, list), c.overRate(server, list))
 	c.mu.Unlock()
 	for _, v := range violations {
-		c.Break(v.Promise, "%s", v.What)
+		c.RecordViolation(v.Promise, "%s", v.Detail)
 	}
 }
 
--- a/internal/testbed/soak/load.go
+++ b/internal/testbed/soak/load.go
@@ -63,22 +63,22 @@
 		caller.Tokens = call.Tokens + standin.CallOutput
 	}
 	call.SetHeaders(req.Header)
-	r.check.Sent(id, repeatable, caller)
+	r.check.RecordRequest(id, repeatable, caller)
 	resp, err := c.Do(req)
 	if err != nil {
-		r.check.Answered(id, at.settings.Node, 0)
+		r.check.RecordResponse(id, at.settings.Node, 0)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	r.check.Answered(id, at.settings.Node, resp.StatusCode)
+	r.check.RecordResponse(id, at.settings.Node, resp.StatusCode)
 	switch {
 	case resp.StatusCode != http.StatusOK:
 	case err == nil:
 		whose, stamp := standin.IDAndStamp(resp.Header)
-		r.check.Whole(id, whose, stamp, string(b), events)
+		r.check.CheckResponse(id, whose, stamp, string(b), events)
 	case events > 0:
-		r.check.Order(id, string(b), events, false)
+		r.check.CheckEvents(id, string(b), events, false)
 	}
 }
 
@@ -133,7 +133,7 @@
 				}
 				req.Host = host
 				id := fmt.Sprintf("p%d-%s-%d", n, at.settings.Node, v)
-				r.check.Sent(id, true, Caller{Team: unlimitedTeam, Version: version, At: time.Now(), Tokens: standin.PlainTokens,
+				r.check.RecordRequest(id, true, Caller{Team: unlimitedTeam, Version: version, At: time.Now(), Tokens: standin.PlainTokens,
 					Node: at.settings.Node})
 				standin.Call{ID: id, Key: key(unlimitedTeam, version)}.SetHeaders(req.Header)
 				resp, err := c.Do(req)
@@ -142,7 +142,7 @@
 				}
 				_ = resp.Body.Close()
 				if resp.StatusCode == http.StatusOK && process == fmt.Sprintf("%s/%d", at.settings.Node, at.incarnation()) {
-					r.check.Served(process, v)
+					r.check.RecordServed(process, v)
 				}
 			}
 		}
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -53,7 +53,7 @@
 
 // Set changes the mode. Connections that went silent stay silent and only new ones work, as
 // when a device between the two ends has lost its connection state.
-func (p *Proxy) Set(m Mode) {
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -67,7 +67,7 @@
 // Close stops listening and resets all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	p.Set(Refuse)
+	p.SetMode(Refuse)
 }
 
 func (p *Proxy) currentMode() Mode {
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -103,7 +103,7 @@
 	r.faults.Wait()
 	r.clearFaults()
 	if !r.awaitRecovery(ctx, "end") && ctx.Err() == nil {
-		r.check.Break("recover", "some nodes do not serve requests %v after the last fault", recoveryTime)
+		r.check.RecordViolation("recover", "some nodes do not serve requests %v after the last fault", recoveryTime)
 	}
 	stop()
 	wg.Wait()
@@ -180,7 +180,7 @@
 			{Name: limitedTeam, Keys: []string{key(limitedTeam, version), key(limitedTeam, version-1)}, Rate: quotaRate, Burst: quotaBurst}}}
 	r.store.Put(platform.TableOperator, platform.KeyConfig, d.Configuration(version))
 	r.version.Store(int64(version))
-	r.check.Revoked(version-2, time.Now().Add(revocationDelay))
+	r.check.RecordRevocation(version-2, time.Now().Add(revocationDelay))
 }
 
 // refreshEntries rewrites the entries of the engines with their current state, as their
@@ -232,12 +232,12 @@
 func (r *Run) clearFaults() {
 	r.store.Outage(false)
 	for _, n := range r.nodes {
-		n.proxy.Set(Pass)
+		n.proxy.SetMode(Pass)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.workers {
-		w.proxy.Set(Pass)
+		w.proxy.SetMode(Pass)
 		w.SetScript(standin.OK)
 		w.SetRateLimit(0)
 		w.SetBackoff(0)
@@ -251,20 +251,20 @@
 	var ids []string
 	for _, w := range r.workers {
 		ids = append(ids, w.Runs()...)
-		r.check.Orders(w.ID, w.OrderSenders())
+		r.check.CheckOrders(w.ID, w.OrderSenders())
 		if most := w.MaxAdapters(); most > adapterSlots {
-			r.check.Break("memory", "engine %s was ordered to hold %d adapters, %d fit", w.ID, most, adapterSlots)
+			r.check.RecordViolation("memory", "engine %s was ordered to hold %d adapters, %d fit", w.ID, most, adapterSlots)
 		}
 		if most := w.MaxModels(); most*modelMB > engineMB {
-			r.check.Break("memory", "engine %s was ordered to hold %d models of %d MB, beyond its memory", w.ID, most, modelMB)
+			r.check.RecordViolation("memory", "engine %s was ordered to hold %d models of %d MB, beyond its memory", w.ID, most, modelMB)
 		}
 	}
-	r.check.Runs(ids)
+	r.check.CheckRuns(ids)
 	for _, w := range r.workers {
-		r.check.Keys(w.RunRecords())
-		r.check.Needs(w.ID, w.Visits())
+		r.check.CheckKeys(w.RunRecords())
+		r.check.CheckLimits(w.ID, w.Visits())
 	}
-	r.check.Quota(limitedTeam, quotaWindow, (quotaRate*quotaWindow.Seconds()+quotaBurst)*(1+quotaOverRatio)+quotaSlack)
+	r.check.CheckQuota(limitedTeam, quotaWindow, (quotaRate*quotaWindow.Seconds()+quotaBurst)*(1+quotaOverRatio)+quotaSlack)
 }
 
 // tearDown ends the processes that the soak started and releases its resources.
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -43,41 +43,41 @@
 // and that permitted behaviour is not reported.
 func TestChecksReportViolations(t *testing.T) {
 	for promise, trigger := range map[string]func(c *soak.Checker){
-		"whole": func(c *soak.Checker) { c.Whole("a", "b", "stamp", "answer", 0) },
-		"order": func(c *soak.Checker) { c.Whole("a", "a", "stamp", "id: 1\ndata: event 1\n\n", 2) },
+		"whole": func(c *soak.Checker) { c.CheckResponse("a", "b", "stamp", "answer", 0) },
+		"order": func(c *soak.Checker) { c.CheckResponse("a", "a", "stamp", "id: 1\ndata: event 1\n\n", 2) },
 		"twice": func(c *soak.Checker) {
-			c.Sent("a", false, soak.Caller{})
-			c.Runs([]string{"a", "a"})
+			c.RecordRequest("a", false, soak.Caller{})
+			c.CheckRuns([]string{"a", "a"})
 		},
 		"not-run": func(c *soak.Checker) {
-			c.Sent("a", false, soak.Caller{})
-			c.Answered("a", "n", 503)
-			c.Runs([]string{"a"})
+			c.RecordRequest("a", false, soak.Caller{})
+			c.RecordResponse("a", "n", 503)
+			c.CheckRuns([]string{"a"})
 		},
 		"config": func(c *soak.Checker) {
-			c.Served("n/1", 3)
-			c.Served("n/1", 2)
+			c.RecordServed("n/1", 3)
+			c.RecordServed("n/1", 2)
 		},
 		"key": func(c *soak.Checker) {
 			now := time.Now()
-			c.Revoked(1, now)
-			c.Sent("a", true, soak.Caller{Team: "t", Version: 1, At: now.Add(time.Second)})
-			c.Keys([]standin.RunRecord{{ID: "a", Team: "t"}})
+			c.RecordRevocation(1, now)
+			c.RecordRequest("a", true, soak.Caller{Team: "t", Version: 1, At: now.Add(time.Second)})
+			c.CheckKeys([]standin.RunRecord{{ID: "a", Team: "t"}})
 		},
 		"quota": func(c *soak.Checker) {
 			now := time.Now()
 			for _, id := range []string{"a", "b", "c"} {
-				c.Sent(id, true, soak.Caller{Team: "t", At: now, Tokens: 100})
-				c.Keys([]standin.RunRecord{{ID: id, Team: "t", At: now}})
+				c.RecordRequest(id, true, soak.Caller{Team: "t", At: now, Tokens: 100})
+				c.CheckKeys([]standin.RunRecord{{ID: id, Team: "t", At: now}})
 			}
-			c.Quota("t", time.Second, 200)
+			c.CheckQuota("t", time.Second, 200)
 		},
 		"leaving": func(c *soak.Checker) {
 			now := time.Now()
-			c.Sent("a", true, soak.Caller{Node: "n", At: now})
-			c.Answered("a", "n", 200)
-			c.Sent("b", true, soak.Caller{Node: "n", At: now.Add(3 * time.Second)})
-			c.Needs("s", []standin.Visit{{ID: "a", At: now, Draining: true}, {ID: "b", At: now.Add(3 * time.Second), Draining: true}})
+			c.RecordRequest("a", true, soak.Caller{Node: "n", At: now})
+			c.RecordResponse("a", "n", 200)
+			c.RecordRequest("b", true, soak.Caller{Node: "n", At: now.Add(3 * time.Second)})
+			c.CheckLimits("s", []standin.Visit{{ID: "a", At: now, Draining: true}, {ID: "b", At: now.Add(3 * time.Second), Draining: true}})
 		},
 		"rest": func(c *soak.Checker) {
 			now := time.Now()
@@ -85,21 +85,21 @@
 			for range 3 {
 				list = append(list, standin.Visit{ID: "a", At: now.Add(time.Second)})
 			}
-			c.Sent("a", true, soak.Caller{Node: "n", At: now})
-			c.Needs("s", list)
+			c.RecordRequest("a", true, soak.Caller{Node: "n", At: now})
+			c.CheckLimits("s", list)
 		},
 		"rate": func(c *soak.Checker) {
 			now := time.Now()
 			var list []standin.Visit
-			c.Sent("a", true, soak.Caller{Node: "n", At: now})
-			c.Answered("a", "n", 200)
+			c.RecordRequest("a", true, soak.Caller{Node: "n", At: now})
+			c.RecordResponse("a", "n", 200)
 			for i := range 20 {
 				list = append(list, standin.Visit{ID: "a", At: now.Add(time.Duration(i) * 250 * time.Millisecond), Rate: 1})
 			}
-			c.Needs("s", list)
+			c.CheckLimits("s", list)
 		},
 		"fence": func(c *soak.Checker) {
-			c.Orders("e", []standin.OrderSender{{Holder: "a", Fence: 1}, {Holder: "b", Fence: 1}})
+			c.CheckOrders("e", []standin.OrderSender{{Holder: "a", Fence: 1}, {Holder: "b", Fence: 1}})
 		},
 	} {
 		c := soak.NewChecker()
@@ -108,22 +108,22 @@
 		require.Equal(t, promise, c.Violations()[0].Promise)
 	}
 	c := soak.NewChecker()
-	c.Sent("a", true, soak.Caller{})
-	c.Answered("a", "n", 503)
-	c.Runs([]string{"a", "a"})
-	c.Served("n/1", 3)
-	c.Served("n/2", 2)
-	c.Revoked(1, time.Now())
-	c.Keys([]standin.RunRecord{{ID: "a"}})
-	c.Quota("", time.Second, 0)
-	c.Whole("a", "a", "stamp", "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", 2)
+	c.RecordRequest("a", true, soak.Caller{})
+	c.RecordResponse("a", "n", 503)
+	c.CheckRuns([]string{"a", "a"})
+	c.RecordServed("n/1", 3)
+	c.RecordServed("n/2", 2)
+	c.RecordRevocation(1, time.Now())
+	c.CheckKeys([]standin.RunRecord{{ID: "a"}})
+	c.CheckQuota("", time.Second, 0)
+	c.CheckResponse("a", "a", "stamp", "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", 2)
 	now := time.Now()
-	c.Sent("n", true, soak.Caller{Node: "n", At: now})
-	c.Answered("n", "n", 200)
-	c.Sent("m", true, soak.Caller{Node: "m", At: now.Add(3 * time.Second)})
-	c.Sent("late", true, soak.Caller{Node: "n", At: now.Add(3 * time.Second)})
-	c.Disturbed("n", now.Add(time.Second), now.Add(2*time.Second), false)
-	c.Needs("s", []standin.Visit{{ID: "n", At: now, Draining: true}, {ID: "m", At: now.Add(3 * time.Second), Draining: true},
+	c.RecordRequest("n", true, soak.Caller{Node: "n", At: now})
+	c.RecordResponse("n", "n", 200)
+	c.RecordRequest("m", true, soak.Caller{Node: "m", At: now.Add(3 * time.Second)})
+	c.RecordRequest("late", true, soak.Caller{Node: "n", At: now.Add(3 * time.Second)})
+	c.RecordDisturbance("n", now.Add(time.Second), now.Add(2*time.Second), false)
+	c.CheckLimits("s", []standin.Visit{{ID: "n", At: now, Draining: true}, {ID: "m", At: now.Add(3 * time.Second), Draining: true},
 		{ID: "late", At: now.Add(3 * time.Second), Draining: true}})
 	require.Empty(t, c.Violations(), "permitted behaviour must not be reported")
 }
--- a/internal/testbed/standin/engine/calls.go
+++ b/internal/testbed/standin/engine/calls.go
@@ -155,7 +155,7 @@
 			headerWritten = true
 			w.Header().Set("Content-Type", "application/x-ndjson")
 			w.WriteHeader(http.StatusOK)
-			after, cut = e.Faults.TakeCut()
+			after, cut = e.Faults.NextStreamCut()
 			if control.Flush() != nil {
 				return
 			}
@@ -224,7 +224,7 @@
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	e.mu.Lock()
-	out := e.boot.cache.Since(since, time.Now().Add(-e.CacheLag))
+	out := e.boot.cache.EventsSince(since, time.Now().Add(-e.CacheLag))
 	e.mu.Unlock()
 	fault.WriteJSON(w, http.StatusOK, out)
 }
--- a/internal/testbed/standin/engine/engine_test.go
+++ b/internal/testbed/standin/engine/engine_test.go
@@ -89,10 +89,10 @@
 		t.Run(fmt.Sprintf("checks-%t", checks), func(t *testing.T) {
 			e := &engine.Engine{MemoryBytes: 100, ChecksOrders: checks}
 			runSimulated(t, e, func(t *testing.T, h http.Handler) {
-				e.Faults.Put(fault.Faults{OrderDelayMS: 1000})
+				e.Faults.SetFaults(fault.Faults{OrderDelayMS: 1000})
 				require.Equal(t, http.StatusAccepted, order(h, backend.Order{OrderID: "late", Fence: 3, Op: backend.Load, Item: model, Bytes: 10}))
 				require.Equal(t, http.StatusOK, call(h, http.MethodPost, "/engine/v1/fence", ioengine.FenceRequest{Fence: 7}).Code)
-				e.Faults.Put(fault.Faults{})
+				e.Faults.SetFaults(fault.Faults{})
 				time.Sleep(2 * time.Second)
 				got := order(h, backend.Order{OrderID: "old", Fence: 6, Op: backend.Load, Item: nextVersion, Bytes: 10})
 				synctest.Wait()
@@ -178,7 +178,7 @@
 func TestLostOrder(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100}
 	runSimulated(t, e, func(t *testing.T, h http.Handler) {
-		e.Faults.Put(fault.Faults{LoseOrders: 1})
+		e.Faults.SetFaults(fault.Faults{LoseOrders: 1})
 		load := backend.Order{OrderID: "1", Op: backend.Load, Item: model, Bytes: 10}
 		require.Equal(t, http.StatusAccepted, order(h, load))
 		time.Sleep(time.Hour)
@@ -287,7 +287,7 @@
 	e := &engine.Engine{MemoryBytes: 100, Step: 10 * time.Millisecond}
 	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
-		e.Faults.Put(fault.Faults{CutStreams: 1, CutAfter: 3})
+		e.Faults.SetFaults(fault.Faults{CutStreams: 1, CutAfter: 3})
 		w := httptest.NewRecorder()
 		body, _ := json.Marshal(backend.Generate{RequestID: "r", Item: model, Prompt: "p", MaxTokens: 8})
 		require.PanicsWithValue(t, http.ErrAbortHandler, func() {
@@ -356,7 +356,7 @@
 	runSimulated(t, e, func(t *testing.T, h http.Handler) {
 		require.True(t, e.Preload(model, 10))
 		boot := e.State().Inventory.BootID
-		e.Faults.Put(fault.Faults{CrashOn: "poison"})
+		e.Faults.SetFaults(fault.Faults{CrashOn: "poison"})
 		for _, prompt := range []string{"innocent", "poison"} {
 			go func() {
 				defer func() { _ = recover() }()
@@ -407,7 +407,7 @@
 			require.Len(t, got, 21)
 		})
 		synctest.Wait()
-		e.Faults.Put(fault.Faults{Leaving: true})
+		e.Faults.SetFaults(fault.Faults{Leaving: true})
 		w := call(h, http.MethodPost, "/engine/v1/generate", backend.Generate{RequestID: "s", Item: model, Prompt: "p"})
 		require.Equal(t, http.StatusServiceUnavailable, w.Code)
 		require.Equal(t, "1", w.Header().Get(fault.NotRunHeader))
--- a/internal/testbed/standin/engine/memory/memory.go
+++ b/internal/testbed/standin/engine/memory/memory.go
@@ -75,7 +75,7 @@
 }
 
 // Base reports whether a version of a model other than except is resident.
-func (m *Memory) Base(model string, except backend.Item) bool {
+func (m *Memory) HasBase(model string, except backend.Item) bool {
 	for i, e := range m.Items {
 		if i.Base == "" && i.Name == model && i != except && e.State == backend.Resident {
 			return true
@@ -85,7 +85,7 @@
 }
 
 // Adapters reports whether an adapter of a model is present and not unloading.
-func (m *Memory) Adapters(model string) bool {
+func (m *Memory) HasAdapters(model string) bool {
 	for i, e := range m.Items {
 		if i.Base == model && e.State != backend.Unloading {
 			return true
--- a/internal/testbed/standin/engine/orders.go
+++ b/internal/testbed/standin/engine/orders.go
@@ -89,7 +89,7 @@
 	case !e.raiseFence(o.Fence):
 		e.Faults.Counters.Add("stale-orders-refused", 1)
 		return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Fence: b.fence}}
-	case e.Faults.TakeLostOrder():
+	case e.Faults.NextOrderLost():
 		e.Faults.Counters.Add("orders-lost", 1)
 		return orderReply{status: http.StatusAccepted}
 	}
@@ -158,7 +158,7 @@
 			return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorInUse}}
 		}
 	}
-	if o.Item.Base != "" && !b.memory.Base(o.Item.Base, backend.Item{}) {
+	if o.Item.Base != "" && !b.memory.HasBase(o.Item.Base, backend.Item{}) {
 		return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorNoBase}}
 	}
 	if !b.memory.Reserve(o.Item, o.Bytes) {
@@ -178,7 +178,7 @@
 	if !ok {
 		return orderReply{status: http.StatusOK}
 	}
-	if o.Item.Base == "" && b.memory.Adapters(o.Item.Name) && !b.memory.Base(o.Item.Name, o.Item) {
+	if o.Item.Base == "" && b.memory.HasAdapters(o.Item.Name) && !b.memory.HasBase(o.Item.Name, o.Item) {
 		return orderReply{status: http.StatusConflict, refusal: ioengine.Refusal{Error: errorInUse}}
 	}
 	u.State, u.Order = backend.Unloading, o.OrderID
--- a/internal/testbed/standin/engine/prefix/prefix.go
+++ b/internal/testbed/standin/engine/prefix/prefix.go
@@ -117,7 +117,7 @@
 
 // Since returns the events with a sequence number above n that happened no later than
 // until.
-func (c *Cache) Since(n uint64, until time.Time) ioengine.CacheEvents {
+func (c *Cache) EventsSince(n uint64, until time.Time) ioengine.CacheEvents {
 	out := ioengine.CacheEvents{Events: []ioengine.CacheEvent{}, Last: n}
 	for _, e := range c.events {
 		if e.at.After(until) {
--- a/internal/testbed/standin/fault/fault.go
+++ b/internal/testbed/standin/fault/fault.go
@@ -41,7 +41,7 @@
 
 // Put replaces the active faults. Down closes the open connections of the
 // stand-in; Silent and BlackHole silence them.
-func (s *Set) Put(f Faults) {
+func (s *Set) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
 	s.mu.Unlock()
@@ -65,7 +65,7 @@
 }
 
 // TakeLostOrder reports whether the next order is lost, and counts it.
-func (s *Set) TakeLostOrder() bool {
+func (s *Set) NextOrderLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return decrement(&s.faults.LoseOrders)
@@ -73,7 +73,7 @@
 
 // TakeCut reports whether the next stream is interrupted and after how many tokens,
 // and counts it.
-func (s *Set) TakeCut() (after int, cut bool) {
+func (s *Set) NextStreamCut() (after int, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.CutAfter, decrement(&s.faults.CutStreams)
@@ -92,17 +92,17 @@
 // ServeFault replaces the active faults by those in the body of the request. They do
 // not affect the connection on which the request arrived.
 func (s *Set) ServeFault(w http.ResponseWriter, r *http.Request) {
-	Spare(r)
+	ExemptConn(r)
 	var f Faults
 	if ReadJSON(w, r, &f) {
-		s.Put(f)
+		s.SetFaults(f)
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
 // Spare exempts the connection of r from faults that affect open connections, until
 // a further call arrives on it.
-func Spare(r *http.Request) {
+func ExemptConn(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
 		c.recordCall(nil)
 	}
--- a/internal/testbed/standin/platform/platform.go
+++ b/internal/testbed/standin/platform/platform.go
@@ -52,10 +52,10 @@
 	mux.Handle("/vms/v1/", p.VMs.Handler())
 	mux.Handle("GET /counters", &p.Counters)
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, r *http.Request) {
-		fault.Spare(r)
+		fault.ExemptConn(r)
 		var f fault.Faults
 		if fault.ReadJSON(w, r, &f) {
-			p.Put(f)
+			p.SetFaults(f)
 			w.WriteHeader(http.StatusNoContent)
 		}
 	})
@@ -63,9 +63,9 @@
 }
 
 // Put replaces the active faults of all stand-ins.
-func (p *Platform) Put(f fault.Faults) {
+func (p *Platform) SetFaults(f fault.Faults) {
 	for _, set := range p.faultSets() {
-		set.Put(f)
+		set.SetFaults(f)
 	}
 }
 
--- a/internal/testbed/standin/service/service.go
+++ b/internal/testbed/standin/service/service.go
@@ -31,11 +31,11 @@
 	// Service is a stand-in for a server of a plain service. The exported fields
 	// must be set before Start.
 	Service struct {
-		Name   string        // name of the server
-		Listen string        // IP:port; a free port of 127.0.0.1 if empty
-		Work   time.Duration // duration of a call
-		Slots  int           // maximum concurrent calls, unlimited if zero; excess calls get a 503 that confirms that they were not executed
-		Faults fault.Set
+		Name         string        // name of the server
+		Listen       string        // IP:port; a free port of 127.0.0.1 if empty
+		CallDuration time.Duration // duration of a call
+		Slots        int           // maximum concurrent calls, unlimited if zero; excess calls get a 503 that confirms that they were not executed
+		Faults       fault.Set
 
 		mu      sync.Mutex
 		running int
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	n := s.running
 	s.mu.Unlock()
-	fault.WriteJSON(w, http.StatusOK, backend.LoadReport{Running: n, StepMS: float64(s.Work) / float64(time.Millisecond)})
+	fault.WriteJSON(w, http.StatusOK, backend.LoadReport{Running: n, StepMS: float64(s.CallDuration) / float64(time.Millisecond)})
 }
 
 // serveWrite handles a call with a JSON body.
@@ -137,8 +137,8 @@
 	id := r.Header.Get(ioservice.RequestIDHeader)
 	hash := BodyHash(body)
 	s.recordRun(Run{RequestID: id, Method: r.Method, Path: r.URL.Path, BodyHash: hash})
-	if s.Work > 0 {
-		t := time.NewTimer(s.Work)
+	if s.CallDuration > 0 {
+		t := time.NewTimer(s.CallDuration)
 		defer t.Stop()
 		<-t.C // continues if the client disconnects
 	}
--- a/internal/testbed/tabletest/table.go
+++ b/internal/testbed/tabletest/table.go
@@ -32,12 +32,12 @@
 
 	// Fault is how a call fails. The zero value makes it succeed.
 	Fault struct {
-		Refuse     bool          // not executed, and the caller knows it
-		LoseAnswer bool          // executed, and the response is lost
-		Lose       bool          // not executed, and the caller cannot tell
-		Hang       bool          // not executed; no response until the caller gives up
-		Late       time.Duration // no response; a transaction is executed after this delay
-		Delay      time.Duration // delay before anything else
+		Refuse       bool          // not executed, and the caller knows it
+		LoseResponse bool          // executed, and the response is lost
+		DropRequest  bool          // not executed, and the caller cannot tell
+		Hang         bool          // not executed; no response until the caller gives up
+		ApplyAfter   time.Duration // no response; a transaction is executed after this delay
+		Delay        time.Duration // delay before anything else
 	}
 
 	// Table is an in-memory table. Fault is set before the first use or with SetFault.
@@ -75,13 +75,13 @@
 	if err := f.inject(ctx); err != nil {
 		return row.Result{}, err
 	}
-	if f.Late > 0 {
-		time.AfterFunc(f.Late, func() { t.apply(tx) })
+	if f.ApplyAfter > 0 {
+		time.AfterFunc(f.ApplyAfter, func() { t.apply(tx) })
 		<-ctx.Done()
 		return row.Result{}, tableError(table.Uncertain)
 	}
 	res := t.apply(tx)
-	if f.LoseAnswer {
+	if f.LoseResponse {
 		return row.Result{}, tableError(table.Uncertain)
 	}
 	return res, nil
@@ -93,7 +93,7 @@
 	if err := f.inject(ctx); err != nil {
 		return nil, err
 	}
-	if f.LoseAnswer || f.Late > 0 {
+	if f.LoseResponse || f.ApplyAfter > 0 {
 		return nil, tableError(table.Uncertain)
 	}
 	t.mu.Lock()
@@ -151,7 +151,7 @@
 	switch {
 	case f.Refuse:
 		return tableError(table.Unavailable)
-	case f.Lose:
+	case f.DropRequest:
 		return tableError(table.Uncertain)
 	case f.Hang:
 		<-ctx.Done()
--- a/internal/testbed/workload/deployment.go
+++ b/internal/testbed/workload/deployment.go
@@ -111,7 +111,7 @@
 
 // Service returns the service time, in seconds, of a request with the given numbers of
 // output tokens and uncached prompt tokens in a full batch.
-func (d Deployment) Service(tokens, uncached int) float64 {
+func (d Deployment) ServiceTime(tokens, uncached int) float64 {
 	return (time.Duration(tokens)*d.FullStep() + time.Duration(uncached)*d.Prefill).Seconds()
 }
 
@@ -120,7 +120,7 @@
 func (d Deployment) Capacity() float64 {
 	var seconds, shares float64
 	for _, m := range d.Mixes {
-		seconds += m.Share * d.Service(m.Tokens, tailBytes/bytesPerToken)
+		seconds += m.Share * d.ServiceTime(m.Tokens, tailBytes/bytesPerToken)
 		shares += m.Share
 	}
 	if seconds == 0 {
--- a/internal/testbed/workload/generate.go
+++ b/internal/testbed/workload/generate.go
@@ -37,8 +37,8 @@
 		Load        float64       // mean work as a fraction of the capacity, default 0.8
 		Duration    time.Duration // duration of the arrivals
 		BurstFactor float64       // ratio of an item's rates in on and off phases, default 10
-		On          time.Duration // mean length of an on phase, default 5 s
-		Off         time.Duration // mean length of an off phase, default 20 s
+		MeanOn      time.Duration // mean length of an on phase, default 5 s
+		MeanOff     time.Duration // mean length of an off phase, default 20 s
 		Prefixes    int           // shared prefixes per item, default 4
 		Shift       time.Duration // when the popularity moves to other items, zero for never
 	}
@@ -51,7 +51,7 @@
 		Mix    Mix // kind of work, with its deadline
 		Tokens int // output length
 		Prefix int // index of the shared prefix of the prompt
-		Number int // index in the arrivals
+		Index  int // index in the arrivals
 	}
 
 	// phase is a period with a constant request rate of an item.
@@ -71,8 +71,8 @@
 func (s Settings) withDefaults() Settings {
 	s.Load = cmp.Or(s.Load, 0.8)
 	s.BurstFactor = cmp.Or(s.BurstFactor, defaultBurstFactor)
-	s.On = cmp.Or(s.On, defaultOn)
-	s.Off = cmp.Or(s.Off, defaultOff)
+	s.MeanOn = cmp.Or(s.MeanOn, defaultOn)
+	s.MeanOff = cmp.Or(s.MeanOff, defaultOff)
 	s.Prefixes = cmp.Or(s.Prefixes, defaultPrefixes)
 	return s
 }
@@ -103,7 +103,7 @@
 	}
 	slices.SortStableFunc(out, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	for i := range out {
-		out[i].Number = i
+		out[i].Index = i
 	}
 	return out
 }
@@ -112,7 +112,7 @@
 func (a Arrival) Prompt() string {
 	head := fmt.Sprintf("%s prefix %d. ", a.Model, a.Prefix)
 	prefix := strings.Repeat(head, prefixBytes/len(head)+1)[:prefixBytes]
-	tail := fmt.Sprintf(" request %d of %s ", a.Number, a.Team)
+	tail := fmt.Sprintf(" request %d of %s ", a.Index, a.Team)
 	return prefix + (tail + strings.Repeat(".", tailBytes))[:tailBytes]
 }
 
@@ -151,11 +151,11 @@
 // its rates in off phases before and after the shift.
 func (s Settings) phases(before, after float64, random *rand.Rand) []phase {
 	var out []phase
-	on := random.Float64() < s.On.Seconds()/(s.On+s.Off).Seconds()
+	on := random.Float64() < s.MeanOn.Seconds()/(s.MeanOn+s.MeanOff).Seconds()
 	for at := time.Duration(0); at < s.Duration; on = !on {
-		mean, factor := s.Off, 1.0
+		mean, factor := s.MeanOff, 1.0
 		if on {
-			mean, factor = s.On, s.BurstFactor
+			mean, factor = s.MeanOn, s.BurstFactor
 		}
 		to := min(s.Duration, at+time.Duration(random.ExpFloat64()*float64(mean))+time.Millisecond)
 		if s.Shift > at && s.Shift < to {
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -26,9 +26,9 @@
 			var work float64
 			kinds := map[string]int{}
 			for i, a := range arrivals {
-				work += d.Service(a.Tokens, 24)
+				work += d.ServiceTime(a.Tokens, 24)
 				kinds[a.Mix.Name]++
-				require.Equal(t, i, a.Number)
+				require.Equal(t, i, a.Index)
 				require.Less(t, a.At, 200*time.Second)
 				if i > 0 {
 					require.GreaterOrEqual(t, a.At, arrivals[i-1].At)
@@ -46,7 +46,7 @@
 // least fivefold between periods of 5 s.
 func TestBurstsChangeTheRateOfItems(t *testing.T) {
 	s := settings(workload.Corella())
-	s.On, s.Off = 20*time.Second, 60*time.Second
+	s.MeanOn, s.MeanOff = 20*time.Second, 60*time.Second
 	counts := map[string][]int{}
 	for _, a := range workload.Generate(s, 3) {
 		if counts[a.Model] == nil {
@@ -91,9 +91,9 @@
 }
 
 func TestPromptsShareTheirPrefix(t *testing.T) {
-	a := workload.Arrival{Model: "m", Prefix: 1, Number: 1, Team: "c"}
-	b := workload.Arrival{Model: "m", Prefix: 1, Number: 2, Team: "c"}
-	c := workload.Arrival{Model: "m", Prefix: 2, Number: 1, Team: "c"}
+	a := workload.Arrival{Model: "m", Prefix: 1, Index: 1, Team: "c"}
+	b := workload.Arrival{Model: "m", Prefix: 1, Index: 2, Team: "c"}
+	c := workload.Arrival{Model: "m", Prefix: 2, Index: 1, Team: "c"}
 	require.Equal(t, a.Prompt()[:1024], b.Prompt()[:1024])
 	require.NotEqual(t, a.Prompt(), b.Prompt())
 	require.NotEqual(t, a.Prompt()[:1024], c.Prompt()[:1024])
--- a/io/engine/engine_test.go
+++ b/io/engine/engine_test.go
@@ -125,7 +125,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client := start(t, c.engine)
-			c.engine.Faults.Put(c.faults)
+			c.engine.Faults.SetFaults(c.faults)
 			g := newRequest("r", 3)
 			g.Item = c.item
 			options := patient
@@ -193,11 +193,11 @@
 			require.NoError(t, err)
 			first, err := s.Next()
 			require.NoError(t, err)
-			e.Faults.Put(c.faults)
+			e.Faults.SetFaults(c.faults)
 			rest, _, err := drain(s)
 			require.Equal(t, c.kind, engine.KindOf(err), "%v", err)
 			require.False(t, engine.NotRun(err))
-			e.Faults.Put(fault.Faults{})
+			e.Faults.SetFaults(fault.Faults{})
 			got := append([]string{first.Token}, rest...)
 			s, err = client.Resume(t.Context(), backend.Resume{RequestID: "r", Offset: len(got)}, patient)
 			require.NoError(t, err)
@@ -230,7 +230,7 @@
 	c := start(t, e)
 	_, err := generate(c, newRequest("r", 3))
 	require.NoError(t, err)
-	e.Faults.Put(fault.Faults{Refuse: true})
+	e.Faults.SetFaults(fault.Faults{Refuse: true})
 	_, err = c.Resume(t.Context(), backend.Resume{RequestID: "r"}, short)
 	require.Equal(t, engine.Leaving, engine.KindOf(err))
 	require.False(t, engine.NotRun(err))
@@ -361,7 +361,7 @@
 		require.Equal(t, c2.kind, engine.KindOf(err), "order %s: %v", c2.order.OrderID, err)
 		require.Equal(t, c2.done, done, "order %s", c2.order.OrderID)
 	}
-	e.Faults.Put(fault.Faults{DropAnswers: 1})
+	e.Faults.SetFaults(fault.Faults{DropAnswers: 1})
 	_, err = c.Order(t.Context(), backend.Order{OrderID: "9", Fence: 9, Op: backend.Unload, Item: model})
 	require.Equal(t, engine.Lost, engine.KindOf(err))
 }
@@ -384,7 +384,7 @@
 						o.Op = backend.Unload
 					}
 					if random.IntN(10) == 0 {
-						e.Faults.Put(fault.Faults{LoseOrders: random.IntN(3), OrderDelayMS: random.Int64N(5)})
+						e.Faults.SetFaults(fault.Faults{LoseOrders: random.IntN(3), OrderDelayMS: random.Int64N(5)})
 					}
 					_, err := c.Order(context.Background(), o)
 					if k := engine.KindOf(err); k != "" && k != engine.NoSpace && k != engine.InUse {
@@ -408,14 +408,14 @@
 	_, err := c.State(t.Context())
 	require.NoError(t, err)
 	for i := range 5 {
-		e.Faults.Put(fault.Faults{DelayMS: 200})
+		e.Faults.SetFaults(fault.Faults{DelayMS: 200})
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		_, err := c.State(ctx)
 		cancel()
 		require.Equal(t, engine.Lost, engine.KindOf(err))
 		_, err = c.Generate(t.Context(), newRequest(fmt.Sprint("late", i), 3), engine.StreamOptions{FirstEventTimeout: 100 * time.Millisecond})
 		require.Equal(t, engine.Silent, engine.KindOf(err))
-		e.Faults.Put(fault.Faults{})
+		e.Faults.SetFaults(fault.Faults{})
 		id := fmt.Sprint("next", i)
 		got, err := generate(c, newRequest(id, 3))
 		require.NoError(t, err)
@@ -433,7 +433,7 @@
 	const requests = 1000
 	e := &standin.Engine{Slots: 100, QueueBound: requests, CacheBlocks: 100}
 	c := start(t, e)
-	e.Faults.Put(fault.Faults{DelayMS: 20, CutStreams: 300, CutAfter: 2})
+	e.Faults.SetFaults(fault.Faults{DelayMS: 20, CutStreams: 300, CutAfter: 2})
 	var wg sync.WaitGroup
 	failures := make(chan error, requests)
 	for i := range requests {
--- a/io/service/service_test.go
+++ b/io/service/service_test.go
@@ -73,7 +73,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, client := start(t)
-			s.Faults.Put(c.faults)
+			s.Faults.SetFaults(c.faults)
 			if c.kind == service.Timeout {
 				client.Timeout = 100 * time.Millisecond
 			}
@@ -102,7 +102,7 @@
 	s, c := start(t)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	s.Faults.Put(fault.Faults{CloseReused: true})
+	s.Faults.SetFaults(fault.Faults{CloseReused: true})
 	for _, id := range []string{"a", "b"} {
 		r := confirm(id)
 		req, err := http.NewRequestWithContext(t.Context(), r.Method, "http://"+c.Address+r.Path, strings.NewReader(string(r.Body)))
@@ -124,7 +124,7 @@
 // replayed below the client when the reused connection breaks.
 func TestInvariantRepeatableIsNotReplayed(t *testing.T) {
 	s, c := start(t)
-	s.Faults.Put(fault.Faults{CloseReused: true})
+	s.Faults.SetFaults(fault.Faults{CloseReused: true})
 	for i, id := range []string{"a", "b"} {
 		r := confirm(id)
 		r.Repeatable = true
@@ -215,7 +215,7 @@
 
 // TestSlots checks that a call to a server without a free slot is reported as not run.
 func TestSlots(t *testing.T) {
-	s := &standin.Service{Work: time.Second, Slots: 1}
+	s := &standin.Service{CallDuration: time.Second, Slots: 1}
 	c := serve(t, s)
 	var wg sync.WaitGroup
 	wg.Go(func() { _, _ = c.Do(context.Background(), confirm("first")) })
@@ -247,7 +247,7 @@
 	var wg sync.WaitGroup
 	for i := range 300 {
 		if i%100 == 0 {
-			s.Faults.Put(fault.Faults{DelayMS: int64(i % 200)})
+			s.Faults.SetFaults(fault.Faults{DelayMS: int64(i % 200)})
 		}
 		wg.Go(func() {
 			path := fmt.Sprintf("/records/%d", i)
@@ -262,7 +262,7 @@
 		})
 	}
 	wg.Wait()
-	s.Faults.Put(fault.Faults{})
+	s.Faults.SetFaults(fault.Faults{})
 	patient := &service.Client{Address: c.Address}
 	defer patient.Close()
 	load, err := patient.Load(t.Context())
@@ -276,13 +276,13 @@
 	s, c := start(t)
 	c.Timeout = time.Second
 	get := service.Request{Method: http.MethodGet, Path: "/records/1", RequestID: "a", Repeatable: true}
-	s.Faults.Put(fault.Faults{DelayMS: 100})
+	s.Faults.SetFaults(fault.Faults{DelayMS: 100})
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() { _, _ = c.Do(context.Background(), get) })
 	}
 	wg.Wait()
-	s.Faults.Put(fault.Faults{Silent: true})
+	s.Faults.SetFaults(fault.Faults{Silent: true})
 	_, err := c.Do(t.Context(), get)
 	require.Equal(t, service.Timeout, service.KindOf(err))
 	_, err = c.Do(t.Context(), get)
--- a/io/table/table_test.go
+++ b/io/table/table_test.go
@@ -68,7 +68,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, client := start(t)
-			s.Faults.Put(c.faults)
+			s.Faults.SetFaults(c.faults)
 			if c.faults.DelayMS > 0 || c.faults.BlackHole {
 				client.Timeout = 200 * time.Millisecond
 			}
@@ -89,7 +89,7 @@
 // breaks.
 func TestInvariantNoReplay(t *testing.T) {
 	s, c := start(t)
-	s.Faults.Put(fault.Faults{CloseReused: true})
+	s.Faults.SetFaults(fault.Faults{CloseReused: true})
 	for range 10 {
 		_, _ = c.Transact(t.Context(), row.Tx{}.Put("k", nil))
 	}
@@ -100,7 +100,7 @@
 // checks that no append is lost or duplicated.
 func TestSerializable(t *testing.T) {
 	s, c := start(t)
-	s.Faults.Put(fault.Faults{DropAnswers: 20})
+	s.Faults.SetFaults(fault.Faults{DropAnswers: 20})
 	var wg sync.WaitGroup
 	for i := range 20 {
 		wg.Go(func() { appendOnce(context.Background(), t, c, fmt.Sprint(i)) })
--- a/io/vmlist/vmlist_test.go
+++ b/io/vmlist/vmlist_test.go
@@ -27,7 +27,7 @@
 	got, err = c.List(t.Context())
 	require.NoError(t, err)
 	require.Empty(t, got)
-	l.Faults.Put(fault.Faults{Refuse: true})
+	l.Faults.SetFaults(fault.Faults{Refuse: true})
 	_, err = c.List(t.Context())
 	var e *vmlist.Error
 	require.ErrorAs(t, err, &e)
