--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -30,7 +30,7 @@
 	retryDelay = 50 * time.Millisecond
 )
 
-// Unexpected reports a result that the demonstration does not expect.
+// UnexpectedError reports a result that the demonstration does not expect.
 type UnexpectedError struct{ Text string }
 
 // Error describes the unexpected result.
--- a/internal/call/caller.go
+++ b/internal/call/caller.go
@@ -39,7 +39,7 @@
 		Seed     uint64       // seeds the jitter between attempts
 		Log      *zap.Logger  // may be nil
 		Metrics  *Metrics     // may be nil
-		// Note receives the trace events of a call for explain; it may be nil.
+		// Trace receives the trace events of a call for explain; it may be nil.
 		Trace func(requestID, event string, fields ...zap.Field)
 
 		once sync.Once
--- a/internal/call/service.go
+++ b/internal/call/service.go
@@ -60,7 +60,7 @@
 	return c.Close() == nil
 }
 
-// Keep closes the clients of all addresses that are not given.
+// Retain closes the clients of all addresses that are not given.
 func (s *Services) Retain(addresses []string) {
 	keep := map[string]bool{}
 	for _, a := range addresses {
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -21,7 +21,7 @@
 	DefaultTimeout = 400 * time.Millisecond
 	// DefaultWait bounds the total wait of a claim before it is refused.
 	DefaultWait = time.Second
-	// DefaultPause is the time between reads that check whether a failed table
+	// DefaultProbeInterval is the time between reads that check whether a failed table
 	// is available again. Claims are refused without a transaction until then.
 	DefaultProbeInterval = 250 * time.Millisecond
 	// DefaultMaxBatch is the maximum number of changes in one transaction.
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -18,7 +18,7 @@
 	ExitFailed = 1
 	// ExitInvalid means a usage error or an invalid document.
 	ExitInvalid = 2
-	// ExitLost means that another operator's document was accepted instead.
+	// ExitConflict means that another operator's document was accepted instead.
 	ExitConflict = 3
 	// ExitUnconfirmed means that at least one live node does not report the
 	// version.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Boot returns the time since the VM booted. Unlike the monotonic clock of package
+// SinceBoot returns the time since the VM booted. Unlike the monotonic clock of package
 // time, it includes the time for which the VM was suspended.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// Do runs a job at its owner on another node.
+// RunJob runs a job at its owner on another node.
 func (c *Cluster) RunJob(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error {
 	n, ok := c.Node(owner)
 	if !ok || n.Status != member.Alive {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -91,7 +91,7 @@
 		// ConfigHead returns the configuration in force, and whether this node
 		// is certain that none is newer.
 		ConfigHead func() (ref head.Ref, fresh bool)
-		// Spent starts the measurement of control work of a kind and returns the
+		// TimeWork starts the measurement of control work of a kind and returns the
 		// function that ends it; may be nil.
 		TimeWork func(w metrics.Work) func()
 		Log      *zap.Logger
@@ -184,7 +184,7 @@
 	return c.Endpoint.Send(ctx, address, f) == nil // the membership probes detect unreachable nodes
 }
 
-// timeWork calls Spent, or does nothing if it is nil.
+// timeWork calls TimeWork, or does nothing if it is nil.
 func (c *Cluster) timeWork(w metrics.Work) func() {
 	if c.TimeWork == nil {
 		return func() {}
@@ -213,7 +213,7 @@
 	return c.state.Node(name)
 }
 
-// Working returns the sorted names of live nodes that are not leaving.
+// ActiveNodes returns the sorted names of live nodes that are not leaving.
 func (c *Cluster) ActiveNodes() []string {
 	var names []string
 	for _, n := range c.Nodes() {
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -52,7 +52,7 @@
 	return r.Body, err
 }
 
-// AskConfigHead queries a node for its configuration in force, and whether it is
+// QueryConfigHead queries a node for its configuration in force, and whether it is
 // certain that none is newer. The reply reflects a time after the query was
 // sent, never before.
 func (c *Cluster) QueryConfigHead(ctx context.Context, node string) (ref head.Ref, fresh bool, err error) {
--- a/internal/cluster/send.go
+++ b/internal/cluster/send.go
@@ -11,21 +11,21 @@
 	"guavapaddle/io/peer"
 )
 
-// Tell sends v to a node by name, best effort.
+// Send sends v to a node by name, best effort.
 func (c *Cluster) Send(ctx context.Context, node string, k peer.Kind, v any) {
 	if n, ok := c.Node(node); ok {
 		c.send(ctx, n.Address, k, v)
 	}
 }
 
-// TellSome gossips v to k random other live nodes, best effort.
+// Gossip gossips v to k random other live nodes, best effort.
 func (c *Cluster) Gossip(ctx context.Context, k int, kind peer.Kind, v any) {
 	for _, n := range c.randomPeers(k) {
 		go c.send(ctx, n.Address, kind, v)
 	}
 }
 
-// AskAll sends v as a call to at most limit other live nodes and returns when
+// CallAll sends v as a call to at most limit other live nodes and returns when
 // each has processed it or ctx ends.
 func (c *Cluster) CallAll(ctx context.Context, limit int, kind peer.Kind, v any) {
 	f, err := peer.Encode(kind, v)
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -29,7 +29,7 @@
 // After its start and after a pause of its process a node is stale until it has
 // read the head or received a fresh peer's reply to a query sent since then. If
 // the table is down and all peers reply without being fresh, or no fresh peer
-// replies for Follower.TrustAfter, the node assumes that the newest version it
+// replies for Follower.AssumeAfter, the node assumes that the newest version it
 // knows is current: otherwise nodes that were all paused during an outage would
 // wait for each other.
 package configsync
--- a/internal/configsync/follower.go
+++ b/internal/configsync/follower.go
@@ -25,7 +25,7 @@
 	// DefaultMaxPause is the longest gap between a node's ticks that doesn't make
 	// it stale.
 	DefaultMaxPause = time.Second
-	// DefaultTrustAfter is how long a stale node waits for a confirmation before
+	// DefaultAssumeAfter is how long a stale node waits for a confirmation before
 	// it assumes that the newest known version is current.
 	DefaultAssumeAfter = 5 * time.Second
 	// DefaultFetchTimeout bounds one fetch of a body.
@@ -56,7 +56,7 @@
 		Period       time.Duration    // DefaultPeriod if zero
 		MaxReads     float64          // reads per second of all nodes, DefaultMaxReads if zero
 		MaxPause     time.Duration    // DefaultMaxPause if zero
-		AssumeAfter  time.Duration    // DefaultTrustAfter if zero
+		AssumeAfter  time.Duration    // DefaultAssumeAfter if zero
 		FetchTimeout time.Duration    // DefaultFetchTimeout if zero
 		Now          func() time.Time // clock for the detection of pauses, time.Now if nil
 		Log          *zap.Logger      // disabled if nil
@@ -174,7 +174,7 @@
 	return f.table == tableUp
 }
 
-// Packed returns the packed body in force if it has the given hash, for the reply
+// PackedBody returns the packed body in force if it has the given hash, for the reply
 // to a peer's FetchConfig.
 func (f *Follower) PackedBody(hash string) ([]byte, bool) {
 	f.mu.Lock()
@@ -213,7 +213,7 @@
 	}
 }
 
-// tickLoop detects pauses of the process and staleness longer than TrustAfter.
+// tickLoop detects pauses of the process and staleness longer than AssumeAfter.
 func (f *Follower) tickLoop(ctx context.Context) error {
 	for {
 		if err := wait(ctx, f.MaxPause/ticksPerPause); err != nil {
@@ -265,7 +265,7 @@
 }
 
 // mayAssume reports whether the newest known version is to be assumed current:
-// the table can't be read and no fresh peer has replied for TrustAfter.
+// the table can't be read and no fresh peer has replied for AssumeAfter.
 func (f *Follower) mayAssume(now time.Time) bool {
 	_, behind := f.state.Missing()
 	return !f.state.Fresh() && f.table == tableDown && !behind &&
--- a/internal/configsync/platform.go
+++ b/internal/configsync/platform.go
@@ -36,7 +36,7 @@
 	// Peer is another node. The peer must compute the reply to each call when
 	// it receives the call; cached replies are not allowed.
 	Peer interface {
-		// FetchConfig returns the packed body with the hash: the peer's Follower.Packed.
+		// FetchConfig returns the packed body with the hash: the peer's Follower.PackedBody.
 		FetchConfig(ctx context.Context, hash string) ([]byte, error)
 		// ConfigHead returns the version that the peer has in force and whether
 		// the peer is fresh: its Follower.Head.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -27,9 +27,9 @@
 		Engine func(server string) engines.Engine
 		// Settings returns the queue settings of a server; may be nil.
 		Settings func(server string) queue.Settings
-		// OnLost is called when a server's engine breaks a request's connection,
+		// OnEngineLost is called when a server's engine breaks a request's connection,
 		// with the fingerprints of the requests that were running. The failed
-		// request is answered only after OnLost returns. It may be nil.
+		// request is answered only after OnEngineLost returns. It may be nil.
 		OnEngineLost func(server string, running []string)
 		// ResumeGrace is how long a generation continues without a reader; zero
 		// means DefaultResumeGrace.
@@ -65,7 +65,7 @@
 	}
 )
 
-// Own makes the node dispatch for a server with the given number of slots. For a
+// Acquire makes the node dispatch for a server with the given number of slots. For a
 // server that it already owns it only sets the slots.
 func (d *Dispatcher) Acquire(name string, slots int) {
 	d.mu.Lock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Disown releases a server. Waiting requests are refused as not run, so that
+// Release releases a server. Waiting requests are refused as not run, so that
 // they go to the next owner; running ones continue to their end.
 func (d *Dispatcher) Release(name string) {
 	d.mu.Lock()
@@ -139,7 +139,7 @@
 // resumption, including those on servers that the node has released.
 func (d *Dispatcher) Active() int { return int(d.active.Load()) }
 
-// Do runs a job on a server that this node owns and passes the replies to sink.
+// RunJob runs a job on a server that this node owns and passes the replies to sink.
 // The error is nil, an *engines.SinkError or an *outcome.Error.
 func (d *Dispatcher) RunJob(ctx context.Context, job forward.Job, sink engines.Sink) error {
 	s := d.server(job.Server)
@@ -216,7 +216,7 @@
 	cancel(ErrCancelled)
 }
 
-// reportLost calls OnLost after a broken connection to an engine, which may mean
+// reportLost calls OnEngineLost after a broken connection to an engine, which may mean
 // that the server crashed.
 func (d *Dispatcher) reportLost(s *server, err error) {
 	e, ok := errors.AsType[*outcome.Error](err)
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -17,6 +17,6 @@
 // # Usage
 //
 //	d := &dispatch.Dispatcher{Log: log, Engine: func(server string) engines.Engine { ... }}
-//	d.Own("gpu-1", 8)
-//	err := d.Do(ctx, job, sink)
+//	d.Acquire("gpu-1", 8)
+//	err := d.RunJob(ctx, job, sink)
 package dispatch
--- a/internal/engines/client.go
+++ b/internal/engines/client.go
@@ -35,7 +35,7 @@
 	return c.Engine.Cancel(ctx, requestID)
 }
 
-// Fate implements Engine.
+// Classify implements Engine.
 func (c *Client) Classify(err error) (FailureClass, outcome.Reason, time.Duration) {
 	notRun := engine.NotRun(err)
 	switch kind := engine.KindOf(err); {
--- a/internal/engines/engines.go
+++ b/internal/engines/engines.go
@@ -39,11 +39,11 @@
 	cancelTimeout = time.Second
 )
 
-// Fate classifies the failure of an engine call by its consequence for the request.
+// FailureClass classifies the failure of an engine call by its consequence for the request.
 type FailureClass int
 
 const (
-	// Broken means that the request may still be running and can be resumed.
+	// Interrupted means that the request may still be running and can be resumed.
 	Interrupted FailureClass = iota
 	// NotSent means that no byte of the request was written.
 	NotSent
@@ -69,7 +69,7 @@
 		Generate(ctx context.Context, g backend.Generate) (Stream, error)
 		Resume(ctx context.Context, r backend.Resume) (Stream, error)
 		Cancel(ctx context.Context, requestID string) error
-		// Fate classifies an error of Generate, Resume or Next, and returns the
+		// Classify classifies an error of Generate, Resume or Next, and returns the
 		// reason to report and the delay before a retry.
 		Classify(err error) (FailureClass, outcome.Reason, time.Duration)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -272,7 +272,7 @@
 	})
 }
 
-// Ended implements caller.Handler.
+// RequestEnded implements caller.Handler.
 func (e *Entry) RequestEnded(requestID string, started time.Time, err error) {
 	e.Metrics.CountAnswer(err)
 	f := outcome.From(err)
--- a/internal/follow/doc.go
+++ b/internal/follow/doc.go
@@ -9,7 +9,7 @@
 //
 // While the store is unreachable the last known state stays in use. Entries of
 // servers expire in the store meanwhile, and a live server writes its entry again
-// soon after the store's return. A missing entry is therefore kept for Grace
+// soon after the store's return. A missing entry is therefore kept for MissingGrace
 // after the store is reachable again.
 //
 // # Usage
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// Grace is how long after the store's return an entry may be missing before
+	// MissingGrace is how long after the store's return an entry may be missing before
 	// its server counts as gone; live servers' entries are back within about two
 	// seconds.
 	MissingGrace = 1800 * time.Millisecond
@@ -61,7 +61,7 @@
 	// defaultHeartbeat is how often servers write their entries if Heartbeat isn't set;
 	// the users' platforms state 1.2 s.
 	defaultHeartbeat = 1200 * time.Millisecond
-	// waitsPerConfigAge is how many waits of the operator table's feed fit into ProofWithin. A
+	// waitsPerConfigAge is how many waits of the operator table's feed fit into MaxConfigAge. A
 	// confirmation is already as old as the wait when it arrives, and has to last until
 	// the next wait ends.
 	waitsPerConfigAge = 12
@@ -89,16 +89,16 @@
 		Log       *zap.Logger
 		OnConfig  func(*fleet.Config)
 		OnServers func([]fleet.Server)
-		// Fed reports whether this node receives changes from another one, and so
+		// HasFeed reports whether this node receives changes from another one, and so
 		// doesn't need to query the store; nil for never.
 		HasFeed func() bool
-		// Led reports whether this node has a leader that would pass changes on if it
+		// HasLeader reports whether this node has a leader that would pass changes on if it
 		// could read the store; nil for never.
 		HasLeader func() bool
-		// Role returns the node's role, nil for Alone.
+		// Role returns the node's role, nil for Standalone.
 		Role func() Role
 
-		// ProofWithin is the maximum age of the last confirmation that the configuration is
+		// MaxConfigAge is the maximum age of the last confirmation that the configuration is
 		// the newest, zero for no limit. The leader and its deputy query the store often
 		// enough for all nodes to keep to it.
 		MaxConfigAge time.Duration
@@ -106,11 +106,11 @@
 		// Heartbeat is how often servers write their entries, zero for 1.2 s.
 		Heartbeat time.Duration
 
-		// Clock returns a time that advances while the process is suspended; clock.Boot if
+		// Clock returns a time that advances while the process is suspended; clock.SinceBoot if
 		// nil.
 		Clock func() time.Duration
 
-		// Ask fetches another node's copy when a table can't be read, nil for never.
+		// FetchCopy fetches another node's copy when a table can't be read, nil for never.
 		FetchCopy func(ctx context.Context)
 
 		operator     table
@@ -126,9 +126,9 @@
 )
 
 const (
-	// Alone is a standalone node, which passes nothing on.
+	// Standalone is a standalone node, which passes nothing on.
 	Standalone Role = iota
-	// Holder is the leader, which passes changes on to all nodes.
+	// Leader is the leader, which passes changes on to all nodes.
 	Leader
 	// Deputy passes changes on to the leader.
 	Deputy
@@ -151,7 +151,7 @@
 	return max(operator, server)
 }
 
-// Contact returns the time since the store last responded to this node itself,
+// StoreAge returns the time since the store last responded to this node itself,
 // for the table whose last response is older.
 func (f *Follower) StoreAge(now time.Time) time.Duration {
 	_, operator := f.operator.ages(now)
@@ -188,7 +188,7 @@
 	return f.Clock()
 }
 
-// Proved records that a version of the configuration's row was the newest at a time of
+// ConfirmConfig records that a version of the configuration's row was the newest at a time of
 // Clock.
 func (f *Follower) ConfirmConfig(version int64, at time.Duration) {
 	t := &f.operator
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -259,7 +259,7 @@
 }
 
 // TestMissingEntryIsNotRenewedByOlderCopy guards against a missing entry that is
-// kept after Grace. It expires in an outage, and another node's reply from before the outage
+// kept after MissingGrace. It expires in an outage, and another node's reply from before the outage
 // still has it, which doesn't show that its server lives.
 func TestMissingEntryIsNotRenewedByOlderCopy(t *testing.T) {
 	s := standin.NewStore(t)
@@ -280,7 +280,7 @@
 // TestLostCallIsNotAnOutage guards against requests to servers that have been
 // gone for three seconds, in a simulated run without any outage. One call to the store gets no
 // response, and a server's entry is removed meanwhile. If the node takes the next response for
-// the end of an outage, it keeps the missing entry for Grace.
+// the end of an outage, it keeps the missing entry for MissingGrace.
 func TestLostCallIsNotAnOutage(t *testing.T) {
 	const drain = 2 * time.Second // how long a server that is gone may still get requests
 	s := standin.NewStore(t)
--- a/internal/follow/share.go
+++ b/internal/follow/share.go
@@ -7,13 +7,13 @@
 )
 
 type (
-	// Known holds the versions up to which a node has the tables.
+	// Versions holds the versions up to which a node has the tables.
 	Versions struct {
 		Operator int64
 		Servers  int64
 	}
 
-	// Copy is a node's full copy of the tables.
+	// Snapshot is a node's full copy of the tables.
 	Snapshot struct {
 		Operator []platform.Row `json:"operator"`
 		Servers  []platform.Row `json:"servers"`
@@ -37,7 +37,7 @@
 	}
 )
 
-// Known returns the versions up to which this node has the tables.
+// Versions returns the versions up to which this node has the tables.
 func (f *Follower) Versions() Versions {
 	f.operator.mu.Lock()
 	defer f.operator.mu.Unlock()
@@ -51,7 +51,7 @@
 	return t.version
 }
 
-// Behind reports whether another node announced a newer configuration than this node has.
+// IsBehind reports whether another node announced a newer configuration than this node has.
 func (f *Follower) IsBehind() bool { return f.operator.behind() }
 
 // newest returns the version of the newest row that this node has or that another
@@ -71,7 +71,7 @@
 	return v
 }
 
-// Since returns the changes that this node has and another one, with the given
+// ChangesSince returns the changes that this node has and another one, with the given
 // versions, lacks. The configuration is large and seldom changes, so only its
 // version is included.
 func (f *Follower) ChangesSince(now time.Time, k Versions) Update {
@@ -96,7 +96,7 @@
 	return u
 }
 
-// Take applies another node's update. Changes that begin after the version of this copy
+// ApplyUpdate applies another node's update. Changes that begin after the version of this copy
 // don't advance its version. A node reports the changes that the leader lacked at its last
 // reply, and the copy of a new leader may be older; if its version advanced, the leader
 // would never get the changes in between.
@@ -144,7 +144,7 @@
 	}
 }
 
-// Copy returns this node's copy of the tables, and false if either table is empty.
+// Snapshot returns this node's copy of the tables, and false if either table is empty.
 func (f *Follower) Snapshot(now time.Time) (Snapshot, bool) {
 	age := f.ConfigAge()
 	c := Snapshot{ConfigAge: age, Operator: f.operator.allRows(), Servers: f.server.allRows(), Version: f.server.Version(), Age: f.Age(now)}
@@ -162,7 +162,7 @@
 	return rows
 }
 
-// Load applies another node's copy, which this node requested at a boot time. Newer local
+// ApplyCopy applies another node's copy, which this node requested at a boot time. Newer local
 // rows stay.
 func (f *Follower) ApplyCopy(now time.Time, c Snapshot, requestedAt time.Duration) {
 	f.operator.applyRows(c.Operator, 0)
--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -6,7 +6,7 @@
 // # Stopping
 //
 // On a stop the node reports at once that it isn't ready, and marks each response as the
-// last of its connection, but goes on serving for Notice, because the balancer may keep
+// last of its connection, but goes on serving for DrainTime, because the balancer may keep
 // sending clients for that long. Then it closes idle connections, waits for open requests,
 // and ends before the platform kills it.
 //
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -263,7 +263,7 @@
 	return o
 }
 
-// Report processes another node's report and returns the reply.
+// HandleReport processes another node's report and returns the reply.
 func (n *Node) HandleReport(r hub.Report) hub.ReportReply {
 	p := n.placer.Report(r)
 	if n.placer.LeaseVersion() != r.Lease {
@@ -288,7 +288,7 @@
 	return p
 }
 
-// Want serves another node's load request.
+// RequestLoad serves another node's load request.
 func (n *Node) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
 	return n.placer.RequestLoad(ctx, w)
 }
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -39,7 +39,7 @@
 )
 
 const (
-	// Notice is how long a stopping node goes on serving: the balancer probes each second
+	// DrainTime is how long a stopping node goes on serving: the balancer probes each second
 	// and removes a node after two failed probes.
 	DrainTime = 3 * time.Second
 	// killMargin is the time kept in reserve before the platform kills the process.
--- a/internal/front/slots.go
+++ b/internal/front/slots.go
@@ -20,7 +20,7 @@
 	cancel context.CancelFunc
 }
 
-// Place grants a slot at an engine to another node's request.
+// AcquireSlot grants a slot at an engine to another node's request.
 func (n *Node) AcquireSlot(ctx context.Context, p hub.SlotRequest, queued func()) (hub.SlotReply, hub.SlotGrant, error) {
 	l, _ := n.placer.Leader()
 	granter := l.Epoch
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -42,10 +42,10 @@
 		Log     *zap.Logger
 		Zone    string
 		Metrics *Metrics
-		// Want requests a model or adapter that no server holds. It returns when
+		// RequestLoad requests a model or adapter that no server holds. It returns when
 		// that may have changed.
 		RequestLoad func(ctx context.Context, w hub.LoadRequest) hub.LoadReply
-		// Place requests a slot from the leader: when and at which server a request
+		// AcquireSlot requests a slot from the leader: when and at which server a request
 		// to a model engine may begin. An error means that the leader is unreachable.
 		AcquireSlot func(ctx context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error)
 		// Tolerance is how far the usage of a quota may exceed it.
@@ -58,10 +58,10 @@
 		ConfigAge func() time.Duration
 		KeyAge    time.Duration
 		Rand      *rand.Rand
-		// OnDeparture is called when a server announces that it is leaving, and reports
+		// OnLeaving is called when a server announces that it is leaving, and reports
 		// whether that is new. It may be nil.
 		OnLeaving func(departure.Incarnation) bool
-		// Repeats is the budget of a service for retries: sends beyond the first of each request.
+		// RetryBudget is the budget of a service for retries: sends beyond the first of each request.
 		RetryBudget retry.ServiceBudget
 
 		configMu sync.Mutex // serializes SetConfig
@@ -330,14 +330,14 @@
 	return g.picker.LocalCounts(granter)
 }
 
-// Keep restores crash marks that could not be reported.
+// RestoreMarks restores crash marks that could not be reported.
 func (g *Gateway) RestoreMarks(marks []hub.CrashMark) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.newMarks = append(g.newMarks, marks...)
 }
 
-// Take applies the leader's reply to a report, with the data of the other nodes.
+// ApplyReply applies the leader's reply to a report, with the data of the other nodes.
 func (g *Gateway) ApplyReply(p hub.ReportReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -442,13 +442,13 @@
 // countedGrant is a granted slot that counts how often it was released.
 type countedGrant struct{ done *atomic.Int64 }
 
-// NamedRate implements hub.Grant.
+// SetRate implements hub.SlotGrant.
 func (countedGrant) SetRate(*float64) {}
 
-// Begun implements hub.Grant.
+// PrefillDone implements hub.SlotGrant.
 func (countedGrant) PrefillDone() {}
 
-// Done implements hub.Grant.
+// Done implements hub.SlotGrant.
 func (c countedGrant) Done(balance.Result) { c.done.Add(1) }
 
 func TestSlotsOfFailedRequestsAreReleased(t *testing.T) {
@@ -478,13 +478,13 @@
 // noGrant is a granted slot whose calls are ignored.
 type noGrant struct{}
 
-// NamedRate implements hub.Grant.
+// SetRate implements hub.SlotGrant.
 func (noGrant) SetRate(*float64) {}
 
-// Begun implements hub.Grant.
+// PrefillDone implements hub.SlotGrant.
 func (noGrant) PrefillDone() {}
 
-// Done implements hub.Grant.
+// Done implements hub.SlotGrant.
 func (noGrant) Done(balance.Result) {}
 
 // TestPooledConnectionOutlivesItsClients guards against a client's disconnect closing a
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -27,7 +27,7 @@
 	StaleConfig Reason = "stale-config"
 	// Quota means that the team has used up its quota.
 	Quota Reason = "quota"
-	// Crashes means that the request crashed several servers.
+	// CrashSuspect means that the request crashed several servers.
 	CrashSuspect Reason = "crashes"
 	// NoServer means that the service has no server left to try.
 	NoServer Reason = "no-server"
@@ -38,7 +38,7 @@
 	// Limited means that all servers that could run the request have reached the rate limit
 	// that they announced.
 	Limited Reason = "limited"
-	// Resting means that the servers that could run the request asked for a backoff by this node.
+	// Backoff means that the servers that could run the request asked for a backoff by this node.
 	Backoff Reason = "resting"
 	// Leaving means that the server announced that it is leaving after it was picked.
 	Leaving Reason = "leaving"
@@ -54,13 +54,13 @@
 	Unreachable Reason = "unreachable"
 	// Reset means that a connection was closed before a byte was written.
 	Reset Reason = "reset"
-	// Cut means that a connection broke after the request was written.
+	// ConnLost means that a connection broke after the request was written.
 	ConnLost Reason = "cut"
 	// Full means that the server was at capacity and didn't run the request.
 	Full Reason = "full"
 	// Misdirected means that another incarnation of the server uses the address.
 	Misdirected Reason = "misdirected"
-	// Lacking means that the server doesn't hold the model or adapter.
+	// NotResident means that the server doesn't hold the model or adapter.
 	NotResident Reason = "lacking"
 	// WrongAnswer means that a response belonged to another request.
 	WrongAnswer Reason = "wrong-answer"
--- a/internal/gateway/spend.go
+++ b/internal/gateway/spend.go
@@ -88,14 +88,14 @@
 	g.account.Refund(r.team.Name, r.cost())
 }
 
-// Spent returns this node's usage of the quotas, for a report.
+// QuotaUsage returns this node's usage of the quotas, for a report.
 func (g *Gateway) QuotaUsage() quota.UsageReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.account.Report()
 }
 
-// Told applies a granter's reply to a report of the usage.
+// UpdateQuotas applies a granter's reply to a report of the usage.
 func (g *Gateway) UpdateQuotas(number uint64, states map[string]quota.State, nodes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -104,7 +104,7 @@
 	g.granterReachable = true
 }
 
-// Unled records that no granter replies.
+// LeaderLost records that no granter replies.
 func (g *Gateway) LeaderLost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/generate/router.go
+++ b/internal/generate/router.go
@@ -68,13 +68,13 @@
 		Get(server string) (view.Server, bool)
 		// Changed returns a channel that is closed at the next change.
 		Changed() <-chan struct{}
-		// Heard updates the load of a server from an owner's reply.
+		// UpdateLoad updates the load of a server from an owner's reply.
 		UpdateLoad(server string, l forward.Load)
 	}
 
 	// Owners runs jobs at the owners of servers on other nodes.
 	Owners interface {
-		// Do runs job at the owner. The error is nil, an *engines.SinkError or
+		// RunJob runs job at the owner. The error is nil, an *engines.SinkError or
 		// an *outcome.Error. The reason peer-unreachable means that the job was
 		// not sent, peer-lost that the connection broke after it was.
 		RunJob(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error
@@ -214,7 +214,7 @@
 	a.r.Trace(Event{RequestID: a.q.ID, Event: event, Server: a.server, Owner: a.owner, Epoch: a.epoch, Reason: reason})
 }
 
-// Seen records that a newer view or load of a server was received.
+// ViewUpdated records that a newer view or load of a server was received.
 func (r *Router) ViewUpdated(server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -4,10 +4,10 @@
 //
 // # Usage
 //
-//	g := &granter.Granter{Log: log, Adapter: placer.Want}
+//	g := &granter.Granter{Log: log, LoadAdapter: placer.RequestLoad}
 //	g.Reset()                                   // when the lease is acquired
-//	d, slot, err := g.Place(ctx, request, func() {})
-//	slot.Begun()                                // with the first byte of the response
+//	d, slot, err := g.AcquireSlot(ctx, request, func() {})
+//	slot.PrefillDone()                          // with the first byte of the response
 //	slot.Done(balance.Succeeded)                // with the last byte
 package granter
 
@@ -28,7 +28,7 @@
 )
 
 const (
-	// Tick is the interval at which waiting requests are checked for expiry.
+	// TickPeriod is the interval at which waiting requests are checked for expiry.
 	TickPeriod = 50 * time.Millisecond
 
 	// deputyRateFraction is the fraction of the servers' rate limits that a deputy grants. The
@@ -109,7 +109,7 @@
 	g.ledger.Reset(time.Now(), g.teams)
 }
 
-// Servers sets the list of backend servers.
+// SetServers sets the list of backend servers.
 func (g *Granter) SetServers(list []fleet.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -152,7 +152,7 @@
 	g.loadMissing()
 }
 
-// Note applies a residency update, which overrides the server's entry.
+// SetResidency applies a residency update, which overrides the server's entry.
 func (g *Granter) SetResidency(n hub.ResidencyUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,7 +164,7 @@
 	g.grantSlots()
 }
 
-// LearnLimits merges rate limits that servers set in responses to another node.
+// MergeLimits merges rate limits that servers set in responses to another node.
 func (g *Granter) MergeLimits(list []hub.Limit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -187,7 +187,7 @@
 	return changed
 }
 
-// Running sets how many streams all nodes have at each server. Those that this
+// SetCounts sets how many streams all nodes have at each server. Those that this
 // granter has granted are subtracted, since they are counted already.
 func (g *Granter) SetCounts(counts map[string]balance.Count) {
 	g.mu.Lock()
@@ -203,7 +203,7 @@
 	g.grantSlots()
 }
 
-// Place waits until a request is granted a slot or refused, and calls queued if
+// AcquireSlot waits until a request is granted a slot or refused, and calls queued if
 // that isn't decided immediately.
 func (g *Granter) AcquireSlot(ctx context.Context, p hub.SlotRequest, queued func()) (grant.Decision, hub.SlotGrant, error) {
 	w := waiter{slot: p, arrivedAt: time.Now(), decision: make(chan grant.Decision, 1)}
@@ -260,13 +260,13 @@
 		zap.Duration("come-back", d.RetryAfter), zap.String("team", w.slot.Charge.Team), zap.Float64("charge", w.slot.Charge.Cost))
 }
 
-// slot implements hub.Grant for a decided request.
+// slot implements hub.SlotGrant for a decided request.
 type slot struct {
 	g  *Granter
 	id uint64
 }
 
-// NamedRate implements hub.Grant.
+// SetRate implements hub.SlotGrant.
 func (s *slot) SetRate(perSecond *float64) {
 	s.g.mu.Lock()
 	defer s.g.mu.Unlock()
@@ -274,7 +274,7 @@
 	s.g.grantSlots()
 }
 
-// Begun implements hub.Grant.
+// PrefillDone implements hub.SlotGrant.
 func (s *slot) PrefillDone() {
 	s.g.mu.Lock()
 	defer s.g.mu.Unlock()
@@ -282,7 +282,7 @@
 	s.g.grantSlots()
 }
 
-// Done implements hub.Grant.
+// Done implements hub.SlotGrant.
 func (s *slot) Done(r balance.Result) { s.g.release(s.id, r) }
 
 // release ends a grant or a wait.
@@ -310,7 +310,7 @@
 	}
 }
 
-// Limited returns the models of which requests were recently refused because all their
+// LimitedModels returns the models of which requests were recently refused because all their
 // servers had reached their rate limits.
 func (g *Granter) LimitedModels() map[string]bool {
 	g.mu.Lock()
--- a/internal/granter/quotas.go
+++ b/internal/granter/quotas.go
@@ -19,7 +19,7 @@
 	quotaRate = prometheus.NewDesc("guavapaddle_quota_rate", "Units a second that a team's quota allows.", quotaLabels, nil)
 )
 
-// Teams sets the quotas of teams.
+// SetTeams sets the quotas of teams.
 func (g *Granter) SetTeams(teams []fleet.Team) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -28,14 +28,14 @@
 	g.ledger.Configure(time.Now(), teams)
 }
 
-// Spent records the usage that a node reports and returns the quota states to send to it.
+// ReportUsage records the usage that a node reports and returns the quota states to send to it.
 func (g *Granter) ReportUsage(r hub.Report) map[string]quota.State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Report(time.Now(), r.Node, r.At.Key, r.Quotas)
 }
 
-// Accounts returns the usage of all teams with a quota.
+// Balances returns the usage of all teams with a quota.
 func (g *Granter) Balances() []quota.Balance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -22,7 +22,7 @@
 	kindRateUpdate  peer.Kind = 10
 )
 
-// AckTimeout bounds the wait for the first reply to a Place, which says that the
+// AckTimeout bounds the wait for the first reply to a SlotRequest, which says that the
 // request is granted, refused or queued. The reply normally takes about 3 ms. By
 // its reports alone a node detects a leader that is frozen or unreachable only
 // after 1.3 s, by which time half of the requests of that interval have missed a
@@ -30,16 +30,16 @@
 const AckTimeout = 250 * time.Millisecond
 
 type (
-	// Want asks the leader to load a model or adapter immediately.
+	// LoadRequest asks the leader to load a model or adapter immediately.
 	LoadRequest struct {
 		Item
 		Lacks   []string // servers that recently responded that it isn't resident
 		Exclude []string // servers that the waiting requests exclude
 	}
 
-	// Place asks the leader for a slot of an engine. The reply comes when the
+	// SlotRequest asks the leader for a slot of an engine. The reply comes when the
 	// request may start. The caller then reports the end of the prefill, and the
-	// result of the request in a Released.
+	// result of the request in a Release.
 	SlotRequest struct {
 		Item
 		Request  string // request id, for the log
@@ -61,7 +61,7 @@
 		Cost float64
 	}
 
-	// Placed is the reply to a Place.
+	// SlotReply is the reply to a SlotRequest.
 	SlotReply struct {
 		Granted bool
 		Server  string // incarnation
@@ -71,7 +71,7 @@
 		After   time.Duration // when the client of a refused request may retry
 	}
 
-	// Grant is a granted slot, or a wait that ended without one. Done must be
+	// SlotGrant is a granted slot, or a wait that ended without one. Done must be
 	// called exactly once.
 	SlotGrant interface {
 		SetRate(perSecond *float64) // the server's response sets a rate limit, or removes it if nil
@@ -79,13 +79,13 @@
 		Done(r balance.Result)      // the request has ended
 	}
 
-	// Released frees a granted slot.
+	// Release frees a granted slot.
 	Release struct{ Result balance.Result }
 
-	// Rated carries the rate limit of a server's response, nil for none.
+	// RateUpdate carries the rate limit of a server's response, nil for none.
 	RateUpdate struct{ PerSecond *float64 }
 
-	// Offer is the reply to a Want: the server that holds the item, or why none
+	// LoadReply is the reply to a LoadRequest: the server that holds the item, or why none
 	// can.
 	LoadReply struct {
 		Found  bool
@@ -99,14 +99,14 @@
 		OnReply  func() // called for each frame received from the leader, may be nil
 	}
 
-	// SilentError means that the leader didn't reply within AckTimeout.
+	// AckTimeoutError means that the leader didn't reply within AckTimeout.
 	AckTimeoutError struct{ Address string }
 
-	// Holder serves the calls of other nodes.
+	// Leader serves the calls of other nodes.
 	Leader interface {
 		HandleReport(r Report) ReportReply
 		RequestLoad(ctx context.Context, w LoadRequest) LoadReply
-		// Place waits for a slot, and calls queued if the request has to wait.
+		// AcquireSlot waits for a slot, and calls queued if the request has to wait.
 		AcquireSlot(ctx context.Context, p SlotRequest, queued func()) (SlotReply, SlotGrant, error)
 	}
 )
@@ -114,7 +114,7 @@
 // Error implements error.
 func (e *AckTimeoutError) Error() string { return "hub: no reply from " + e.Address }
 
-// Pick returns the request for which a server is picked.
+// PickRequest returns the request for which a server is picked.
 func (p SlotRequest) PickRequest() balance.Request {
 	r := balance.Request{Service: p.Service, Model: p.Model, Adapter: p.Adapter, Tokens: p.Tokens, Segments: p.Parts, Zone: p.Zone}
 	if len(p.Exclude) > 0 {
@@ -133,14 +133,14 @@
 	return p, err
 }
 
-// Want asks the leader to load a model or adapter.
+// RequestLoad asks the leader to load a model or adapter.
 func (c *Client) RequestLoad(ctx context.Context, address string, w LoadRequest) (LoadReply, error) {
 	var o LoadReply
 	err := c.call(ctx, address, kindLoadRequest, w, &o)
 	return o, err
 }
 
-// Place asks the leader for a slot and waits until it is granted or refused.
+// AcquireSlot asks the leader for a slot and waits until it is granted or refused.
 func (c *Client) AcquireSlot(ctx context.Context, address string, p SlotRequest) (SlotReply, SlotGrant, error) {
 	f, err := peer.Encode(kindSlotRequest, p)
 	if err != nil {
@@ -169,7 +169,7 @@
 // streamGrant reports to the leader on the stream of the slot request.
 type streamGrant struct{ s *peer.Stream }
 
-// NamedRate implements Grant.
+// SetRate implements SlotGrant.
 func (g *streamGrant) SetRate(perSecond *float64) {
 	f, err := peer.Encode(kindRateUpdate, RateUpdate{perSecond})
 	if err != nil || g.s.Write(f) != nil {
@@ -177,14 +177,14 @@
 	}
 }
 
-// Begun implements Grant.
+// PrefillDone implements SlotGrant.
 func (g *streamGrant) PrefillDone() {
 	if g.s.Write(peer.Frame{Kind: kindPrefillDone}) != nil {
 		g.s.Cancel()
 	}
 }
 
-// Done implements Grant. If the result can't be sent, the end of the stream frees
+// Done implements SlotGrant. If the result can't be sent, the end of the stream frees
 // the slot all the same.
 func (g *streamGrant) Done(r balance.Result) {
 	f, err := peer.Encode(kindRelease, Release{r})
@@ -199,7 +199,7 @@
 	g.s.CancelRead()
 }
 
-// readSlotReply reads the reply to a Place.
+// readSlotReply reads the reply to a SlotRequest.
 func (c *Client) readSlotReply(s *peer.Stream, address string) (peer.Frame, error) {
 	deadline := time.Now().Add(AckTimeout)
 	s.SetReadDeadline(deadline)
@@ -214,7 +214,7 @@
 	return c.readFrame(s)
 }
 
-// readFrame reads a frame and calls Heard.
+// readFrame reads a frame and calls OnReply.
 func (c *Client) readFrame(s *peer.Stream) (peer.Frame, error) {
 	f, err := s.Read()
 	if err == nil && c.OnReply != nil {
@@ -277,11 +277,11 @@
 	}
 }
 
-// loadTimeout bounds the handling of one Want: loading an adapter from a busy store
+// loadTimeout bounds the handling of one LoadRequest: loading an adapter from a busy store
 // takes up to a few hundred milliseconds.
 const loadTimeout = time.Second
 
-// serveSlotRequest handles one Place and keeps the granted slot until it is released or
+// serveSlotRequest handles one SlotRequest and keeps the granted slot until it is released or
 // the stream ends.
 func serveSlotRequest(ctx context.Context, h Leader, f peer.Frame, s *peer.Stream) {
 	var p SlotRequest
--- a/internal/hub/client_test.go
+++ b/internal/hub/client_test.go
@@ -23,7 +23,7 @@
 	decided      chan struct{}
 }
 
-// Place implements hub.Holder.
+// AcquireSlot implements hub.Leader.
 func (h *slotServer) AcquireSlot(ctx context.Context, _ hub.SlotRequest, queued func()) (hub.SlotReply, hub.SlotGrant, error) {
 	if !h.unresponsive {
 		queued()
@@ -85,19 +85,19 @@
 // noGrant ignores all calls.
 type noGrant struct{}
 
-// NamedRate implements hub.Grant.
+// SetRate implements hub.SlotGrant.
 func (noGrant) SetRate(*float64) {}
 
-// Begun implements hub.Grant.
+// PrefillDone implements hub.SlotGrant.
 func (noGrant) PrefillDone() {}
 
-// Done implements hub.Grant.
+// Done implements hub.SlotGrant.
 func (noGrant) Done(balance.Result) {}
 
 // grantingServer grants every slot request immediately.
 type grantingServer struct{ hub.Leader }
 
-// Place implements hub.Holder.
+// AcquireSlot implements hub.Leader.
 func (grantingServer) AcquireSlot(context.Context, hub.SlotRequest, func()) (hub.SlotReply, hub.SlotGrant, error) {
 	return hub.SlotReply{Granted: true, Server: "i-1"}, noGrant{}, nil
 }
--- a/internal/hub/doc.go
+++ b/internal/hub/doc.go
@@ -12,7 +12,7 @@
 // # Usage
 //
 //	h := &hub.Hub{}
-//	reply := h.Take(now, report)             // at the leader
+//	reply := h.Merge(now, report)            // at the leader
 //
 //	c := &hub.Client{Endpoint: endpoint}
 //	reply, err := c.Exchange(ctx, address, report)
--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -20,7 +20,7 @@
 const (
 	// reportTTL is how long a node's last report is used.
 	reportTTL = 1500 * time.Millisecond
-	// LimitLife is how long nodes exchange a server's rate limit after it was last
+	// LimitTTL is how long nodes exchange a server's rate limit after it was last
 	// reported.
 	LimitTTL = 10 * time.Second
 	// markTTL is how long the crash marks of a request are kept.
@@ -44,13 +44,13 @@
 		Ran     StreamTotals // streams that ended
 	}
 
-	// Ran sums up streams that ended successfully.
+	// StreamTotals sums up streams that ended successfully.
 	StreamTotals struct {
 		Tokens int           // prompt tokens
 		Time   time.Duration // for which they occupied a slot of an engine
 	}
 
-	// Note is a residency update: it says whether a server holds a model or adapter
+	// ResidencyUpdate is a residency update: it says whether a server holds a model or adapter
 	// before the server's entry in the store does.
 	ResidencyUpdate struct {
 		Server  string
@@ -59,7 +59,7 @@
 		Held    bool
 	}
 
-	// Mark is a crash mark: a server ended while it ran the request with this
+	// CrashMark is a crash mark: a server ended while it ran the request with this
 	// fingerprint.
 	CrashMark struct {
 		Fingerprint uint64
@@ -102,7 +102,7 @@
 		Age    time.Duration
 	}
 
-	// Echo relates the time at which a node read the store to the clock of the node to
+	// ClockEcho relates the time at which a node read the store to the clock of the node to
 	// which it reports, independently of the report's delay: it names the last reply
 	// received from that node.
 	ClockEcho struct {
@@ -111,14 +111,14 @@
 		After time.Duration // from the arrival of the reply until the configuration was last confirmed as the newest
 	}
 
-	// Heard acknowledges the residency updates and crash marks of a hub up to a
+	// Ack acknowledges the residency updates and crash marks of a hub up to a
 	// number.
 	Ack struct {
 		Hub    uint64 // that numbered them
 		Number uint64
 	}
 
-	// Picture is the leader's reply to a report.
+	// ReportReply is the leader's reply to a report.
 	ReportReply struct {
 		Leading  bool     // the replying node holds the lease
 		Acting   bool     // the replying node is the deputy, and grants slots while nobody holds the lease
@@ -143,7 +143,7 @@
 	// concurrent use. Its exported fields are set before the first report.
 	Hub struct {
 		Self string // name of this node
-		// Granted reports whether requests to a server start only by a granter's
+		// HasGranter reports whether requests to a server start only by a granter's
 		// decision, so that nodes don't need the counts of others there; nil for no
 		// server.
 		HasGranter func(server string) bool
@@ -176,7 +176,7 @@
 	}
 )
 
-// Take merges a node's report and returns the reply: what the other nodes reported.
+// Merge merges a node's report and returns the reply: what the other nodes reported.
 func (h *Hub) Merge(now time.Time, r Report) ReportReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -222,7 +222,7 @@
 	return reply
 }
 
-// Limits converts rate limits to the form in which they are sent to another node,
+// EncodeLimits converts rate limits to the form in which they are sent to another node,
 // with ages instead of times.
 func EncodeLimits(now time.Time, limits map[string]throttle.Limit) []Limit {
 	out := make([]Limit, 0, len(limits))
@@ -232,7 +232,7 @@
 	return out
 }
 
-// Said converts a received limit to one on the local clock.
+// Local converts a received limit to one on the local clock.
 func (l Limit) Local(now time.Time) throttle.Limit {
 	return throttle.Limit{Rate: l.Rate, Active: l.Active, At: now.Add(-l.Age)}
 }
@@ -292,7 +292,7 @@
 	h.deputyNode = h.deputy.Select(now, list)
 }
 
-// Note adds a residency update, which is sent to all nodes until it expires.
+// AddResidencyUpdate adds a residency update, which is sent to all nodes until it expires.
 func (h *Hub) AddResidencyUpdate(now time.Time, n ResidencyUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -315,7 +315,7 @@
 	return maps.Clone(h.total)
 }
 
-// countsOfOthers returns the counts of all nodes but one, leaving out servers for which Granted is
+// countsOfOthers returns the counts of all nodes but one, leaving out servers for which HasGranter is
 // true; h.mu is held. With hundreds of servers the counts of all of them made up most of
 // each reply.
 func (h *Hub) countsOfOthers(own map[string]balance.Count) map[string]balance.Count {
--- a/internal/hub/hub_test.go
+++ b/internal/hub/hub_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestReportedLimitIsInEachReply guards against a node that joins and doesn't get a server's
-// rate limit because the response that set it is older than LimitLife.
+// rate limit because the response that set it is older than LimitTTL.
 func TestReportedLimitIsInEachReply(t *testing.T) {
 	h := &hub.Hub{}
 	setAt := time.Unix(1000, 0)
--- a/internal/keys/memory.go
+++ b/internal/keys/memory.go
@@ -13,7 +13,7 @@
 )
 
 type (
-	// Memory is a key pair with a self-signed certificate that a process
+	// SelfSigned is a key pair with a self-signed certificate that a process
 	// generates at its start. No authority is involved: a peer is authenticated
 	// if its row in the store holds the fingerprint of the certificate that it
 	// presents.
@@ -36,7 +36,7 @@
 	return "keys: no node is registered with certificate fingerprint " + e.Fingerprint
 }
 
-// NewMemory generates a key pair and a self-signed certificate for a node.
+// NewSelfSigned generates a key pair and a self-signed certificate for a node.
 func NewSelfSigned(name string) (*SelfSigned, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -19,11 +19,11 @@
 	Configuration Work = "configuration"
 )
 
-// Control measures the time spent on control work. A nil Control measures
+// ControlWork measures the time spent on control work. A nil ControlWork measures
 // nothing.
 type ControlWork struct{ seconds *prometheus.CounterVec }
 
-// NewControl returns a Control with all counters at zero.
+// NewControlWork returns a ControlWork with all counters at zero.
 func NewControlWork() *ControlWork {
 	c := &ControlWork{seconds: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "control_seconds_total",
@@ -38,7 +38,7 @@
 // Collectors returns the metrics to register.
 func (c *ControlWork) Collectors() []prometheus.Collector { return []prometheus.Collector{c.seconds} }
 
-// Time starts a measurement of w and returns the function that ends it. The
+// Measure starts a measurement of w and returns the function that ends it. The
 // measured time includes waits of the goroutine for a processor or a lock.
 func (c *ControlWork) Measure(w Work) func() {
 	if c == nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -5,7 +5,7 @@
 //
 //	m := metrics.New()
 //	registry.MustRegister(m.Collectors()...)
-//	m.End("live-desk", err, took, false)
+//	m.RequestEnded("live-desk", err, took, false)
 package metrics
 
 import (
@@ -71,10 +71,10 @@
 	return []prometheus.Collector{r.finished, r.retryDecisions, r.firstToken, r.duration, r.deadlineMissed, r.open, r.answers}
 }
 
-// Begin records the start of a request.
+// RequestStarted records the start of a request.
 func (r *Requests) RequestStarted() { r.open.Inc() }
 
-// End records the end of a request. err is nil if it succeeded; afterDeadline
+// RequestEnded records the end of a request. err is nil if it succeeded; afterDeadline
 // reports whether it then completed after its deadline.
 func (r *Requests) RequestEnded(kind string, err error, took time.Duration, afterDeadline bool) {
 	r.open.Dec()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Answered counts an answer to a caller, including one that the listener gave
+// CountAnswer counts an answer to a caller, including one that the listener gave
 // before any other component saw the request. err is nil if it succeeded.
 func (r *Requests) CountAnswer(err error) {
 	if e := outcome.From(err); e != nil {
@@ -100,12 +100,12 @@
 	r.answers.WithLabelValues(string(outcome.Done), "").Inc()
 }
 
-// First records the time to the first token of a request.
+// FirstToken records the time to the first token of a request.
 func (r *Requests) FirstToken(kind string, took time.Duration) {
 	r.firstToken.WithLabelValues(kind).Observe(took.Seconds())
 }
 
-// Retry counts a retry decision after a failed attempt.
+// CountRetryDecision counts a retry decision after a failed attempt.
 func (r *Requests) CountRetryDecision(decision, reason string) {
 	r.retryDecisions.WithLabelValues(decision, reason).Inc()
 }
--- a/internal/node/forwarded.go
+++ b/internal/node/forwarded.go
@@ -18,7 +18,7 @@
 	node *Node
 }
 
-// Do implements cluster.Local.
+// RunJob implements cluster.Local.
 func (f *forwarded) RunJob(ctx context.Context, job forward.Job, sink engines.Sink) error {
 	v, _ := f.node.views.Get(job.Server)
 	f.node.traceEvent(job.RequestID, "forwarded", zap.String("server", job.Server), zap.String("owner", v.Owner),
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -28,7 +28,7 @@
 	assumedTokens = 128.0
 )
 
-// Limits returns the names of all limit policies.
+// LimitNames returns the names of all limit policies.
 func LimitNames() []string { return []string{LimitCost, LimitRequests, LimitNone} }
 
 // limits applies the policies of core/limit to the requests of this node.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -98,7 +98,7 @@
 		Callers, Peers, Operators string
 	}
 
-	// NotReady reports why a node does not accept requests.
+	// NotReadyError reports why a node does not accept requests.
 	NotReadyError struct{ Reason outcome.Reason }
 )
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -23,13 +23,13 @@
 	// DefaultQuietPoll is the time between two polls of a reachable engine that
 	// matches its plan and has no order in progress.
 	DefaultQuietPoll = time.Second
-	// DefaultTick is the period of the loops that renew the session and acquire
+	// DefaultTickPeriod is the period of the loops that renew the session and acquire
 	// servers.
 	DefaultTickPeriod = 200 * time.Millisecond
-	// DefaultHandOver is how long another node must be the wanted owner
+	// DefaultHandoverDelay is how long another node must be the wanted owner
 	// before a server is handed over.
 	DefaultHandoverDelay = time.Second
-	// DefaultPatience is the time after which an order that has shown no effect
+	// DefaultResendAfter is the time after which an order that has shown no effect
 	// is sent again.
 	DefaultResendAfter = 2 * time.Second
 	// DefaultCallTimeout bounds each call to an engine or to the table.
@@ -67,7 +67,7 @@
 		Known    func() []view.Server
 		LastCopy func(item backend.Item, server string) bool
 
-		// Occupancy returns the dispatcher's load on a server; may be nil.
+		// Load returns the dispatcher's load on a server; may be nil.
 		Load      func(server string) (running, queued, slots int, waitMS int64)
 		OnRestart func(server string) // called when the engine has a new boot ID; may be nil
 		OnLeaving func(server string) // called when the engine announces that it is leaving; may be nil
@@ -78,9 +78,9 @@
 		Lease         lease.Settings // TTL, Margin and MaxPause; Node and Incarnation are filled in
 		Poll          time.Duration  // DefaultPoll if zero; each interval is jittered by 20%
 		QuietPoll     time.Duration  // DefaultQuietPoll if zero; at least Poll
-		TickPeriod    time.Duration  // DefaultTick if zero
-		HandoverDelay time.Duration  // DefaultHandOver if zero
-		ResendAfter   time.Duration  // DefaultPatience if zero
+		TickPeriod    time.Duration  // DefaultTickPeriod if zero
+		HandoverDelay time.Duration  // DefaultHandoverDelay if zero
+		ResendAfter   time.Duration  // DefaultResendAfter if zero
 		CallTimeout   time.Duration  // DefaultCallTimeout if zero
 
 		epoch         time.Time // origin of monotonic times
--- a/internal/owner/reason.go
+++ b/internal/owner/reason.go
@@ -8,13 +8,13 @@
 )
 
 // Reason is the reason why the owner did not send an order. Together with the
-// reasons of core/ledger, it is a label value of Metrics.Refused.
+// reasons of core/ledger, it is a label value of Metrics.UnsentOrders.
 type Reason string
 
 const (
 	// NoLease means that the lease is not valid.
 	NoLease Reason = "lease"
-	// Rival means that the engine has seen a higher fencing number.
+	// Fenced means that the engine has seen a higher fencing number.
 	Fenced Reason = "rival"
 	// Unreachable means that the engine didn't answer.
 	Unreachable Reason = "unreachable"
@@ -23,7 +23,7 @@
 	Restarted Reason = "restarted"
 	// NotRecorded means that the order could not be recorded in the table.
 	NotRecorded Reason = "not-recorded"
-	// NoSlot means that other loads occupy all slots of the weight store.
+	// StoreBusy means that other loads occupy all slots of the weight store.
 	StoreBusy Reason = "no-slot"
 	// Undeclared means that the item is not in the configuration.
 	Undeclared Reason = "undeclared"
--- a/internal/placer/adapter.go
+++ b/internal/placer/adapter.go
@@ -48,7 +48,7 @@
 	return p.Hub.Merge(time.Now(), r)
 }
 
-// Want makes sure that an engine holds an adapter and returns that engine. A model without a
+// RequestLoad makes sure that an engine holds an adapter and returns that engine. A model without a
 // copy is left to the plan, which takes into account the waiting request that the node
 // reports.
 func (p *Placer) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
--- a/internal/placer/adapter_test.go
+++ b/internal/placer/adapter_test.go
@@ -143,7 +143,7 @@
 	delayed platform.Order
 }
 
-// Give implements placer.Engines.
+// SendOrder implements placer.Engines.
 func (l *delayedAdapterLoad) SendOrder(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error) {
 	if o.Adapter != l.adapter || o.Load && l.lost {
 		return l.simEngines.SendOrder(ctx, s, o)
--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -10,9 +10,9 @@
 //
 // # Usage
 //
-//	p := &placer.Placer{Store: store, Engines: engines, Hub: &hub.Hub{}, Keeper: keeper, Clock: bootClock}
+//	p := &placer.Placer{Store: store, Engines: engines, Hub: &hub.Hub{}, Elector: elector, Clock: bootClock}
 //	go p.Run(ctx)
-//	p.Servers(list)
-//	p.Config(config)
-//	offer := p.Want(ctx, hub.Want{Service: "drafter", Model: "m1", Adapter: "a3"})
+//	p.SetServers(list)
+//	p.SetConfig(config)
+//	reply := p.RequestLoad(ctx, hub.LoadRequest{Service: "drafter", Model: "m1", Adapter: "a3"})
 package placer
--- a/internal/placer/lease.go
+++ b/internal/placer/lease.go
@@ -117,7 +117,7 @@
 	return p.Store.Change(ctx, platform.Change{Expect: []platform.Row{row}, Set: []platform.Row{row}})
 }
 
-// Learn updates the row from another node's copy and reports whether that copy was newer.
+// ObserveLease updates the row from another node's copy and reports whether that copy was newer.
 func (p *Placer) ObserveLease(r platform.Row) bool {
 	if r.Version == 0 {
 		return false
@@ -249,7 +249,7 @@
 	return p.epoch()
 }
 
-// Holding reports whether this node acts as leader: its lease is valid, or no other node can
+// IsLeading reports whether this node acts as leader: its lease is valid, or no other node can
 // acquire it because the store is unavailable.
 func (p *Placer) IsLeading() bool {
 	_, ok := p.epoch()
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -26,7 +26,7 @@
 	at time.Time
 }
 
-// Give implements placer.Engines.
+// SendOrder implements placer.Engines.
 func (l *delayedLoads) SendOrder(ctx context.Context, s fleet.Server, o platform.Order) (platform.Verdict, error) {
 	if !o.Load || time.Now().After(l.at) {
 		return l.simEngines.SendOrder(ctx, s, o)
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -139,14 +139,14 @@
 	return &loads.Budget{Window: p.Window, OrderLifetime: orderLifetime}
 }
 
-// Config sets the configuration.
+// SetConfig sets the configuration.
 func (p *Placer) SetConfig(c *fleet.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config = c
 }
 
-// Servers sets the list of backend servers. The record of a server that has restarted is
+// SetServers sets the list of backend servers. The record of a server that has restarted is
 // deleted: the new process holds nothing and counts its orders from zero.
 func (p *Placer) SetServers(list []fleet.Server) {
 	p.mu.Lock()
--- a/internal/placer/report.go
+++ b/internal/placer/report.go
@@ -12,7 +12,7 @@
 	"guavapaddle/platform"
 )
 
-// UnsettledError reports that the memory use of an engine can't be computed, because the
+// EngineUnsettledError reports that the memory use of an engine can't be computed, because the
 // engine is executing an order, has restarted since its entry was written, or holds other
 // models than its entry lists.
 type EngineUnsettledError struct {
--- a/internal/placer/sim_engine_test.go
+++ b/internal/placer/sim_engine_test.go
@@ -150,7 +150,7 @@
 	return lower + time.Duration(e.rng.Int64N(int64(upper-lower)))
 }
 
-// Give implements placer.Engines. Of the lost orders half are executed 2 to 12 s late, a
+// SendOrder implements placer.Engines. Of the lost orders half are executed 2 to 12 s late, a
 // quarter is executed at once, and a quarter is never executed.
 func (s *simEngines) SendOrder(ctx context.Context, f fleet.Server, o platform.Order) (platform.Verdict, error) {
 	e := s.world.engine(f.ID)
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -43,7 +43,7 @@
 	return a
 }
 
-// Asked implements entry.Demand.
+// Requested implements entry.Demand.
 func (d *Demand) Requested(name string, u config.Urgency) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// Took implements entry.Demand.
+// ServiceTime implements entry.Demand.
 func (d *Demand) ServiceTime(name string, seconds float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,7 +65,7 @@
 	a.seconds += (seconds - a.seconds) / serviceTimeWeight
 }
 
-// Wanted adds change to the number of requests that wait for a copy of an item.
+// AddWaiting adds change to the number of requests that wait for a copy of an item.
 func (d *Demand) AddWaiting(i backend.Item, change int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -52,11 +52,11 @@
 		Index       func() *config.Index // returns nil if there is no configuration
 		ActiveNodes func() []string      // returns the names of the live nodes that are not leaving
 		Views       Views
-		// Tell sends a message to another node. Delivery is best effort.
+		// Send sends a message to another node. Delivery is best effort.
 		Send func(ctx context.Context, node string, k peer.Kind, v any)
-		// Follow passes the planned items of a server to this node's owner.
+		// SetPlan passes the planned items of a server to this node's owner.
 		SetPlan func(server string, want []backend.Item)
-		// Time starts measuring control work of a kind and returns the function
+		// Measure starts measuring control work of a kind and returns the function
 		// that ends the measurement.
 		Measure func(w metrics.Work) func()
 		Log     *zap.Logger
--- a/internal/suspects/doc.go
+++ b/internal/suspects/doc.go
@@ -18,6 +18,6 @@
 //
 // The owner of a server reports a crash, with all requests that were in flight,
 // by guard.ServerCrashed. Crashed and ServerCrashed return when the other nodes
-// know of the crash or after SpreadWait. Only then may the request be answered
+// know of the crash or after BroadcastTimeout. Only then may the request be answered
 // or sent again.
 package suspects
--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -18,9 +18,9 @@
 const (
 	// DefaultTimeout bounds one call to the table.
 	DefaultTimeout = 400 * time.Millisecond
-	// DefaultSpreadWait bounds the wait for the other nodes.
+	// DefaultBroadcastTimeout bounds the wait for the other nodes.
 	DefaultBroadcastTimeout = 200 * time.Millisecond
-	// DefaultTrial is the longest time that a trial occupies a server's trial
+	// DefaultMaxTrial is the longest time that a trial occupies a server's trial
 	// slot.
 	DefaultMaxTrial = time.Minute
 
@@ -45,7 +45,7 @@
 	// before its first use. It is safe for concurrent use.
 	Guard struct {
 		Table Table
-		// Spread sends marks to the other nodes and returns when all live ones
+		// Broadcast sends marks to the other nodes and returns when all live ones
 		// have merged them or ctx ends. It may be nil.
 		Broadcast        func(ctx context.Context, marks []suspect.Mark)
 		Log              *zap.Logger // may be nil
@@ -142,7 +142,7 @@
 
 // Crashed records that the server that ran r crashed; bootID identifies the
 // server's incarnation. It returns when the other nodes know or after
-// SpreadWait.
+// BroadcastTimeout.
 func (g *Guard) Crashed(ctx context.Context, r Run, bootID string) {
 	crash := suspect.Incident{Server: r.Server, BootID: bootID}
 	g.once.Do(g.init)
@@ -155,7 +155,7 @@
 }
 
 // ServerCrashed marks all requests that were in flight at a server that crashed.
-// It returns when the other nodes know or after SpreadWait.
+// It returns when the other nodes know or after BroadcastTimeout.
 func (g *Guard) ServerCrashed(ctx context.Context, crash suspect.Incident, inflight []suspect.Fingerprint) {
 	g.once.Do(g.init)
 	g.mu.Lock()
@@ -257,7 +257,7 @@
 	return suspect.IsCharged(run.Fingerprint, run.trial, rows[0])
 }
 
-// spread sends marks to the other nodes and waits at most SpreadWait.
+// spread sends marks to the other nodes and waits at most BroadcastTimeout.
 func (g *Guard) spread(ctx context.Context, marks []suspect.Mark) {
 	if g.Broadcast == nil || len(marks) == 0 {
 		return
--- a/internal/testbed/bound/bound.go
+++ b/internal/testbed/bound/bound.go
@@ -13,7 +13,7 @@
 // # Usage
 //
 //	met := bound.Run(deployment, arrivals)
-//	if met[arrival.Number] { ... }
+//	if met[arrival.Index] { ... }
 package bound
 
 import (
--- a/internal/testbed/lab/lab.go
+++ b/internal/testbed/lab/lab.go
@@ -52,7 +52,7 @@
 		Platform *platform.Platform
 		// Engine adjusts the stand-in of an engine before it starts. It may be nil.
 		Engine func(e *engine.Engine, s config.BackendServer)
-		// Started is called for each engine that has started, before any node starts. It may
+		// OnEngineStarted is called for each engine that has started, before any node starts. It may
 		// be nil.
 		OnEngineStarted func(e *engine.Engine, s config.BackendServer)
 		// Settings adjusts the settings of a node before it starts. It may be nil.
@@ -81,7 +81,7 @@
 		once sync.Once
 	}
 
-	// NotReady is the error returned when the system did not become ready in time.
+	// NotReadyError is the error returned when the system did not become ready in time.
 	NotReadyError struct{ Missing string }
 )
 
--- a/internal/testbed/measure/point.go
+++ b/internal/testbed/measure/point.go
@@ -57,7 +57,7 @@
 		Load   float64            `json:"load-average"` // of the machine, at the end of the measurement
 	}
 
-	// NotReady reports a condition that was not met in time.
+	// NotReadyError reports a condition that was not met in time.
 	NotReadyError struct{ Condition string }
 
 	// measurement is the state of a measurement in progress.
--- a/internal/testbed/report/recorder.go
+++ b/internal/testbed/report/recorder.go
@@ -136,7 +136,7 @@
 	r.requests = append(r.requests, q)
 }
 
-// Moved records a move.
+// AddMove records a move.
 func (r *Recorder) AddMove(m Move) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/session/doc.go
+++ b/internal/testbed/session/doc.go
@@ -11,7 +11,7 @@
 //
 // # Usage
 //
-//	s := session.New(t, session.Small(t, 2, 1), session.Options{})
+//	s := session.New(t, session.SmallDocument(t, 2, 1), session.Options{})
 //	s.StartNodes(2)
 //	a := s.Do(0, http.MethodPost, "/v1/chat/completions", body)
 //	s.Nodes[1].Signal(syscall.SIGSTOP)
--- a/internal/testbed/session/document.go
+++ b/internal/testbed/session/document.go
@@ -12,7 +12,7 @@
 	"guavapaddle/core/config"
 )
 
-// Small returns a document with the engines gpu-1, gpu-2 and so on, the services desk-1,
+// SmallDocument returns a document with the engines gpu-1, gpu-2 and so on, the services desk-1,
 // desk-2 and so on, the models drafter and checker, the adapter shire-style, and two teams.
 // Engines with odd numbers check fencing numbers.
 func SmallDocument(t testing.TB, engines, services int) *config.Document {
--- a/internal/testbed/session/process.go
+++ b/internal/testbed/session/process.go
@@ -232,7 +232,7 @@
 	return p.exitCode
 }
 
-// Ended reports whether the process has exited.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.exited:
@@ -250,7 +250,7 @@
 	p.awaitReady(printed)
 }
 
-// RestartUnread restarts the process with a pipe as its output, which is read only until the
+// RestartWithUnreadOutput restarts the process with a pipe as its output, which is read only until the
 // process listens.
 func (p *Process) RestartWithUnreadOutput() {
 	p.Kill()
--- a/internal/testbed/session/proxy.go
+++ b/internal/testbed/session/proxy.go
@@ -15,19 +15,19 @@
 	"guavapaddle/core/row"
 )
 
-// Fate is what a Proxy does with a transaction.
+// Action is what a Proxy does with a transaction.
 type Action int
 
 const (
 	// Pass forwards the transaction and its response.
 	Pass Action = iota
-	// Drop closes the connection; the transaction does not reach the table.
+	// DropRequest closes the connection; the transaction does not reach the table.
 	DropRequest
-	// Lose closes the connection after the transaction took effect.
+	// DropResponse closes the connection after the transaction took effect.
 	DropResponse
 )
 
-// Proxy forwards calls from the nodes to the table of a System. The function set by Decide
+// Proxy forwards calls from the nodes to the table of a System. The function set by SetAction
 // chooses what happens to each transaction before it is forwarded, and may block.
 type Proxy struct {
 	table string
@@ -37,10 +37,10 @@
 	lostResponses chan struct{} // receives a value when a transaction took effect whose response is lost
 }
 
-// maxLostResponses limits the lost responses that are pending for AwaitLost.
+// maxLostResponses limits the lost responses that are pending for AwaitDroppedResponse.
 const maxLostResponses = 64
 
-// Between starts a Proxy in front of the table. Nodes that start afterwards use it.
+// StartProxy starts a Proxy in front of the table. Nodes that start afterwards use it.
 func (s *System) StartProxy() *Proxy {
 	p := &Proxy{table: s.Platform.Address("address"), lostResponses: make(chan struct{}, maxLostResponses)}
 	server := httptest.NewServer(p)
@@ -49,7 +49,7 @@
 	return p
 }
 
-// Decide sets the function that chooses what happens to subsequent transactions; nil
+// SetAction sets the function that chooses what happens to subsequent transactions; nil
 // forwards all of them.
 func (p *Proxy) SetAction(f func(tx row.Tx) Action) {
 	p.mu.Lock()
@@ -57,12 +57,12 @@
 	p.decide = f
 }
 
-// AwaitLost waits until a transaction with fate Lose has taken effect. A node that is killed
+// AwaitDroppedResponse waits until a transaction with the action DropResponse has taken effect. A node that is killed
 // in the meantime breaks its caller's connection earlier, so the caller's view doesn't show
 // whether the transaction took effect.
 func (p *Proxy) AwaitDroppedResponse() { <-p.lostResponses }
 
-// Claims calls f for transactions that move a claim into the given state, and forwards all
+// OnClaims calls f for transactions that move a claim into the given state, and forwards all
 // others.
 func (p *Proxy) OnClaims(state claim.State, f func(c claim.Claim) Action) {
 	p.SetAction(func(tx row.Tx) Action {
@@ -120,7 +120,7 @@
 	return decide(tx)
 }
 
-// Repeat sends the same call to all given nodes concurrently.
+// PostAll sends the same call to all given nodes concurrently.
 func (s *System) PostAll(nodes []int, path, body, key string) []Response {
 	answers := make([]Response, len(nodes))
 	var wg sync.WaitGroup
--- a/internal/testbed/session/stream.go
+++ b/internal/testbed/session/stream.go
@@ -27,17 +27,17 @@
 	lines *bufio.Scanner
 }
 
-// Chat returns the body of a streamed chat request.
+// StreamedChat returns the body of a streamed chat request.
 func StreamedChat(model, prompt string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, model, tokens, prompt)
 }
 
-// Whole returns the body of a chat request that is not streamed.
+// UnstreamedChat returns the body of a chat request that is not streamed.
 func UnstreamedChat(model, prompt string, tokens int) string {
 	return strings.Replace(StreamedChat(model, prompt, tokens), `"stream":true,`, "", 1)
 }
 
-// Expect returns the tokens that the stand-in engine generates for a chat with one user
+// ExpectedTokens returns the tokens that the stand-in engine generates for a chat with one user
 // message. item is "name@version", or "base+name@version" for an adapter.
 func ExpectedTokens(item, prompt string, tokens int) []string {
 	out := make([]string, tokens)
--- a/internal/testbed/session/system.go
+++ b/internal/testbed/session/system.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	// Key is the API key of the team "crew" in Small.
+	// Key is the API key of the team "crew" in SmallDocument.
 	Key = "crew-key"
-	// OtherKey is the API key of the team "rival" in Small.
+	// OtherKey is the API key of the team "rival" in SmallDocument.
 	OtherKey = "rival-key"
 
 	pollPeriod      = 20 * time.Millisecond
@@ -64,7 +64,7 @@
 		documentFile string
 	}
 
-	// Answer is the response that a caller received.
+	// Response is the response that a caller received.
 	Response struct {
 		Status int
 		Header http.Header
@@ -217,7 +217,7 @@
 		"-operator", operator, "-base", strconv.FormatUint(base, 10))
 }
 
-// ApplyFrom applies a document and waits for one node only, for use while others are frozen.
+// ApplyOnNode applies a document and waits for one node only, for use while others are frozen.
 func (s *System) ApplyOnNode(node int, doc *config.Document) {
 	body, err := json.Marshal(doc)
 	require.NoError(s.t, err)
@@ -383,7 +383,7 @@
 	return client.Do(req)
 }
 
-// Fault configures the faults of a stand-in.
+// SetFaults configures the faults of a stand-in.
 func (s *System) SetFaults(p *Process, path string, faults string) {
 	resp, err := http.Post("http://"+p.Address("address")+path, "application/json", strings.NewReader(faults))
 	require.NoError(s.t, err)
@@ -425,7 +425,7 @@
 	return n
 }
 
-// Ran returns how many requests began to run at all running backend servers, from the
+// RequestsStarted returns how many requests began to run at all running backend servers, from the
 // servers' own counters.
 func (s *System) RequestsStarted() int64 {
 	n := int64(0)
--- a/internal/testbed/session/transcript.go
+++ b/internal/testbed/session/transcript.go
@@ -44,7 +44,7 @@
 	fmt.Fprintf(&r.b, "\n## "+format+"\n", args...)
 }
 
-// Answer records a response.
+// Response records a response.
 func (r *Transcript) Response(a Response) {
 	if a.Err != nil {
 		fmt.Fprintf(&r.b, "connection broke\n")
--- a/internal/testbed/soak/check.go
+++ b/internal/testbed/soak/check.go
@@ -55,7 +55,7 @@
 		servedAt: map[string]time.Time{}, disturbed: map[string][]disturbance{}}
 }
 
-// Break records a violation of an invariant.
+// RecordViolation records a violation of an invariant.
 func (c *Checker) RecordViolation(promise, format string, a ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 	return append([]Violation(nil), c.violations...)
 }
 
-// Sent records a request. It must be called before the request is sent.
+// RecordRequest records a request. It must be called before the request is sent.
 func (c *Checker) RecordRequest(id string, repeatable bool, who Caller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// Answered records the status of a response, 0 if there was none.
+// RecordResponse records the status of a response, 0 if there was none.
 func (c *Checker) RecordResponse(id, node string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	return out
 }
 
-// Whole checks a successful response: that it belongs to the request, that it carries a
+// CheckResponse checks a successful response: that it belongs to the request, that it carries a
 // server's stamp, and that it is complete.
 func (c *Checker) CheckResponse(id, gotID, stamp, body string, events int) {
 	switch {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Order checks the order of a stream's events. If the stream ended as complete, all events
+// CheckEvents checks the order of a stream's events. If the stream ended as complete, all events
 // must be present.
 func (c *Checker) CheckEvents(id, body string, events int, complete bool) {
 	list := strings.Split(body, "\n\n")
@@ -134,7 +134,7 @@
 	}
 }
 
-// Served records that a process served a route that only one configuration has.
+// RecordServed records that a process served a route that only one configuration has.
 func (c *Checker) RecordServed(process string, version int) {
 	c.mu.Lock()
 	newestConfig := c.newestConfig[process]
@@ -145,7 +145,7 @@
 	}
 }
 
-// Runs checks the requests that ran at servers against the responses that clients received.
+// CheckRuns checks the requests that ran at servers against the responses that clients received.
 func (c *Checker) CheckRuns(ids []string) {
 	counts := map[string]int{}
 	for _, id := range ids {
@@ -164,7 +164,7 @@
 	}
 }
 
-// Revoked records until when the keys of a configuration may be used.
+// RecordRevocation records until when the keys of a configuration may be used.
 func (c *Checker) RecordRevocation(version int, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// Keys checks the key and the team of the requests that a server ran, and records their
+// CheckKeys checks the key and the team of the requests that a server ran, and records their
 // token usage.
 func (c *Checker) CheckKeys(list []standin.RunRecord) {
 	for _, ran := range list {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Quota checks that no more than the allowed number of a team's tokens were sent and ran
+// CheckQuota checks that no more than the allowed number of a team's tokens were sent and ran
 // within any window.
 func (c *Checker) CheckQuota(team string, window time.Duration, allowed float64) {
 	c.mu.Lock()
@@ -216,7 +216,7 @@
 	}
 }
 
-// Orders checks that no epoch of an engine has orders from two nodes.
+// CheckOrders checks that no epoch of an engine has orders from two nodes.
 func (c *Checker) CheckOrders(engine string, orders []standin.OrderSender) {
 	nodes := map[int64]string{}
 	for _, o := range orders {
--- a/internal/testbed/soak/limits.go
+++ b/internal/testbed/soak/limits.go
@@ -73,7 +73,7 @@
 	r.store.Drop(platform.TableServers, w.ID)
 }
 
-// Disturbed records that a node or server was stopped, paused or disconnected.
+// RecordDisturbance records that a node or server was stopped, paused or disconnected.
 func (c *Checker) RecordDisturbance(name string, from, to time.Time, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,7 @@
 	return out
 }
 
-// Needs checks the requests that a server got against the limits that it set for nodes.
+// CheckLimits checks the requests that a server got against the limits that it set for nodes.
 func (c *Checker) CheckLimits(server string, list []standin.Visit) {
 	c.mu.Lock()
 	violations := slices.Concat(c.afterLeaving(server, list), c.duringBackoff(server, list), c.overRate(server, list))
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -51,7 +51,7 @@
 // Address returns the listening address as IP:port.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Connections that went silent stay silent and only new ones work, as
+// SetMode changes the mode. Connections that went silent stay silent and only new ones work, as
 // when a device between the two ends has lost its connection state.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
--- a/internal/testbed/standin/engine/memory/memory.go
+++ b/internal/testbed/standin/engine/memory/memory.go
@@ -74,7 +74,7 @@
 	return ok && e.State == backend.Resident
 }
 
-// Base reports whether a version of a model other than except is resident.
+// HasBase reports whether a version of a model other than except is resident.
 func (m *Memory) HasBase(model string, except backend.Item) bool {
 	for i, e := range m.Items {
 		if i.Base == "" && i.Name == model && i != except && e.State == backend.Resident {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// Adapters reports whether an adapter of a model is present and not unloading.
+// HasAdapters reports whether an adapter of a model is present and not unloading.
 func (m *Memory) HasAdapters(model string) bool {
 	for i, e := range m.Items {
 		if i.Base == model && e.State != backend.Unloading {
--- a/internal/testbed/standin/engine/prefix/prefix.go
+++ b/internal/testbed/standin/engine/prefix/prefix.go
@@ -6,7 +6,7 @@
 //
 //	c := prefix.New(64, 0.1, seed)
 //	cached := c.Use(item.String(), prompt, now) // tokens that need no prefill
-//	events := c.Since(last, now.Add(-lag))
+//	events := c.EventsSince(last, now.Add(-lag))
 package prefix
 
 import (
@@ -115,7 +115,7 @@
 	}
 }
 
-// Since returns the events with a sequence number above n that happened no later than
+// EventsSince returns the events with a sequence number above n that happened no later than
 // until.
 func (c *Cache) EventsSince(n uint64, until time.Time) ioengine.CacheEvents {
 	out := ioengine.CacheEvents{Events: []ioengine.CacheEvent{}, Last: n}
--- a/internal/testbed/standin/fault/doc.go
+++ b/internal/testbed/standin/fault/doc.go
@@ -16,5 +16,5 @@
 //	mux := http.NewServeMux()
 //	mux.Handle("/table/", set.Wrap(handler))
 //	address, err := set.Serve("", mux)
-//	set.Put(fault.Faults{DropAnswers: 1})
+//	set.SetFaults(fault.Faults{DropAnswers: 1})
 package fault
--- a/internal/testbed/standin/fault/fault.go
+++ b/internal/testbed/standin/fault/fault.go
@@ -39,7 +39,7 @@
 	}
 )
 
-// Put replaces the active faults. Down closes the open connections of the
+// SetFaults replaces the active faults. Down closes the open connections of the
 // stand-in; Silent and BlackHole silence them.
 func (s *Set) SetFaults(f Faults) {
 	s.mu.Lock()
@@ -64,14 +64,14 @@
 	return s.faults
 }
 
-// TakeLostOrder reports whether the next order is lost, and counts it.
+// NextOrderLost reports whether the next order is lost, and counts it.
 func (s *Set) NextOrderLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return decrement(&s.faults.LoseOrders)
 }
 
-// TakeCut reports whether the next stream is interrupted and after how many tokens,
+// NextStreamCut reports whether the next stream is interrupted and after how many tokens,
 // and counts it.
 func (s *Set) NextStreamCut() (after int, cut bool) {
 	s.mu.Lock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// Spare exempts the connection of r from faults that affect open connections, until
+// ExemptConn exempts the connection of r from faults that affect open connections, until
 // a further call arrives on it.
 func ExemptConn(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
--- a/internal/testbed/standin/platform/platform.go
+++ b/internal/testbed/standin/platform/platform.go
@@ -10,7 +10,7 @@
 //	p := &platform.Platform{}
 //	address, err := p.Start()
 //	defer p.Close()
-//	p.Table.Faults.Put(fault.Faults{Down: true})
+//	p.Table.Faults.SetFaults(fault.Faults{Down: true})
 package platform
 
 import (
@@ -62,7 +62,7 @@
 	return p.server.Start()
 }
 
-// Put replaces the active faults of all stand-ins.
+// SetFaults replaces the active faults of all stand-ins.
 func (p *Platform) SetFaults(f fault.Faults) {
 	for _, set := range p.faultSets() {
 		set.SetFaults(f)
--- a/internal/testbed/standin/service/service.go
+++ b/internal/testbed/standin/service/service.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	s := &service.Service{Work: 5 * time.Millisecond, Slots: 16}
+//	s := &service.Service{CallDuration: 5 * time.Millisecond, Slots: 16}
 //	address, err := s.Start()
 //	defer s.Close()
 //	runs := s.Journal()
--- a/internal/testbed/tabletest/table.go
+++ b/internal/testbed/tabletest/table.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	t := tabletest.New()
-//	t.Fault = func(c tabletest.Call) tabletest.Fault { return tabletest.Fault{LoseAnswer: true} }
+//	t.Fault = func(c tabletest.Call) tabletest.Fault { return tabletest.Fault{LoseResponse: true} }
 package tabletest
 
 import (
--- a/internal/testbed/workload/deployment.go
+++ b/internal/testbed/workload/deployment.go
@@ -109,7 +109,7 @@
 	return d.Step + time.Duration(max(0, d.Slots-1))*d.StepSlope
 }
 
-// Service returns the service time, in seconds, of a request with the given numbers of
+// ServiceTime returns the service time, in seconds, of a request with the given numbers of
 // output tokens and uncached prompt tokens in a full batch.
 func (d Deployment) ServiceTime(tokens, uncached int) float64 {
 	return (time.Duration(tokens)*d.FullStep() + time.Duration(uncached)*d.Prefill).Seconds()
--- a/internal/views/views.go
+++ b/internal/views/views.go
@@ -5,7 +5,7 @@
 //
 //	s := views.New()
 //	s.Put(v)                     // from gossip
-//	s.Heard("gpu-1", load)       // from a reply
+//	s.UpdateLoad("gpu-1", load)  // from a reply
 //	for _, v := range s.All() {} // shared slice, must not be modified
 package views
 
@@ -53,7 +53,7 @@
 	return true
 }
 
-// Keep removes the views of servers that are not declared.
+// Retain removes the views of servers that are not declared.
 func (s *Store) Retain(declared func(server string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	return s.leaving[server] || s.views[server].Leaving
 }
 
-// Heard stores the load of a server that its owner reported with a reply. It does
+// UpdateLoad stores the load of a server that its owner reported with a reply. It does
 // not count as a change.
 func (s *Store) UpdateLoad(server string, l forward.Load) {
 	s.mu.Lock()
--- a/io/caller/body.go
+++ b/io/caller/body.go
@@ -71,7 +71,7 @@
 	errMaxTokens = outcome.Refuse(outcome.BadRequest, "max_tokens must be from 1 to "+strconv.Itoa(maxTokensLimit), 0)
 )
 
-// TextError reports content that is neither a string nor a list of text parts.
+// ContentTypeError reports content that is neither a string nor a list of text parts.
 type ContentTypeError struct{}
 
 // Error returns the description that callers see.
--- a/io/caller/listen.go
+++ b/io/caller/listen.go
@@ -104,7 +104,7 @@
 }
 
 // Run watches connections until ctx ends and then closes the open ones. To shut down without
-// cutting off requests, wait until Open returns zero before ending ctx.
+// cutting off requests, wait until OpenRequests returns zero before ending ctx.
 func (s *Server) Run(ctx context.Context) error {
 	t := time.NewTicker(watchPeriod)
 	defer t.Stop()
--- a/io/caller/response.go
+++ b/io/caller/response.go
@@ -103,7 +103,7 @@
 		Data   []model `json:"data"`
 	}
 
-	// Gone reports a write to a caller that closed its connection.
+	// ClientGoneError reports a write to a caller that closed its connection.
 	ClientGoneError struct{ Err error }
 )
 
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -61,7 +61,7 @@
 		Deadline  time.Duration // zero for the default of the kind
 	}
 
-	// ServiceAnswer is the complete response of a plain service.
+	// ServiceResponse is the complete response of a plain service.
 	ServiceResponse struct {
 		Status int
 		Header http.Header
@@ -79,7 +79,7 @@
 		Generate(ctx context.Context, g Generation, emit forward.Emit) error
 		// Call calls a plain service.
 		Call(ctx context.Context, c ServiceCall) (ServiceResponse, error)
-		// Ended is called when a request has ended; err is nil if it succeeded.
+		// RequestEnded is called when a request has ended; err is nil if it succeeded.
 		RequestEnded(requestID string, started time.Time, err error)
 	}
 
@@ -138,7 +138,7 @@
 	return fmt.Sprintf("poller did not read anything within %v", e.Timeout)
 }
 
-// Open returns the number of open requests.
+// OpenRequests returns the number of open requests.
 func (s *Server) OpenRequests() int { return int(s.open.Load()) }
 
 // cancelClosed cancels the contexts of requests whose caller disconnected.
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// DefaultFirstTimeout bounds the wait for the first event of a stream.
+	// DefaultFirstEventTimeout bounds the wait for the first event of a stream.
 	DefaultFirstEventTimeout = 30 * time.Second
 	// DefaultProgressTimeout bounds the wait between two events.
 	DefaultProgressTimeout = 2 * time.Second
@@ -59,7 +59,7 @@
 )
 
 // Generate sends g and returns once the request has started in the engine's batch, or with
-// an error after FirstTimeout. Every failure is an *Error whose NotRun reports whether the
+// an error after FirstEventTimeout. Every failure is an *Error whose NotRun reports whether the
 // request certainly did not run. The stream ends when ctx ends.
 func (c *Client) Generate(ctx context.Context, g backend.Generate, o StreamOptions) (*Stream, error) {
 	s, e := c.open(ctx, generatePath, g, g.RequestID, 0, o)
--- a/io/http1/client.go
+++ b/io/http1/client.go
@@ -34,11 +34,11 @@
 	maxInlineBody = 16 << 10
 )
 
-// ErrMore reports that a connection carried bytes that belong to no response.
+// ErrTrailingData reports that a connection carried bytes that belong to no response.
 var ErrTrailingData = errors.New("http1: unexpected bytes after the response")
 
 type (
-	// Outgoing is a request to a backend server.
+	// ClientRequest is a request to a backend server.
 	ClientRequest struct {
 		Method string
 		Target string // path and query, unmodified from the client's request
@@ -212,10 +212,10 @@
 	}
 }
 
-// ReadBy sets the deadline for reading the response.
+// SetReadDeadline sets the deadline for reading the response.
 func (c *Conn) SetReadDeadline(at time.Time) { _ = c.nc.SetReadDeadline(at) }
 
-// Settle records, without blocking, whether a body that is sent concurrently has been
+// CheckBodySent records, without blocking, whether a body that is sent concurrently has been
 // written completely. A connection whose request was not written completely is never reused.
 func (c *Conn) CheckBodySent() {
 	if !c.bodyPending {
--- a/io/http1/exchange.go
+++ b/io/http1/exchange.go
@@ -23,7 +23,7 @@
 
 type (
 	// Exchange is a client's request together with its response. The handler calls exactly
-	// one of Respond and Begin; Begin must be followed by End or Abort.
+	// one of Respond and WriteHeader; WriteHeader must be followed by End or Abort.
 	Exchange struct {
 		Request  *http.Request // its Body must not be read; use Exchange.Body
 		Body     []byte
@@ -51,7 +51,7 @@
 // Context returns a context that is cancelled when the client disconnects.
 func (x *Exchange) Context() context.Context { return x.ctx }
 
-// Begun reports whether the response has started.
+// HeaderWritten reports whether the response has started.
 func (x *Exchange) HeaderWritten() bool { return x.state != unanswered }
 
 // Respond sends a complete response.
@@ -68,7 +68,7 @@
 	return x.flush()
 }
 
-// Begin starts a response of unknown length. Its head is sent with the first bytes of the
+// WriteHeader starts a response of unknown length. Its head is sent with the first bytes of the
 // body.
 func (x *Exchange) WriteHeader(status int, h http.Header) error {
 	if x.state != unanswered {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Write sends body bytes of a response that was started by Begin.
+// Write sends body bytes of a response that was started by WriteHeader.
 func (x *Exchange) Write(p []byte) error {
 	if x.state != headerWritten {
 		return errResponseOrder
@@ -105,7 +105,7 @@
 	return x.flush()
 }
 
-// End completes a response that was started by Begin.
+// End completes a response that was started by WriteHeader.
 func (x *Exchange) End() error {
 	if x.state != headerWritten {
 		return errResponseOrder
--- a/io/http1/server.go
+++ b/io/http1/server.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// Open returns the number of open connections.
+// ConnCount returns the number of open connections.
 func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/jsonhttp/client.go
+++ b/io/jsonhttp/client.go
@@ -55,7 +55,7 @@
 		Body   []byte
 	}
 
-	// Answer is a complete HTTP response.
+	// Response is a complete HTTP response.
 	Response struct {
 		Status int
 		Header http.Header
@@ -156,7 +156,7 @@
 }
 
 // Close ends the reading. A connection whose response was read to its end is kept for the
-// next call unless Client.Fresh is set.
+// next call unless Client.DisableReuse is set.
 func (s *Stream) Close() { _ = s.body.Close() }
 
 // Abort closes the connection, so that no part of the response can be read by a later call.
--- a/io/jsonhttp/doc.go
+++ b/io/jsonhttp/doc.go
@@ -3,7 +3,7 @@
 //
 // This package never repeats a call. The Transport of net/http replays a request if a reused
 // connection breaks and the request has a body that can be read again or an Idempotency-Key
-// header. A Client with Fresh set opens a new connection for each call, so there is nothing
+// header. A Client with DisableReuse set opens a new connection for each call, so there is nothing
 // to replay. Bodies are always sent without GetBody, so a Client that reuses connections
 // replays only calls without a body.
 //
--- a/io/jsonhttp/lazy.go
+++ b/io/jsonhttp/lazy.go
@@ -12,13 +12,13 @@
 // Get returns a client for address that reuses connections.
 func (l *Lazy) Get(address string) *Client { return l.WithTraffic(address, nil) }
 
-// Counted is like Get, but the client counts its traffic in t, unless t is nil.
+// WithTraffic is like Get, but the client counts its traffic in t, unless t is nil.
 func (l *Lazy) WithTraffic(address string, t *Traffic) *Client {
 	l.once.Do(func() { l.client = &Client{Address: address, Traffic: t} })
 	return l.client
 }
 
-// Fresh returns a client for address that opens a new connection for each call.
+// WithoutReuse returns a client for address that opens a new connection for each call.
 func (l *Lazy) WithoutReuse(address string) *Client {
 	l.once.Do(func() { l.client = &Client{Address: address, DisableReuse: true} })
 	return l.client
--- a/io/operator/handler.go
+++ b/io/operator/handler.go
@@ -38,7 +38,7 @@
 		Explain(requestID string) (status.Explanation, bool)
 	}
 
-	// Bodies returns the document in force by its hash.
+	// ConfigBodies returns the document in force by its hash.
 	ConfigBodies interface {
 		Body(hash string) ([]byte, bool)
 	}
--- a/io/peer/endpoint.go
+++ b/io/peer/endpoint.go
@@ -215,7 +215,7 @@
 	}
 }
 
-// Renew makes the next use of an address dial again, because the connection may have become
+// Redial makes the next use of an address dial again, because the connection may have become
 // unresponsive. Streams that are open on the old connection continue; it is closed after it
 // has been idle for IdleTimeout.
 func (e *Endpoint) Redial(address string) {
@@ -236,7 +236,7 @@
 	}
 }
 
-// Forget closes the connection to an address whose process has restarted.
+// CloseConn closes the connection to an address whose process has restarted.
 func (e *Endpoint) CloseConn(address string) {
 	e.mu.Lock()
 	d := e.conns[address]
@@ -344,7 +344,7 @@
 // Close closes this side of the stream.
 func (s *Stream) Close() error { return s.s.Close() }
 
-// ReadBy sets a deadline for Read, including a Read in progress.
+// SetReadDeadline sets a deadline for Read, including a Read in progress.
 func (s *Stream) SetReadDeadline(at time.Time) { _ = s.s.SetReadDeadline(at) }
 
 // Drain waits until the peer has closed its side, at most for d. No other goroutine may read
--- a/io/peer/silent_test.go
+++ b/io/peer/silent_test.go
@@ -103,7 +103,7 @@
 
 // TestInvariantSilentConnectionIsRenewed makes a connection between two nodes permanently
 // unresponsive while new connections work: a call over it gets no reply, and the next call
-// after Renew succeeds.
+// after Redial succeeds.
 func TestInvariantSilentConnectionIsRenewed(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.Generate(dir, []string{"a", "b"}))
--- a/io/service/service.go
+++ b/io/service/service.go
@@ -41,7 +41,7 @@
 	NotRunHeader = "Guavapaddle-Not-Run"
 	// RequestIDHeader carries the request id, which the response echoes.
 	RequestIDHeader = "X-Request-Id"
-	// KeyHeader carries the idempotency key.
+	// IdempotencyKeyHeader carries the idempotency key.
 	IdempotencyKeyHeader = "Idempotency-Key"
 	// LoadPath is the path of a server's load report.
 	LoadPath = "/load"
