--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -137,10 +137,10 @@
 	require.Positive(t, e.RetryAfter)
 }
 
-// TestInvariantDisownRefusesAsNotRun guards against losing or running requests
+// TestInvariantReleaseRefusesAsNotRun guards against losing or running requests
 // that wait when their server is released: they are refused as not run and don't
 // run, while the running one ends normally.
-func TestInvariantDisownRefusesAsNotRun(t *testing.T) {
+func TestInvariantReleaseRefusesAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine()
 		d := newDispatcher(f, 1)
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -90,10 +90,10 @@
 	r.Contact = n.follower.StoreAge(time.Now())
 	r.Heard, r.Roster, r.Lease = n.ack, n.roster, n.placer.LeaseVersion()
 	r.Update = n.recentUpdate(r)
-	r.Echo = n.echo
+	r.Echo = n.clockEcho
 	r.Quotas = n.gateway.QuotaUsage()
 	r.Departed = n.undeclaredLeaving()
-	r.Echo.After = clock.SinceBoot() - n.follower.ConfigAge() - n.echoAt
+	r.Echo.After = clock.SinceBoot() - n.follower.ConfigAge() - n.clockEchoAt
 	return r
 }
 
@@ -148,7 +148,7 @@
 // in common.
 func (n *Node) applyReply(r hub.Report, p hub.ReportReply) {
 	n.ack = p.Heard
-	n.echo, n.echoAt = hub.ClockEcho{Hub: p.Heard.Hub, Stamp: p.Stamp}, clock.SinceBoot()
+	n.clockEcho, n.clockEchoAt = hub.ClockEcho{Hub: p.Heard.Hub, Stamp: p.Stamp}, clock.SinceBoot()
 	n.gateway.ApplyReply(p)
 	n.addLeaving(p.Departed...)
 	n.gateway.UpdateQuotas(r.Quotas.Number, p.Quotas, p.Nodes)
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -95,11 +95,11 @@
 	}
 }
 
-// TestARateThatAServerNamesBindsWhileTheHolderChanges guards against exceeding a server's
+// TestServerRateLimitHoldsWhileLeaderChanges guards against exceeding a server's
 // rate limit during a change of leader. The leader is stopped under load, so that nodes
 // select servers by themselves for a while and the next leader starts granting from an empty
 // state.
-func TestARateThatAServerNamesBindsWhileTheHolderChanges(t *testing.T) {
+func TestServerRateLimitHoldsWhileLeaderChanges(t *testing.T) {
 	t.Parallel()
 	const rate = 2.0
 	f, engine, _ := newCluster(t, 4)
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -92,8 +92,8 @@
 	acting               atomic.Bool                     // this node is the deputy and grants slots
 	ack                  hub.Ack                         // what the leader has acknowledged; used by runExchange only
 	roster               uint64                          // version of the leader's roster that a deputy has; likewise
-	echo                 hub.ClockEcho                   // clock echo of the last reply to a report; likewise
-	echoAt               time.Duration                   // boot time of the arrival of that reply; likewise
+	clockEcho            hub.ClockEcho                   // clock echo of the last reply to a report; likewise
+	clockEchoAt          time.Duration                   // boot time of the arrival of that reply; likewise
 	refresher            refresher
 	peerKeys             trustedKeys
 	leaderCalls          callGroup
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -122,7 +122,7 @@
 	if f.r.hasQuota() {
 		e.AddFloat64("charge", f.r.cost())
 		e.AddBool("charged", f.r.charged)
-		e.AddBool("alone", f.r.chargedAlone)
+		e.AddBool("alone", f.r.chargedLocally)
 	}
 	if g := f.r.g; f.r.hasKey && g.KeyAge > 0 {
 		e.AddDuration("config-age", g.ConfigAge())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,12 +93,12 @@
 		hasKey            bool   // the request has a key that is valid
 		credentialProblem string // what is wrong with the credentials
 		charged           bool   // to its team's quota
-		chargedAlone      bool   // it was charged while no granter was reachable
+		chargedLocally    bool   // it was charged while no granter was reachable
 		mayHaveRun        bool   // a server may have run it, completely or in part
 		deadline          time.Time
 		header            http.Header
 		excluded          map[string]bool
-		lacking           []string      // servers found not to hold the model or adapter
+		notResident       []string      // servers found not to hold the model or adapter
 		runs              int           // sends after which the request may have run
 		retryAfter        time.Duration // Retry-After of a refusal
 		slot              hub.SlotGrant // the slot granted to the request, nil if none
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -463,16 +463,16 @@
 	r.gateway.SetServers(servers)
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
-	var placed, done atomic.Int64
+	var granted, done atomic.Int64
 	r.gateway.AcquireSlot = func(_ context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
-		n := placed.Add(1)
+		n := granted.Add(1)
 		return hub.SlotReply{Granted: true, Server: fmt.Sprint("i-", n%4)}, countedGrant{&done}, nil
 	}
 	for i := range 20 {
 		require.Equal(t, 503, r.do("GET", "/stream/", fmt.Sprint("r", i), "", "X-Guavapaddle-Model: m").status)
 	}
 	require.Contains(t, r.log.String(), "reason=budget", "some requests failed while they held a slot")
-	require.Eventually(t, func() bool { return placed.Load() == done.Load() }, 2*time.Second, time.Millisecond, "a slot is released after its response")
+	require.Eventually(t, func() bool { return granted.Load() == done.Load() }, 2*time.Second, time.Millisecond, "a slot is released after its response")
 }
 
 // noGrant is a granted slot whose calls are ignored.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -294,7 +294,7 @@
 		t.g.Pool.Drop(t.selection.Server.Address)
 		return Misdirected
 	}
-	t.lacking = append(t.lacking, id)
+	t.notResident = append(t.notResident, id)
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
 	t.g.picker.SetResidency(time.Now(), id, t.meta.Model, t.meta.Adapter, false)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -247,7 +247,7 @@
 
 // requestSlot requests a slot from the leader.
 func (r *request) requestSlot(b balance.Request, w hub.Item) (c balance.Selection, reason Reason, result slotResult) {
-	p := hub.SlotRequest{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacking, Priority: r.urgency(),
+	p := hub.SlotRequest{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.notResident, Priority: r.urgency(),
 		Waited: time.Since(r.x.Received),
 		Target: time.Until(r.x.Received.Add(r.route.TargetLatency * targetPercent / 100)), Expire: r.maxWait(b.Model)}
 	p.Charge = r.pendingCharge()
@@ -278,7 +278,7 @@
 		}
 		return c, Reason(reply.Why), decided
 	}
-	r.lacking = slices.DeleteFunc(r.lacking, func(id string) bool { return id == reply.Server })
+	r.notResident = slices.DeleteFunc(r.notResident, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
 	s, known := r.g.picker.Server(reply.Server)
 	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
@@ -332,11 +332,11 @@
 func (r *request) requestAdapter(w hub.Item) {
 	ctx, cancel := context.WithTimeout(r.x.Context(), recheckInterval)
 	defer cancel()
-	reply := r.g.RequestLoad(ctx, hub.LoadRequest{Item: w, Lacks: r.lacking, Exclude: r.unusable()})
+	reply := r.g.RequestLoad(ctx, hub.LoadRequest{Item: w, Lacks: r.notResident, Exclude: r.unusable()})
 	if !reply.Found {
 		return
 	}
-	r.lacking = slices.DeleteFunc(r.lacking, func(id string) bool { return id == reply.Server })
+	r.notResident = slices.DeleteFunc(r.notResident, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
 	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
--- a/internal/gateway/spend.go
+++ b/internal/gateway/spend.go
@@ -57,7 +57,7 @@
 	granterReachable := g.granterReachable
 	ok, retryAfter := g.account.Spend(time.Now(), r.team, r.cost(), granterReachable)
 	g.mu.Unlock()
-	r.chargedAlone = !granterReachable
+	r.chargedLocally = !granterReachable
 	if ok {
 		r.charged = true
 		return ""
--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -289,15 +289,15 @@
 		return
 	}
 	queued := func() { _ = s.Write(peer.Frame{Kind: kindQueued}) } // a failed write cancels ctx
-	placed, grant, err := h.AcquireSlot(ctx, p, queued)
+	reply, grant, err := h.AcquireSlot(ctx, p, queued)
 	if err != nil {
 		s.Cancel()
 		return
 	}
 	result := balance.Abandoned
 	defer func() { grant.Done(result) }()
-	frame, err := peer.Encode(kindSlotReply, placed)
-	if err != nil || s.Write(frame) != nil || !placed.Granted {
+	frame, err := peer.Encode(kindSlotReply, reply)
+	if err != nil || s.Write(frame) != nil || !reply.Granted {
 		return
 	}
 	s.SetReadDeadline(time.Now().Add(grantTimeout))
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -70,7 +70,7 @@
 		Engine:      func(address string) owner.Engine { return n.engineAt(address) },
 		Live:        func() []string { return n.cluster.ActiveNodes() },
 		Known:       n.views.All,
-		Load:        n.occupancy,
+		Load:        n.serverLoad,
 		Log:         n.log,
 		Metrics:     m,
 	}
@@ -123,7 +123,7 @@
 func (n *Node) buildGuard() {
 	n.guard = &suspects.Guard{
 		Table:     n.table,
-		Broadcast: n.spreadMarks,
+		Broadcast: n.broadcastMarks,
 		Log:       n.log,
 		Metrics:   suspects.NewMetrics(n.registry),
 	}
--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -75,8 +75,8 @@
 	return state.Inventory.BootID, err
 }
 
-// spreadMarks sends marks to all other nodes and returns when the calls have ended.
-func (n *Node) spreadMarks(ctx context.Context, marks []suspect.Mark) {
+// broadcastMarks sends marks to all other nodes and returns when the calls have ended.
+func (n *Node) broadcastMarks(ctx context.Context, marks []suspect.Mark) {
 	n.cluster.CallAll(ctx, maxMarksCalls, cluster.KindSuspect, marksBody{Marks: marks})
 }
 
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -57,8 +57,8 @@
 	return settings
 }
 
-// occupancy returns the dispatcher's load on a server.
-func (n *Node) occupancy(server string) (running, queued, slots int, waitMS int64) {
+// serverLoad returns the dispatcher's load on a server.
+func (n *Node) serverLoad(server string) (running, queued, slots int, waitMS int64) {
 	l, _ := n.dispatch.Load(server)
 	return l.Running, l.Queued, l.Slots, l.WaitMS
 }
--- a/internal/placer/plan.go
+++ b/internal/placer/plan.go
@@ -46,7 +46,7 @@
 // updateDemand decays the recorded demand and adds what nodes have reported since.
 func (p *Placer) updateDemand(now time.Time) {
 	list := p.Hub.Demand()
-	lacking := p.WaitingWithoutCopy()
+	waitingWithoutCopy := p.WaitingWithoutCopy()
 	var limited map[string]bool
 	if p.LimitedModels != nil {
 		limited = p.LimitedModels()
@@ -65,7 +65,7 @@
 		}
 	}
 	p.slotTimes.Decay(dt)
-	p.waiting, p.limited = lacking, limited
+	p.waiting, p.limited = waitingWithoutCopy, limited
 	for _, d := range list {
 		p.demand[d.Model] += float64(d.Tokens) / demandDecay.Seconds()
 		p.slotTimes.Add(d.Model, d.Ran.Tokens, d.Ran.Time)
--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -151,7 +151,7 @@
 	g.mu.Unlock()
 	g.Metrics.count("crash")
 	g.writeLater(r)
-	g.spread(ctx, marks)
+	g.broadcast(ctx, marks)
 }
 
 // ServerCrashed marks all requests that were in flight at a server that crashed.
@@ -166,7 +166,7 @@
 		g.writeLater(Run{Fingerprint: m.Fingerprint})
 	}
 	g.sweep()
-	g.spread(ctx, marks)
+	g.broadcast(ctx, marks)
 }
 
 // Merge merges marks of another node and returns how many changed.
@@ -239,7 +239,7 @@
 	g.mu.Lock()
 	m := g.set.Charged(time.Now(), run.Fingerprint, run.trial)
 	g.mu.Unlock()
-	g.spread(ctx, []suspect.Mark{m})
+	g.broadcast(ctx, []suspect.Mark{m})
 }
 
 // commit commits the charge of a trial and reports whether it took effect.
@@ -257,8 +257,8 @@
 	return suspect.IsCharged(run.Fingerprint, run.trial, rows[0])
 }
 
-// spread sends marks to the other nodes and waits at most BroadcastTimeout.
-func (g *Guard) spread(ctx context.Context, marks []suspect.Mark) {
+// broadcast sends marks to the other nodes and waits at most BroadcastTimeout.
+func (g *Guard) broadcast(ctx context.Context, marks []suspect.Mark) {
 	if g.Broadcast == nil || len(marks) == 0 {
 		return
 	}
@@ -271,7 +271,7 @@
 // to the table, in the background.
 func (g *Guard) writeLater(r Run, marks ...suspect.Mark) {
 	g.work.Go(func() {
-		g.spread(context.Background(), marks)
+		g.broadcast(context.Background(), marks)
 		for attempt := range maxTries {
 			if g.writeMark(r) {
 				return
--- a/internal/testbed/experiment/client.go
+++ b/internal/testbed/experiment/client.go
@@ -54,9 +54,9 @@
 		start    time.Time
 	}
 
-	// answer is the part of the response to a request that was received, over all
+	// response is the received part of the response to a request, over all
 	// attempts.
-	answer struct {
+	response struct {
 		lastID   string
 		tokens   []string
 		last     time.Time // arrival time of the last token
@@ -129,7 +129,7 @@
 	if err != nil {
 		panic(err) // strings and numbers can always be encoded
 	}
-	got := &answer{}
+	got := &response{}
 	for range maxSends {
 		if retry := c.send(ctx, a, body, got); !retry || ctx.Err() != nil {
 			break
@@ -152,7 +152,7 @@
 
 // send sends the request, or resumes its stream if a part of it was received, and
 // reads the response. It reports whether the client should retry.
-func (c *client) send(ctx context.Context, a workload.Arrival, body []byte, got *answer) (retry bool) {
+func (c *client) send(ctx context.Context, a workload.Arrival, body []byte, got *response) (retry bool) {
 	node := c.balancer.pick()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+completionsPath, bytes.NewReader(body))
 	if err != nil {
@@ -185,7 +185,7 @@
 
 // read reads a stream and reports whether the stream ended, completely or with an error
 // event, before the connection broke.
-func (g *answer) read(r io.Reader) (ended bool) {
+func (g *response) read(r io.Reader) (ended bool) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, 4096), maxLine)
 	errorSeen := false
@@ -209,7 +209,7 @@
 }
 
 // event processes one event and reports whether it is a failure.
-func (g *answer) event(data []byte, id string, failed bool) bool {
+func (g *response) event(data []byte, id string, failed bool) bool {
 	var e event
 	if json.Unmarshal(data, &e) != nil || failed && e.Error == nil {
 		g.outcome, g.reason = string(outcome.Unknown), "malformed"
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -28,9 +28,9 @@
 	defaultNodes    = 8
 	defaultLoad     = 0.8
 	defaultDuration = 30 * time.Second
-	// defaultWarm is enough time for the nodes to discover all servers and for the
+	// defaultWarmUp is enough time for the nodes to discover all servers and for the
 	// first plan.
-	defaultWarm = 3 * time.Second
+	defaultWarmUp = 3 * time.Second
 )
 
 type (
@@ -108,7 +108,7 @@
 	s.Load = cmp.Or(s.Load, defaultLoad)
 	s.Duration = cmp.Or(s.Duration, defaultDuration)
 	s.Nodes = cmp.Or(s.Nodes, defaultNodes)
-	s.WarmUp = cmp.Or(s.WarmUp, defaultWarm)
+	s.WarmUp = cmp.Or(s.WarmUp, defaultWarmUp)
 	s.Limit = cmp.Or(s.Limit, node.LimitCost)
 	s.MovePrice = cmp.Or(s.MovePrice, s.Deployment.Placement.MovePrice)
 	s.MovePrice = max(0, s.MovePrice)
--- a/internal/testbed/session/booking_test.go
+++ b/internal/testbed/session/booking_test.go
@@ -27,13 +27,13 @@
 // requireAtMostOnce checks the responses to all calls with one key and body: the call ran at
 // most once, all successful responses are identical, and every other response is consistent
 // with the services' journals.
-func requireAtMostOnce(t *testing.T, s *session.System, body string, answers []session.Response) {
+func requireAtMostOnce(t *testing.T, s *session.System, body string, responses []session.Response) {
 	t.Helper()
 	ran := runsWithBody(s, body)
 	require.LessOrEqual(t, ran, 1, body)
 	journal := s.Journal()
 	done, unknown := "", 0
-	for _, a := range answers {
+	for _, a := range responses {
 		if a.Err != nil {
 			unknown++ // the node died
 			continue
@@ -78,23 +78,23 @@
 			for victim, stage := range []struct {
 				name   string
 				state  claim.State // the transaction into this state triggers the kill
-				fate   session.Action
+				action session.Action
 				ran    int
 				stored bool
 			}{
-				{name: "before the send", state: claim.Claimed, fate: session.DropResponse, ran: 0},
+				{name: "before the send", state: claim.Claimed, action: session.DropResponse, ran: 0},
 				{name: "during the send", ran: 1},
-				{name: "after the answer, before it is stored", state: claim.Done, fate: session.DropRequest, ran: 1},
-				{name: "after the answer is stored", state: claim.Done, fate: session.Pass, ran: 1, stored: true},
+				{name: "after the answer, before it is stored", state: claim.Done, action: session.DropRequest, ran: 1},
+				{name: "after the answer is stored", state: claim.Done, action: session.Pass, ran: 1, stored: true},
 			} {
 				body, key := fmt.Sprintf(`{"at":%q}`, stage.name), stage.name
 				others := allExcept(nodes, victim)
 				if stage.state != "" {
 					proxy.OnClaims(stage.state, func(claim.Claim) session.Action {
-						if stage.fate == session.DropResponse || stage.fate == session.DropRequest {
+						if stage.action == session.DropResponse || stage.action == session.DropRequest {
 							s.Nodes[victim].Kill() // the node takes no further action
 						}
-						return stage.fate
+						return stage.action
 					})
 				}
 				first := make(chan session.Response, 1)
@@ -103,17 +103,17 @@
 					s.Eventually("the call to run", func() bool { return runsWithBody(s, body) == 1 })
 					s.Nodes[victim].Kill()
 				}
-				answers := []session.Response{<-first}
-				if stage.fate == session.DropResponse {
+				responses := []session.Response{<-first}
+				if stage.action == session.DropResponse {
 					proxy.AwaitDroppedResponse()
 				}
 				proxy.SetAction(nil)
 				s.Nodes[victim].Kill()
-				answers = append(answers, s.PostAll(others, path, body, key)...)
-				answers = append(answers, s.PostAll(others, path, body, key)...)
-				requireAtMostOnce(t, s, body, answers)
+				responses = append(responses, s.PostAll(others, path, body, key)...)
+				responses = append(responses, s.PostAll(others, path, body, key)...)
+				requireAtMostOnce(t, s, body, responses)
 				require.Equal(t, stage.ran, runsWithBody(s, body), stage.name)
-				for _, a := range answers[1:] {
+				for _, a := range responses[1:] {
 					if stage.stored {
 						require.Equal(t, "1", a.Header.Get("X-Stored-Answer"), a.Body)
 					} else {
@@ -171,21 +171,21 @@
 				}
 			}
 			setFaults(faultsOrNone(c.table), faultsOrNone(c.service))
-			answers := s.PostAll(all, path, body, key)
-			answers = append(answers, s.PostAll([]int{i}, path, body, key)...)
+			responses := s.PostAll(all, path, body, key)
+			responses = append(responses, s.PostAll([]int{i}, path, body, key)...)
 			setFaults("{}", "{}")
-			answers = append(answers, s.PostAll(all, path, body, key)...)
-			requireAtMostOnce(t, s, body, answers)
+			responses = append(responses, s.PostAll(all, path, body, key)...)
+			requireAtMostOnce(t, s, body, responses)
 			var last session.Response
 			s.Eventually("a final response", func() bool {
 				last = s.Do(i, http.MethodPost, path, body, "Idempotency-Key", key)
-				answers = append(answers, last)
+				responses = append(responses, last)
 				return last.Header.Get("X-Reason") != "in-progress" && last.Header.Get("X-Reason") != "table-down"
 			})
 			if c.done {
 				require.Equal(t, http.StatusOK, last.Status, "%s: %s", c.name, last.Body)
 			}
-			requireAtMostOnce(t, s, body, answers)
+			requireAtMostOnce(t, s, body, responses)
 		}
 	}
 }
--- a/internal/testbed/session/crash_test.go
+++ b/internal/testbed/session/crash_test.go
@@ -59,16 +59,16 @@
 		s.SetFaults(s.Servers[name], "/fault", `{"crash-on":"POISON"}`)
 	}
 	before := generationsRun(s)
-	answers := make(chan session.Response)
+	responses := make(chan session.Response)
 	for i := range 6 {
 		body := fmt.Sprintf(`{"model":"drafter","max_tokens":150,"messages":[{"role":"user","content":"innocent %d"}]}`, i)
-		go func() { answers <- s.Do(i%2, http.MethodPost, chat, body) }()
+		go func() { responses <- s.Do(i%2, http.MethodPost, chat, body) }()
 	}
 	s.Eventually("the requests to run", func() bool { return generationsRun(s) >= before+6 })
 	a := s.Do(0, http.MethodPost, chat, `{"model":"drafter","max_tokens":20,"messages":[{"role":"user","content":"POISON"}]}`)
 	require.NotEqual(t, http.StatusOK, a.Status)
 	for range 6 {
-		b := <-answers
+		b := <-responses
 		require.NoError(t, b.Err)
 		require.Equal(t, http.StatusOK, b.Status, b.Body)
 	}
--- a/internal/testbed/session/notrun_test.go
+++ b/internal/testbed/session/notrun_test.go
@@ -157,12 +157,12 @@
 		longStreams[i] = s.Stream(i, session.StreamedChat("checker", fmt.Sprint("long ", i), longTokens), "X-Kind", "overnight-draft")
 		require.True(t, longStreams[i].Read(1), longStreams[i].Error)
 	}
-	answers := make([]session.Response, callers)
+	responses := make([]session.Response, callers)
 	var wg sync.WaitGroup
 	completed := make(chan struct{}, callers)
 	send := func(i int, kind, key string, deadlineMS int) {
 		wg.Go(func() {
-			answers[i] = s.Do(i%2, http.MethodPost, chat, session.UnstreamedChat("checker", fmt.Sprint("flood ", i), tokens),
+			responses[i] = s.Do(i%2, http.MethodPost, chat, session.UnstreamedChat("checker", fmt.Sprint("flood ", i), tokens),
 				"X-Kind", kind, "X-Deadline-Ms", fmt.Sprint(deadlineMS), "Authorization", "Bearer "+key)
 			completed <- struct{}{}
 		})
@@ -183,7 +183,7 @@
 	}
 	wg.Wait()
 	ran, reasons := int64(len(longStreams)), map[string]int{}
-	for _, a := range answers {
+	for _, a := range responses {
 		require.NoError(t, a.Err)
 		reasons[a.Header.Get("X-Reason")]++
 		if a.Header.Get("X-Outcome") != "refused-not-run" {
--- a/internal/testbed/session/pair_test.go
+++ b/internal/testbed/session/pair_test.go
@@ -29,14 +29,14 @@
 	s.SetFaults(s.Platform, "/fault/table", `{"black-hole":true}`)
 	s.Nodes[0].Kill()
 	others := allExcept(nodes, 0)
-	answers := append([]session.Response{<-first}, s.PostAll(others, path, body, key)...)
-	for _, a := range answers[1:] {
+	responses := append([]session.Response{<-first}, s.PostAll(others, path, body, key)...)
+	for _, a := range responses[1:] {
 		requireRefused(t, a, "table-down")
 	}
 	s.SetFaults(s.Platform, "/fault/table", "{}")
 	s.Eventually("claims to be readable again", func() bool {
 		more := s.PostAll(others, path, body, key)
-		answers = append(answers, more...)
+		responses = append(responses, more...)
 		for _, a := range more {
 			if a.Header.Get("X-Reason") == "table-down" {
 				return false
@@ -44,10 +44,10 @@
 		}
 		return true
 	})
-	for _, a := range answers[len(answers)-len(others):] {
+	for _, a := range responses[len(responses)-len(others):] {
 		require.Equal(t, "unknown", a.Header.Get("X-Outcome"), a.Body)
 	}
-	requireAtMostOnce(t, s, body, answers)
+	requireAtMostOnce(t, s, body, responses)
 	require.Equal(t, 1, runsWithBody(s, body))
 }
 
@@ -163,8 +163,8 @@
 		return session.Pass
 	})
 	type booked struct {
-		body    string
-		answers []session.Response
+		body      string
+		responses []session.Response
 	}
 	all := make([]booked, 8)
 	var wg sync.WaitGroup
@@ -174,13 +174,13 @@
 			post := func(node int) session.Response {
 				return s.Do(node, http.MethodPost, "/bookings/confirm", body, "Idempotency-Key", body, "X-Deadline-Ms", "3000")
 			}
-			all[i] = booked{body: body, answers: []session.Response{post(i % nodes), post((i + 1) % nodes), post(i % nodes)}}
+			all[i] = booked{body: body, responses: []session.Response{post(i % nodes), post((i + 1) % nodes), post(i % nodes)}}
 		})
 	}
 	s.Eventually("bookings to run", func() bool { return len(s.Journal()) > 2 })
 	s.SetFaults(s.Servers["desk-1"], "/fault", silentFault)
 	wg.Wait()
 	for _, b := range all {
-		requireAtMostOnce(t, s, b.body, append(b.answers, s.PostAll(allExcept(nodes, -1), "/bookings/confirm", b.body, b.body)...))
+		requireAtMostOnce(t, s, b.body, append(b.responses, s.PostAll(allExcept(nodes, -1), "/bookings/confirm", b.body, b.body)...))
 	}
 }
--- a/internal/testbed/session/proxy.go
+++ b/internal/testbed/session/proxy.go
@@ -94,7 +94,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(resp.Body)
+	response, err := io.ReadAll(resp.Body)
 	if action == DropResponse {
 		select {
 		case p.lostResponses <- struct{}{}:
@@ -105,7 +105,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(resp.StatusCode)
-	_, _ = w.Write(answer)
+	_, _ = w.Write(response)
 }
 
 // action returns what to do with a transaction.
@@ -122,14 +122,14 @@
 
 // PostAll sends the same call to all given nodes concurrently.
 func (s *System) PostAll(nodes []int, path, body, key string) []Response {
-	answers := make([]Response, len(nodes))
+	responses := make([]Response, len(nodes))
 	var wg sync.WaitGroup
 	for k, i := range nodes {
-		wg.Go(func() { answers[k] = s.Do(i, http.MethodPost, path, body, "Idempotency-Key", key) })
+		wg.Go(func() { responses[k] = s.Do(i, http.MethodPost, path, body, "Idempotency-Key", key) })
 	}
 	wg.Wait()
-	for _, a := range answers {
+	for _, a := range responses {
 		require.NoError(s.t, a.Err)
 	}
-	return answers
+	return responses
 }
--- a/internal/testbed/session/silent_test.go
+++ b/internal/testbed/session/silent_test.go
@@ -71,18 +71,18 @@
 // openConnections opens several connections from each node to each server.
 func openConnections(t *testing.T, s *session.System) {
 	var wg sync.WaitGroup
-	answers := make(chan session.Response, 64)
+	responses := make(chan session.Response, 64)
 	for node := range s.Nodes {
 		for i := range 8 {
-			wg.Go(func() { answers <- s.Do(node, http.MethodGet, "/records/7", "") })
+			wg.Go(func() { responses <- s.Do(node, http.MethodGet, "/records/7", "") })
 			wg.Go(func() {
-				answers <- s.Do(node, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint(i), 3))
+				responses <- s.Do(node, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint(i), 3))
 			})
 		}
 	}
 	wg.Wait()
-	close(answers)
-	for a := range answers {
+	close(responses)
+	for a := range responses {
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 	}
 }
@@ -156,9 +156,9 @@
 	requireServedWithin(t, promptBound, func() session.Response {
 		return s.Do(1, http.MethodPost, "/bookings/confirm", `"two"`, "Idempotency-Key", "two")
 	})
-	answers := append(s.PostAll([]int{0, 1}, "/bookings/confirm", `"one"`, "one"), <-first)
-	requireAtMostOnce(t, s, `"one"`, answers)
-	for _, a := range answers {
+	responses := append(s.PostAll([]int{0, 1}, "/bookings/confirm", `"one"`, "one"), <-first)
+	requireAtMostOnce(t, s, `"one"`, responses)
+	for _, a := range responses {
 		require.Equal(t, "unknown", a.Header.Get("X-Outcome"), a.Body)
 	}
 }
@@ -181,15 +181,15 @@
 	}
 	s.Nodes[frozen].Signal(syscall.SIGSTOP)
 	var wg sync.WaitGroup
-	answers := make([]session.Response, 12)
+	responses := make([]session.Response, 12)
 	begin := time.Now()
-	for k := range answers {
+	for k := range responses {
 		wg.Go(func() {
-			answers[k] = s.Do(others[k%2], http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("frozen ", k), 5))
+			responses[k] = s.Do(others[k%2], http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("frozen ", k), 5))
 		})
 	}
 	wg.Wait()
-	for k, a := range answers {
+	for k, a := range responses {
 		require.Equal(t, http.StatusOK, a.Status, "%d: %s", k, a.Body)
 	}
 	require.Less(t, time.Since(begin), endBound)
--- a/internal/testbed/session/stream_test.go
+++ b/internal/testbed/session/stream_test.go
@@ -172,15 +172,15 @@
 	doc.Limits.QueuePerServer = callers
 	s := session.New(t, doc, session.Options{Engine: map[string][]string{"": {"-step", "1ms"}}})
 	s.StartNodes(3)
-	answers := make([]session.Response, callers)
+	responses := make([]session.Response, callers)
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			answers[i] = s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("prompt ", i/2), 1+i%7))
+			responses[i] = s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", fmt.Sprint("prompt ", i/2), 1+i%7))
 		})
 	}
 	wg.Wait()
-	for i, a := range answers {
+	for i, a := range responses {
 		require.NoError(t, a.Err)
 		require.Equal(t, http.StatusOK, a.Status, a.Body)
 		want := strings.Join(session.ExpectedTokens("drafter@1", fmt.Sprint("prompt ", i/2), 1+i%7), "")
@@ -197,17 +197,17 @@
 	s.StartNodes(3)
 	header := []string{"X-Kind", "signed-plan", "Idempotency-Key", "plan-7"}
 	before := generationsRun(s)
-	answers := make([]session.Response, 9)
+	responses := make([]session.Response, 9)
 	var wg sync.WaitGroup
-	for i := range answers {
+	for i := range responses {
 		wg.Go(func() {
-			answers[i] = s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", "sign", 30), header...)
+			responses[i] = s.Do(i%3, http.MethodPost, chat, session.UnstreamedChat("drafter", "sign", 30), header...)
 		})
 	}
 	wg.Wait()
 	want := strings.Join(session.ExpectedTokens("drafter@1", "sign", 30), "")
 	done := 0
-	for _, a := range answers {
+	for _, a := range responses {
 		require.NoError(t, a.Err)
 		if a.Status == http.StatusOK {
 			require.Contains(t, a.Body, want)
--- a/internal/testbed/soak/check.go
+++ b/internal/testbed/soak/check.go
@@ -176,21 +176,21 @@
 // CheckKeys checks the key and the team of the requests that a server ran, and records their
 // token usage.
 func (c *Checker) CheckKeys(list []standin.RunRecord) {
-	for _, ran := range list {
+	for _, run := range list {
 		c.mu.Lock()
-		who, known := c.callers[ran.ID]
+		who, known := c.callers[run.ID]
 		until, revoked := c.revoked[who.Version]
-		c.tokenUsage[who.Team] = append(c.tokenUsage[who.Team], usage{who.At, ran.At, who.Tokens})
+		c.tokenUsage[who.Team] = append(c.tokenUsage[who.Team], usage{who.At, run.At, who.Tokens})
 		c.mu.Unlock()
 		switch {
 		case !known:
-			c.RecordViolation("key", "request %s ran but was never sent", ran.ID)
-		case ran.Key != "":
-			c.RecordViolation("key", "request %s reached a server with its API key", ran.ID)
-		case ran.Team != who.Team:
-			c.RecordViolation("key", "request %s of team %s ran for team %q", ran.ID, who.Team, ran.Team)
+			c.RecordViolation("key", "request %s ran but was never sent", run.ID)
+		case run.Key != "":
+			c.RecordViolation("key", "request %s reached a server with its API key", run.ID)
+		case run.Team != who.Team:
+			c.RecordViolation("key", "request %s of team %s ran for team %q", run.ID, who.Team, run.Team)
 		case revoked && who.At.After(until):
-			c.RecordViolation("key", "request %s ran although it was sent %v after its key was no longer valid", ran.ID, who.At.Sub(until))
+			c.RecordViolation("key", "request %s ran although it was sent %v after its key was no longer valid", run.ID, who.At.Sub(until))
 		}
 	}
 }
--- a/io/peer/silent_test.go
+++ b/io/peer/silent_test.go
@@ -101,10 +101,10 @@
 	r.lost, r.seen = r.seen, map[string]bool{}
 }
 
-// TestInvariantSilentConnectionIsRenewed makes a connection between two nodes permanently
+// TestInvariantSilentConnectionIsRedialled makes a connection between two nodes permanently
 // unresponsive while new connections work: a call over it gets no reply, and the next call
 // after Redial succeeds.
-func TestInvariantSilentConnectionIsRenewed(t *testing.T) {
+func TestInvariantSilentConnectionIsRedialled(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.Generate(dir, []string{"a", "b"}))
 	a := &peer.Endpoint{TLS: loadFiles(t, dir, "a"), OnCall: echo}
