--- a/internal/call/service.go
+++ b/internal/call/service.go
@@ -60,8 +60,8 @@
 	return c.Close() == nil
 }
 
-// Keep closes the clients of all addresses that are not given.
-func (s *Services) Keep(addresses []string) {
+// Retain closes the clients of all addresses that are not given.
+func (s *Services) Retain(addresses []string) {
 	keep := map[string]bool{}
 	for _, a := range addresses {
 		keep[a] = true
--- a/internal/call/service_test.go
+++ b/internal/call/service_test.go
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &call.Services{}
-			t.Cleanup(func() { s.Keep(nil) })
+			t.Cleanup(func() { s.Retain(nil) })
 			to := config.BackendServer{Name: "s1", Address: strings.TrimPrefix(c.url, "http://")}
 			r := request(c.kind, "r1", "k1", "b")
 			r.Path = c.path
@@ -79,7 +79,7 @@
 				require.Empty(t, seen, "sent once")
 				require.Empty(t, header.Get("Authorization"), "the caller's key is not forwarded")
 				require.Equal(t, "7", header.Get("X-Trace"))
-				require.Equal(t, "k1", header.Get(svc.KeyHeader))
+				require.Equal(t, "k1", header.Get(svc.IdempotencyKeyHeader))
 			}
 		})
 	}
--- a/internal/cluster/calls.go
+++ b/internal/cluster/calls.go
@@ -55,7 +55,7 @@
 		_ = a.write(forward.Reply{Load: &load}) // acknowledges the job
 	}
 	go a.heartbeat(ctx, c.Local, job.Server)
-	err := c.Local.Do(ctx, job, a.write)
+	err := c.Local.RunJob(ctx, job, a.write)
 	if _, gone := errors.AsType[*engines.SinkError](err); gone {
 		return
 	}
@@ -124,13 +124,13 @@
 	}
 	if a.write(last) == nil {
 		_ = a.stream.Close()
-		a.stream.ReadBy(time.Now().Add(sendTimeout))
+		a.stream.SetReadDeadline(time.Now().Add(sendTimeout))
 		<-a.readDone
 	}
 }
 
-// Do runs a job at its owner on another node.
-func (c *Cluster) Do(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error {
+// RunJob runs a job at its owner on another node.
+func (c *Cluster) RunJob(ctx context.Context, owner string, job forward.Job, sink engines.Sink) error {
 	n, ok := c.Node(owner)
 	if !ok || n.Status != member.Alive {
 		return outcome.Refuse(outcome.PeerUnreachable, "no such live node: "+owner, 0)
@@ -145,7 +145,7 @@
 	}
 	return forwardReplies(ctx, s, sink, func() {
 		c.markUnreachable(owner)
-		c.Endpoint.Renew(n.Address)
+		c.Endpoint.Redial(n.Address)
 	})
 }
 
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -66,7 +66,7 @@
 type (
 	// Local runs jobs on servers that this node owns.
 	Local interface {
-		Do(ctx context.Context, job forward.Job, sink engines.Sink) error
+		RunJob(ctx context.Context, job forward.Job, sink engines.Sink) error
 		Load(server string) (forward.Load, bool)
 	}
 
@@ -91,11 +91,11 @@
 		// ConfigHead returns the configuration in force, and whether this node
 		// is certain that none is newer.
 		ConfigHead func() (ref head.Ref, fresh bool)
-		// Spent starts the measurement of control work of a kind and returns the
+		// TimeWork starts the measurement of control work of a kind and returns the
 		// function that ends it; may be nil.
-		Spent func(w metrics.Work) func()
-		Log   *zap.Logger
-		Seed  uint64
+		TimeWork func(w metrics.Work) func()
+		Log      *zap.Logger
+		Seed     uint64
 
 		viewsOut, viewsIn atomic.Uint64 // bytes of views in messages
 
@@ -153,7 +153,7 @@
 	}
 	out = append(out, c.state.Tick(now)...)
 	for _, address := range c.state.LateAnswerers() {
-		c.Endpoint.Renew(address)
+		c.Endpoint.Redial(address)
 	}
 	return out
 }
@@ -184,12 +184,12 @@
 	return c.Endpoint.Send(ctx, address, f) == nil // the membership probes detect unreachable nodes
 }
 
-// timeWork calls Spent, or does nothing if it is nil.
+// timeWork calls TimeWork, or does nothing if it is nil.
 func (c *Cluster) timeWork(w metrics.Work) func() {
-	if c.Spent == nil {
+	if c.TimeWork == nil {
 		return func() {}
 	}
-	return c.Spent(w)
+	return c.TimeWork(w)
 }
 
 // Update changes this node's own record.
@@ -213,8 +213,8 @@
 	return c.state.Node(name)
 }
 
-// Working returns the sorted names of live nodes that are not leaving.
-func (c *Cluster) Working() []string {
+// ActiveNodes returns the sorted names of live nodes that are not leaving.
+func (c *Cluster) ActiveNodes() []string {
 	var names []string
 	for _, n := range c.Nodes() {
 		if n.Status <= member.Suspect && !n.Leaving {
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// Grace is how long after the store's return an entry may be missing before
+	// MissingGrace is how long after the store's return an entry may be missing before
 	// its server counts as gone; live servers' entries are back within about two
 	// seconds.
-	Grace = 1800 * time.Millisecond
+	MissingGrace = 1800 * time.Millisecond
 	// feedWait is how long a feed call waits for a change. A call without a
 	// response is detected after feedWait + responseMargin, which must be well below
 	// the two seconds within which a leaving server has to be known.
@@ -61,7 +61,7 @@
 	// defaultHeartbeat is how often servers write their entries if Heartbeat isn't set;
 	// the users' platforms state 1.2 s.
 	defaultHeartbeat = 1200 * time.Millisecond
-	// waitsPerConfigAge is how many waits of the operator table's feed fit into ProofWithin. A
+	// waitsPerConfigAge is how many waits of the operator table's feed fit into MaxConfigAge. A
 	// confirmation is already as old as the wait when it arrives, and has to last until
 	// the next wait ends.
 	waitsPerConfigAge = 12
@@ -89,29 +89,29 @@
 		Log       *zap.Logger
 		OnConfig  func(*fleet.Config)
 		OnServers func([]fleet.Server)
-		// Fed reports whether this node receives changes from another one, and so
+		// HasFeed reports whether this node receives changes from another one, and so
 		// doesn't need to query the store; nil for never.
-		Fed func() bool
-		// Led reports whether this node has a leader that would pass changes on if it
+		HasFeed func() bool
+		// HasLeader reports whether this node has a leader that would pass changes on if it
 		// could read the store; nil for never.
-		Led func() bool
-		// Role returns the node's role, nil for Alone.
+		HasLeader func() bool
+		// Role returns the node's role, nil for Standalone.
 		Role func() Role
 
-		// ProofWithin is the maximum age of the last confirmation that the configuration is
+		// MaxConfigAge is the maximum age of the last confirmation that the configuration is
 		// the newest, zero for no limit. The leader and its deputy query the store often
 		// enough for all nodes to keep to it.
-		ProofWithin time.Duration
+		MaxConfigAge time.Duration
 
 		// Heartbeat is how often servers write their entries, zero for 1.2 s.
 		Heartbeat time.Duration
 
-		// Clock returns a time that advances while the process is suspended; clock.Boot if
+		// Clock returns a time that advances while the process is suspended; clock.SinceBoot if
 		// nil.
 		Clock func() time.Duration
 
-		// Ask fetches another node's copy when a table can't be read, nil for never.
-		Ask func(ctx context.Context)
+		// FetchCopy fetches another node's copy when a table can't be read, nil for never.
+		FetchCopy func(ctx context.Context)
 
 		operator     table
 		server       table
@@ -126,10 +126,10 @@
 )
 
 const (
-	// Alone is a standalone node, which passes nothing on.
-	Alone Role = iota
-	// Holder is the leader, which passes changes on to all nodes.
-	Holder
+	// Standalone is a standalone node, which passes nothing on.
+	Standalone Role = iota
+	// Leader is the leader, which passes changes on to all nodes.
+	Leader
 	// Deputy passes changes on to the leader.
 	Deputy
 )
@@ -151,9 +151,9 @@
 	return max(operator, server)
 }
 
-// Contact returns the time since the store last responded to this node itself,
+// StoreAge returns the time since the store last responded to this node itself,
 // for the table whose last response is older.
-func (f *Follower) Contact(now time.Time) time.Duration {
+func (f *Follower) StoreAge(now time.Time) time.Duration {
 	_, operator := f.operator.ages(now)
 	_, server := f.server.ages(now)
 	return max(operator, server)
@@ -171,7 +171,7 @@
 // role returns the node's role.
 func (f *Follower) role() Role {
 	if f.Role == nil {
-		return Alone
+		return Standalone
 	}
 	return f.Role()
 }
@@ -183,14 +183,14 @@
 // now returns the time of the clock.
 func (f *Follower) now() time.Duration {
 	if f.Clock == nil {
-		return clock.Boot()
+		return clock.SinceBoot()
 	}
 	return f.Clock()
 }
 
-// Proved records that a version of the configuration's row was the newest at a time of
+// ConfirmConfig records that a version of the configuration's row was the newest at a time of
 // Clock.
-func (f *Follower) Proved(version int64, at time.Duration) {
+func (f *Follower) ConfirmConfig(version int64, at time.Duration) {
 	t := &f.operator
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,8 +205,8 @@
 	if f.role() == Deputy {
 		wait = deputyWait
 	}
-	if t == &f.operator && f.ProofWithin > 0 && f.role() != Alone {
-		wait = min(wait, f.ProofWithin/waitsPerConfigAge)
+	if t == &f.operator && f.MaxConfigAge > 0 && f.role() != Standalone {
+		wait = min(wait, f.MaxConfigAge/waitsPerConfigAge)
 	}
 	return wait
 }
@@ -214,7 +214,7 @@
 // gap returns the minimum time between a response of a feed and the next call.
 func (f *Follower) gap() time.Duration {
 	switch f.role() {
-	case Holder:
+	case Leader:
 		return gapLeader
 	case Deputy:
 		return gapDeputy
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -39,9 +39,9 @@
 )
 
 const (
-	// Notice is how long a stopping node goes on serving: the balancer probes each second
+	// DrainTime is how long a stopping node goes on serving: the balancer probes each second
 	// and removes a node after two failed probes.
-	Notice = 3 * time.Second
+	DrainTime = 3 * time.Second
 	// killMargin is the time kept in reserve before the platform kills the process.
 	killMargin = 500 * time.Millisecond
 	// taskMargin is the part of killMargin in which tasks that don't serve clients may still
@@ -72,7 +72,7 @@
 	granter              *granter.Granter
 	follower             *follow.Follower
 	endpoint             *peer.Endpoint
-	key                  *keys.Memory
+	key                  *keys.SelfSigned
 	clients              *http1.Server
 	probes               *http1.Server
 	registry             *prometheus.Registry
@@ -90,10 +90,10 @@
 	deputyReplyAt        atomic.Int64                    // boot time of the deputy's last reply to a report
 	deputyRefusedAt      atomic.Int64                    // boot time of the deputy's last refusal
 	acting               atomic.Bool                     // this node is the deputy and grants slots
-	ack                  hub.Heard                       // what the leader has acknowledged; used by runExchange only
+	ack                  hub.Ack                         // what the leader has acknowledged; used by runExchange only
 	roster               uint64                          // version of the leader's roster that a deputy has; likewise
-	echo                 hub.Echo                        // clock echo of the last reply to a report; likewise
-	echoAt               time.Duration                   // boot time of the arrival of that reply; likewise
+	clockEcho            hub.ClockEcho                   // clock echo of the last reply to a report; likewise
+	clockEchoAt          time.Duration                   // boot time of the arrival of that reply; likewise
 	refresher            refresher
 	peerKeys             trustedKeys
 	leaderCalls          callGroup
@@ -104,7 +104,7 @@
 // New returns a node that hasn't opened any listener or connection yet.
 func New(s Settings, log *zap.Logger) (*Node, error) {
 	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * (1 << 20)))
-	key, err := keys.NewMemory(s.Node)
+	key, err := keys.NewSelfSigned(s.Node)
 	if err != nil {
 		return nil, err
 	}
@@ -113,26 +113,26 @@
 	n.store = n.newStore()
 	m := gateway.NewMetrics()
 	n.registry.MustRegister(m.Collectors()...)
-	n.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: s.DataCentre, Metrics: m, Want: n.requestLoad, Place: n.acquireSlot,
-		Rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Repeats: n.retryBudget(), Refresh: n.refresh,
-		OnDeparture: func(i departure.Incarnation) bool { return n.addLeaving(i) }, KeyAge: s.keyAge(), Tolerance: s.tolerance()}
+	n.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: s.DataCentre, Metrics: m, RequestLoad: n.requestLoad, AcquireSlot: n.acquireSlot,
+		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		RetryBudget: n.retryBudget(), Refresh: n.refresh,
+		OnLeaving: func(i departure.Incarnation) bool { return n.addLeaving(i) }, KeyAge: s.keyAge(), Tolerance: s.tolerance()}
 	n.gateway.Run(balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))))
 	n.endpoint = &peer.Endpoint{Address: s.Peers, TLS: key, DialTimeout: exchangeTimeout, IdleTimeout: peerIdleTimeout,
 		OnMessage: func(string, peer.Frame) {},
 		OnCall: func(ctx context.Context, _ string, f peer.Frame, st *peer.Stream) {
 			hub.Serve(ctx, n, f, st)
 		}}
-	n.hub.Granted = n.isGranted
+	n.hub.HasGranter = n.isGranted
 	n.granter = &granter.Granter{Log: log, Counts: n.hub.Counts, Limits: n.gateway.Limits, Tolerance: s.tolerance()}
 	n.registry.MustRegister(n.granter)
 	n.placer = n.newPlacer()
-	n.granter.Adapter = n.placer.Want
-	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, Fed: n.hasFeed, Led: n.hasLeader,
-		Role: n.role, Ask: n.join, Heartbeat: time.Duration(s.HeartbeatMS) * time.Millisecond, ProofWithin: n.gateway.KeyAge}
+	n.granter.LoadAdapter = n.placer.RequestLoad
+	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, HasFeed: n.hasFeed, HasLeader: n.hasLeader,
+		Role: n.role, FetchCopy: n.join, Heartbeat: time.Duration(s.HeartbeatMS) * time.Millisecond, MaxConfigAge: n.gateway.KeyAge}
 	n.gateway.ConfigAge = n.follower.ConfigAge
-	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, Refused: n.refused, AcceptFailed: n.acceptFailed,
-		Most: int(float64(s.Descriptors-reservedDescriptors) * clientShare)}
+	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, OnBadRequest: n.refused, AcceptFailed: n.acceptFailed,
+		MaxConns: int(float64(s.Descriptors-reservedDescriptors) * clientShare)}
 	n.probes = &http1.Server{Handler: readiness{n}, AcceptFailed: n.acceptFailed}
 	return n, nil
 }
@@ -157,7 +157,7 @@
 	n.registry.MustRegister(calls)
 	return &platform.Store{
 		Client: &jsonhttp.Client{Address: n.settings.Store, ConnectTimeout: 500 * time.Millisecond},
-		Called: func(call string, status int) { calls.WithLabelValues(call, strconv.Itoa(status)).Inc() },
+		OnCall: func(call string, status int) { calls.WithLabelValues(call, strconv.Itoa(status)).Inc() },
 	}
 }
 
@@ -167,20 +167,20 @@
 	n.registry.MustRegister(orders)
 	engines := &clientCache{}
 	return &placer.Placer{
-		Store: n.store, Engines: &platform.Engines{Client: engines.get}, Hub: n.hub, Log: n.log, Clock: clock.Boot,
-		Keeper: &leader.Elector{
+		Store: n.store, Engines: &platform.Engines{Client: engines.get}, Hub: n.hub, Log: n.log, Clock: clock.SinceBoot,
+		Elector: &leader.Elector{
 			Self: leader.Lease{Node: n.settings.Node, Incarnation: n.key.Fingerprint()[:16],
 				Address: n.settings.Peers, Key: n.key.Fingerprint(), Cores: n.settings.Cores},
 			TTL: time.Duration(n.settings.LeaseMS) * time.Millisecond,
 		},
-		Fencing:   n.settings.CheckEpochs,
-		Window:    time.Duration(n.settings.LoadWindowS * float64(time.Second)),
-		Reachable: n.hasCoordinator,
-		Ordered:   func(v string) { orders.WithLabelValues(v).Inc() },
-		Began:     n.granter.Reset,
-		Lacking:   n.granter.Waiting,
-		Limited:   n.granter.Limited,
-		Noted:     n.granter.Note,
+		Fencing:            n.settings.CheckEpochs,
+		Window:             time.Duration(n.settings.LoadWindowS * float64(time.Second)),
+		LeaderReachable:    n.hasCoordinator,
+		OnVerdict:          func(v string) { orders.WithLabelValues(v).Inc() },
+		OnElected:          n.granter.Reset,
+		WaitingWithoutCopy: n.granter.Waiting,
+		LimitedModels:      n.granter.LimitedModels,
+		OnResidency:        n.granter.SetResidency,
 	}
 }
 
@@ -204,7 +204,7 @@
 	n.stop()
 	endTasks()
 	err := tasks.Wait(time.Until(deadline))
-	n.log.Info("stopped", zap.Int("connections", n.clients.Open()))
+	n.log.Info("stopped", zap.Int("connections", n.clients.ConnCount()))
 	return err
 }
 
@@ -270,12 +270,12 @@
 	started := time.Now()
 	n.stopping.Store(true)
 	n.clients.Drain()
-	n.log.Info("stopping", zap.Int("connections", n.clients.Open()))
+	n.log.Info("stopping", zap.Int("connections", n.clients.ConnCount()))
 	grace := n.grace()
 	ctx, cancel := context.WithDeadline(context.Background(), started.Add(grace))
 	defer cancel()
 	n.placer.Release(ctx)
-	drainCtx, cancelDrain := context.WithDeadline(ctx, started.Add(min(Notice, grace/2)))
+	drainCtx, cancelDrain := context.WithDeadline(ctx, started.Add(min(DrainTime, grace/2)))
 	defer cancelDrain()
 	<-drainCtx.Done()
 	n.gateway.Stop()
@@ -293,8 +293,8 @@
 
 func (n *Node) onConfig(c *fleet.Config) {
 	n.gateway.SetConfig(c)
-	n.placer.Config(n.gateway.Config())
-	n.granter.Teams(n.gateway.Config().Teams())
+	n.placer.SetConfig(n.gateway.Config())
+	n.granter.SetTeams(n.gateway.Config().Teams())
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
 	n.updateEngines(n.servers.list)
--- a/internal/front/refresh.go
+++ b/internal/front/refresh.go
@@ -67,7 +67,7 @@
 func (r *refresher) request(ctx context.Context) bool {
 	r.mu.Lock()
 	r.init()
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	select {
 	case <-r.wake: // a requested report is already pending
 	default:
@@ -93,6 +93,6 @@
 	if !n.refresher.request(ctx) {
 		return
 	}
-	for n.follower.Behind() && clock.Sleep(ctx, refreshPoll) {
+	for n.follower.IsBehind() && clock.Sleep(ctx, refreshPoll) {
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -80,9 +80,9 @@
 	log, err := logging.New(r.log, "info")
 	require.NoError(t, err)
 	r.gateway = &gateway.Gateway{Pool: &http1.Pool{}, Log: log, Zone: "z", Metrics: gateway.NewMetrics(),
-		Want: func(context.Context, hub.Want) hub.Offer { return hub.Offer{} },
-		Place: func(context.Context, hub.Place) (hub.Placed, hub.Grant, error) {
-			return hub.Placed{}, nil, io.EOF
+		RequestLoad: func(context.Context, hub.LoadRequest) hub.LoadReply { return hub.LoadReply{} },
+		AcquireSlot: func(context.Context, hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
+			return hub.SlotReply{}, nil, io.EOF
 		},
 		Rand: rand.New(rand.NewPCG(1, 1))}
 	r.gateway.Run(balance.New(rand.New(rand.NewPCG(1, 1))))
@@ -203,7 +203,7 @@
 		notReady bool
 	}{
 		{"shed unsafe goes elsewhere", standin.Shed, "/unsafe/", 200, 1, false},
-		{"lacking unsafe goes elsewhere", standin.Lack, "/unsafe/", 200, 1, false},
+		{"lacking unsafe goes elsewhere", standin.NotResident, "/unsafe/", 200, 1, false},
 		{"truncated unsafe is unknown", standin.Truncate, "/unsafe/", 502, 1, false},
 		{"crashed unsafe is unknown", standin.Crash, "/unsafe/", 502, 1, false},
 		{"garbage to unsafe is unknown", standin.Garbage, "/unsafe/", 502, 1, false},
@@ -317,7 +317,7 @@
 	a := r.do("POST", "/unsafe/", "r1", "body", "X-Guavapaddle-Request-Deadline-Ms: 400")
 	require.Equal(t, 504, a.status)
 	require.Less(t, time.Since(began), 800*time.Millisecond)
-	require.Eventually(t, func() bool { return w.Gone() == 1 }, time.Second, time.Millisecond, "the run at the server is cancelled")
+	require.Eventually(t, func() bool { return w.ClosedByCaller() == 1 }, time.Second, time.Millisecond, "the run at the server is cancelled")
 }
 
 func TestClientDisconnectCancelsRun(t *testing.T) {
@@ -330,7 +330,7 @@
 	_, err = c.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
-	require.Eventually(t, func() bool { return w.Gone() == 1 }, 500*time.Millisecond, time.Millisecond)
+	require.Eventually(t, func() bool { return w.ClosedByCaller() == 1 }, 500*time.Millisecond, time.Millisecond)
 }
 
 func TestBrokenStreamIsNotTerminated(t *testing.T) {
@@ -407,9 +407,9 @@
 
 func TestWaitingRequestsAreRefusedOnStop(t *testing.T) {
 	r := newRig(t, startWorker(t, "i-1"))
-	r.gateway.Place = func(ctx context.Context, _ hub.Place) (hub.Placed, hub.Grant, error) {
+	r.gateway.AcquireSlot = func(ctx context.Context, _ hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 		<-ctx.Done()
-		return hub.Placed{}, nil, ctx.Err()
+		return hub.SlotReply{}, nil, ctx.Err()
 	}
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m", LoadTime: time.Minute}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
@@ -431,8 +431,8 @@
 	})
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
-	r.gateway.Place = func(context.Context, hub.Place) (hub.Placed, hub.Grant, error) {
-		return hub.Placed{Granted: true, Server: "i-1"}, noGrant{}, nil
+	r.gateway.AcquireSlot = func(context.Context, hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
+		return hub.SlotReply{Granted: true, Server: "i-1"}, noGrant{}, nil
 	}
 	require.Equal(t, 200, r.do("GET", "/stream/", "r1", "", "X-Guavapaddle-Model: m").status)
 	require.Empty(t, leaving.Runs())
@@ -442,13 +442,13 @@
 // countedGrant is a granted slot that counts how often it was released.
 type countedGrant struct{ done *atomic.Int64 }
 
-// NamedRate implements hub.Grant.
-func (countedGrant) NamedRate(*float64) {}
+// SetRate implements hub.SlotGrant.
+func (countedGrant) SetRate(*float64) {}
 
-// Begun implements hub.Grant.
-func (countedGrant) Begun() {}
+// PrefillDone implements hub.SlotGrant.
+func (countedGrant) PrefillDone() {}
 
-// Done implements hub.Grant.
+// Done implements hub.SlotGrant.
 func (c countedGrant) Done(balance.Result) { c.done.Add(1) }
 
 func TestSlotsOfFailedRequestsAreReleased(t *testing.T) {
@@ -463,28 +463,28 @@
 	r.gateway.SetServers(servers)
 	engine := &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}
 	r.gateway.SetConfig(fleet.NewConfig(2, routes, []fleet.Service{{Name: "plain", Engine: engine}}, fleet.Limits{}))
-	var placed, done atomic.Int64
-	r.gateway.Place = func(_ context.Context, p hub.Place) (hub.Placed, hub.Grant, error) {
-		n := placed.Add(1)
-		return hub.Placed{Granted: true, Server: fmt.Sprint("i-", n%4)}, countedGrant{&done}, nil
+	var granted, done atomic.Int64
+	r.gateway.AcquireSlot = func(_ context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
+		n := granted.Add(1)
+		return hub.SlotReply{Granted: true, Server: fmt.Sprint("i-", n%4)}, countedGrant{&done}, nil
 	}
 	for i := range 20 {
 		require.Equal(t, 503, r.do("GET", "/stream/", fmt.Sprint("r", i), "", "X-Guavapaddle-Model: m").status)
 	}
 	require.Contains(t, r.log.String(), "reason=budget", "some requests failed while they held a slot")
-	require.Eventually(t, func() bool { return placed.Load() == done.Load() }, 2*time.Second, time.Millisecond, "a slot is released after its response")
+	require.Eventually(t, func() bool { return granted.Load() == done.Load() }, 2*time.Second, time.Millisecond, "a slot is released after its response")
 }
 
 // noGrant is a granted slot whose calls are ignored.
 type noGrant struct{}
 
-// NamedRate implements hub.Grant.
-func (noGrant) NamedRate(*float64) {}
+// SetRate implements hub.SlotGrant.
+func (noGrant) SetRate(*float64) {}
 
-// Begun implements hub.Grant.
-func (noGrant) Begun() {}
+// PrefillDone implements hub.SlotGrant.
+func (noGrant) PrefillDone() {}
 
-// Done implements hub.Grant.
+// Done implements hub.SlotGrant.
 func (noGrant) Done(balance.Result) {}
 
 // TestPooledConnectionOutlivesItsClients guards against a client's disconnect closing a
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -38,7 +38,7 @@
 	conn          *http1.Conn
 	ticket        *balance.Ticket
 	resp          *http.Response
-	respMeta      platform.Answer
+	respMeta      platform.Response
 	firstByte     time.Duration // time until the response header
 	extraResponse bool          // a response to another request came first
 	stopClose     func() bool   // stops closing the connection when the client leaves; false if it is already closed
@@ -113,7 +113,7 @@
 	t.g.picker.FirstByte(time.Now(), t.ticket)
 	t.g.mu.Unlock()
 	if !t.respMeta.NotRun && t.slot != nil {
-		t.slot.Begun()
+		t.slot.PrefillDone()
 	}
 	result, state, reason := t.classifyResponse()
 	if state == answered && reason == Served && t.usesEngine() {
@@ -125,14 +125,14 @@
 // recordRateLimit records the rate limit that the server announced with its response.
 func (t *try) recordRateLimit(sent time.Time) {
 	l := throttle.NoLimit(sent)
-	if t.respMeta.Rate != nil {
-		l = throttle.NewLimit(time.Now(), *t.respMeta.Rate)
+	if t.respMeta.RateLimit != nil {
+		l = throttle.NewLimit(time.Now(), *t.respMeta.RateLimit)
 	}
 	t.g.mu.Lock()
 	changed := t.g.picker.LearnLimit(t.selection.Server.ID, l)
 	t.g.mu.Unlock()
 	if t.slot != nil && (l.Active || changed) {
-		t.slot.NamedRate(t.respMeta.Rate)
+		t.slot.SetRate(t.respMeta.RateLimit)
 	}
 	if changed {
 		t.g.Log.Info("server-limit", zap.String("request-id", t.meta.ID), zap.String("server", t.selection.Server.ID),
@@ -144,14 +144,14 @@
 // leaving or asked for a backoff.
 func (t *try) recordServerState() {
 	s := t.selection.Server
-	if t.respMeta.Leaving && t.g.OnDeparture != nil && t.g.OnDeparture(departure.IncarnationOf(s)) {
+	if t.respMeta.Leaving && t.g.OnLeaving != nil && t.g.OnLeaving(departure.IncarnationOf(s)) {
 		t.g.Log.Info("server-departs", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.String("rule", t.rule))
 	}
-	if t.respMeta.Rest > 0 {
+	if t.respMeta.Backoff > 0 {
 		t.g.mu.Lock()
-		t.g.picker.BackOff(s.ID, time.Now().Add(t.respMeta.Rest))
+		t.g.picker.BackOff(s.ID, time.Now().Add(t.respMeta.Backoff))
 		t.g.mu.Unlock()
-		t.g.Log.Info("server-rests", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.Duration("rest", t.respMeta.Rest),
+		t.g.Log.Info("server-rests", zap.String("request-id", t.meta.ID), zap.String("server", s.ID), zap.Duration("rest", t.respMeta.Backoff),
 			zap.String("rule", t.rule))
 	}
 }
@@ -176,16 +176,16 @@
 			return err
 		}
 		t.resp = resp
-		t.respMeta = platform.ParseAnswer(resp.StatusCode, resp.Header)
+		t.respMeta = platform.ParseResponse(resp.StatusCode, resp.Header)
 		if !t.isForeign() || t.route.Repeatable() {
 			if t.extraResponse {
-				t.conn.ReadBy(t.deadline.Add(responseMargin))
+				t.conn.SetReadDeadline(t.deadline.Add(responseMargin))
 			}
 			return nil
 		}
 		t.extraResponse = true
 		if t.route.Kind == fleet.Unsafe { // a stream's first event may take longer
-			t.conn.ReadBy(earlier(t.deadline, time.Now().Add(extraResponseWait)))
+			t.conn.SetReadDeadline(earlier(t.deadline, time.Now().Add(extraResponseWait)))
 		}
 		if _, err := http1.ReadBody(resp, maxBodyBytes); err != nil {
 			return err
@@ -251,7 +251,7 @@
 	}
 	t.g.Pool.Drop(t.selection.Server.Address)
 	t.g.recordCrash(t.fingerprint, t.selection.Server.ID)
-	return balance.ConnFailed, unknown, Cut
+	return balance.ConnFailed, unknown, ConnLost
 }
 
 // classifyResponse classifies a response by its header, and forwards it if it is final.
@@ -294,11 +294,11 @@
 		t.g.Pool.Drop(t.selection.Server.Address)
 		return Misdirected
 	}
-	t.lacking = append(t.lacking, id)
+	t.notResident = append(t.notResident, id)
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
 	t.g.picker.SetResidency(time.Now(), id, t.meta.Model, t.meta.Adapter, false)
-	return Lacking
+	return NotResident
 }
 
 // discardBody reads a response that isn't forwarded to its end and keeps the connection.
@@ -314,7 +314,7 @@
 // must not close it, as another request may be using it.
 func (t *try) keepConn() {
 	left := !t.stopClose()
-	t.conn.Settle()
+	t.conn.CheckBodySent()
 	if t.extraResponse || left {
 		t.conn.Close()
 		return
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -119,7 +119,7 @@
 			}
 		}
 		lastTry = reason
-		if reason != Lacking {
+		if reason != NotResident {
 			r.excluded[c.Server.ID] = true
 		}
 	}
@@ -160,7 +160,7 @@
 		return b
 	}
 	b.Model, b.Adapter, b.Tokens = r.meta.Model, r.meta.Adapter, r.meta.PromptTokens
-	for _, p := range r.meta.Parts {
+	for _, p := range r.meta.Segments {
 		b.Segments = append(b.Segments, balance.Segment{ID: p.ID, Tokens: p.Tokens})
 	}
 	return b
@@ -247,14 +247,14 @@
 
 // requestSlot requests a slot from the leader.
 func (r *request) requestSlot(b balance.Request, w hub.Item) (c balance.Selection, reason Reason, result slotResult) {
-	p := hub.Place{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.lacking, Priority: r.urgency(),
+	p := hub.SlotRequest{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.notResident, Priority: r.urgency(),
 		Waited: time.Since(r.x.Received),
 		Target: time.Until(r.x.Received.Add(r.route.TargetLatency * targetPercent / 100)), Expire: r.maxWait(b.Model)}
 	p.Charge = r.pendingCharge()
 	p.Exclude = r.unusable()
 	ctx, cancel := r.waitContext()
 	defer cancel()
-	reply, grant, err := r.g.Place(ctx, p)
+	reply, grant, err := r.g.AcquireSlot(ctx, p)
 	if ctx.Err() != nil {
 		if err == nil {
 			grant.Done(balance.Abandoned)
@@ -274,11 +274,11 @@
 		grant.Done(balance.Abandoned)
 		r.retryAfter = reply.After
 		if reply.Why == string(balance.NoServer) && len(p.Exclude) > len(r.excluded) {
-			return c, Resting, decided
+			return c, Backoff, decided
 		}
 		return c, Reason(reply.Why), decided
 	}
-	r.lacking = slices.DeleteFunc(r.lacking, func(id string) bool { return id == reply.Server })
+	r.notResident = slices.DeleteFunc(r.notResident, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
 	s, known := r.g.picker.Server(reply.Server)
 	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
@@ -332,11 +332,11 @@
 func (r *request) requestAdapter(w hub.Item) {
 	ctx, cancel := context.WithTimeout(r.x.Context(), recheckInterval)
 	defer cancel()
-	reply := r.g.Want(ctx, hub.Want{Item: w, Lacks: r.lacking, Exclude: r.unusable()})
+	reply := r.g.RequestLoad(ctx, hub.LoadRequest{Item: w, Lacks: r.notResident, Exclude: r.unusable()})
 	if !reply.Found {
 		return
 	}
-	r.lacking = slices.DeleteFunc(r.lacking, func(id string) bool { return id == reply.Server })
+	r.notResident = slices.DeleteFunc(r.notResident, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
 	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
@@ -404,19 +404,19 @@
 }
 
 // outgoing returns the request as it is sent to a server.
-func (r *request) outgoing(s fleet.Server) http1.Outgoing {
+func (r *request) outgoing(s fleet.Server) http1.ClientRequest {
 	h := r.header.Clone()
 	priority := -1
 	if r.route.Kind == fleet.Stream {
 		priority = r.urgency()
 	}
-	platform.Forward(h, s.ID, time.Until(r.deadline), priority)
+	platform.SetForwardHeaders(h, s.ID, time.Until(r.deadline), priority)
 	if r.g.config.Load().KeysRequired() {
-		platform.Identify(h, r.team.Name)
+		platform.SetTeam(h, r.team.Name)
 	}
 	if r.lastEvent != "" && r.route.Resumable {
-		platform.Resume(h, r.lastEvent)
+		platform.SetLastEvent(h, r.lastEvent)
 	}
-	return http1.Outgoing{Method: r.x.Request.Method, Target: r.x.Request.RequestURI, Host: r.x.Request.Host,
+	return http1.ClientRequest{Method: r.x.Request.Method, Target: r.x.Request.RequestURI, Host: r.x.Request.Host,
 		Header: h, Body: r.x.Body}
 }
--- a/internal/gateway/spend.go
+++ b/internal/gateway/spend.go
@@ -23,7 +23,7 @@
 
 // cost returns the tokens that the request takes from its team's quota.
 func (r *request) cost() float64 {
-	return r.team.Quota.Cost(r.meta.PromptTokens, r.meta.OutputTokens, r.meta.Counted)
+	return r.team.Quota.Cost(r.meta.PromptTokens, r.meta.OutputTokens, r.meta.HasTokenCount)
 }
 
 // pendingCharge returns the charge that is still to be made with a slot request.
@@ -57,7 +57,7 @@
 	granterReachable := g.granterReachable
 	ok, retryAfter := g.account.Spend(time.Now(), r.team, r.cost(), granterReachable)
 	g.mu.Unlock()
-	r.chargedAlone = !granterReachable
+	r.chargedLocally = !granterReachable
 	if ok {
 		r.charged = true
 		return ""
@@ -88,15 +88,15 @@
 	g.account.Refund(r.team.Name, r.cost())
 }
 
-// Spent returns this node's usage of the quotas, for a report.
-func (g *Gateway) Spent() quota.UsageReport {
+// QuotaUsage returns this node's usage of the quotas, for a report.
+func (g *Gateway) QuotaUsage() quota.UsageReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.account.Report()
 }
 
-// Told applies a granter's reply to a report of the usage.
-func (g *Gateway) Told(number uint64, states map[string]quota.State, nodes int) {
+// UpdateQuotas applies a granter's reply to a report of the usage.
+func (g *Gateway) UpdateQuotas(number uint64, states map[string]quota.State, nodes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.account.Acknowledge(number)
@@ -104,8 +104,8 @@
 	g.granterReachable = true
 }
 
-// Unled records that no granter replies.
-func (g *Gateway) Unled() {
+// LeaderLost records that no granter replies.
+func (g *Gateway) LeaderLost() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.granterReachable = false
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -4,10 +4,10 @@
 //
 // # Usage
 //
-//	g := &granter.Granter{Log: log, Adapter: placer.Want}
+//	g := &granter.Granter{Log: log, LoadAdapter: placer.RequestLoad}
 //	g.Reset()                                   // when the lease is acquired
-//	d, slot, err := g.Place(ctx, request, func() {})
-//	slot.Begun()                                // with the first byte of the response
+//	d, slot, err := g.AcquireSlot(ctx, request, func() {})
+//	slot.PrefillDone()                          // with the first byte of the response
 //	slot.Done(balance.Succeeded)                // with the last byte
 package granter
 
@@ -28,8 +28,8 @@
 )
 
 const (
-	// Tick is the interval at which waiting requests are checked for expiry.
-	Tick = 50 * time.Millisecond
+	// TickPeriod is the interval at which waiting requests are checked for expiry.
+	TickPeriod = 50 * time.Millisecond
 
 	// deputyRateFraction is the fraction of the servers' rate limits that a deputy grants. The
 	// leader, which it can't reach, may be granting all of them to other nodes, and servers
@@ -48,11 +48,11 @@
 	// Granter grants slots. Its exported fields are set before the first call. It
 	// is safe for concurrent use.
 	Granter struct {
-		Log      *zap.Logger
-		Settings grant.Settings
-		Adapter  func(ctx context.Context, w hub.Want) hub.Offer // loads an adapter
-		Counts   func() map[string]balance.Count                 // counts over all nodes, by server; may be nil
-		Limits   func() []hub.Limit                              // known rate limits of servers; may be nil
+		Log         *zap.Logger
+		Settings    grant.Settings
+		LoadAdapter func(ctx context.Context, w hub.LoadRequest) hub.LoadReply // loads an adapter
+		Counts      func() map[string]balance.Count                            // counts over all nodes, by server; may be nil
+		Limits      func() []hub.Limit                                         // known rate limits of servers; may be nil
 		// Tolerance is how far a team's usage may exceed its quota.
 		Tolerance quota.Tolerance
 
@@ -70,7 +70,7 @@
 	}
 
 	waiter struct {
-		slot      hub.Place
+		slot      hub.SlotRequest
 		arrivedAt time.Time
 		ahead     int // requests that were waiting when it arrived
 		decision  chan grant.Decision
@@ -109,8 +109,8 @@
 	g.ledger.Reset(time.Now(), g.teams)
 }
 
-// Servers sets the list of backend servers.
-func (g *Granter) Servers(list []fleet.Server) {
+// SetServers sets the list of backend servers.
+func (g *Granter) SetServers(list []fleet.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.servers = list
@@ -125,13 +125,13 @@
 // Run expires waiting requests and updates the counts of requests that nodes started
 // without a grant, until ctx ends.
 func (g *Granter) Run(ctx context.Context) {
-	t := time.NewTicker(Tick)
+	t := time.NewTicker(TickPeriod)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			if g.Counts != nil {
-				g.Running(g.Counts())
+				g.SetCounts(g.Counts())
 			}
 			g.tick()
 		case <-ctx.Done():
@@ -152,8 +152,8 @@
 	g.loadMissing()
 }
 
-// Note applies a residency update, which overrides the server's entry.
-func (g *Granter) Note(n hub.Note) {
+// SetResidency applies a residency update, which overrides the server's entry.
+func (g *Granter) SetResidency(n hub.ResidencyUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.picker == nil {
@@ -164,8 +164,8 @@
 	g.grantSlots()
 }
 
-// LearnLimits merges rate limits that servers set in responses to another node.
-func (g *Granter) LearnLimits(list []hub.Limit) {
+// MergeLimits merges rate limits that servers set in responses to another node.
+func (g *Granter) MergeLimits(list []hub.Limit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.picker == nil {
@@ -182,14 +182,14 @@
 	changed := false
 	now := time.Now()
 	for _, l := range list {
-		changed = g.picker.LearnLimit(l.Server, l.Said(now)) || changed
+		changed = g.picker.LearnLimit(l.Server, l.Local(now)) || changed
 	}
 	return changed
 }
 
-// Running sets how many streams all nodes have at each server. Those that this
+// SetCounts sets how many streams all nodes have at each server. Those that this
 // granter has granted are subtracted, since they are counted already.
-func (g *Granter) Running(counts map[string]balance.Count) {
+func (g *Granter) SetCounts(counts map[string]balance.Count) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.picker == nil {
@@ -203,9 +203,9 @@
 	g.grantSlots()
 }
 
-// Place waits until a request is granted a slot or refused, and calls queued if
+// AcquireSlot waits until a request is granted a slot or refused, and calls queued if
 // that isn't decided immediately.
-func (g *Granter) Place(ctx context.Context, p hub.Place, queued func()) (grant.Decision, hub.Grant, error) {
+func (g *Granter) AcquireSlot(ctx context.Context, p hub.SlotRequest, queued func()) (grant.Decision, hub.SlotGrant, error) {
 	w := waiter{slot: p, arrivedAt: time.Now(), decision: make(chan grant.Decision, 1)}
 	g.mu.Lock()
 	if g.scheduler == nil {
@@ -226,7 +226,7 @@
 	}
 	w.ahead = g.scheduler.Waiting()
 	g.waiters[id] = w
-	g.scheduler.Enqueue(grant.Request{ID: id, Pick: p.Pick(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
+	g.scheduler.Enqueue(grant.Request{ID: id, Pick: p.PickRequest(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
 		TargetStart: now.Add(p.Target), Deadline: now.Add(p.Expire)})
 	g.grantSlots()
 	g.loadMissing()
@@ -260,29 +260,29 @@
 		zap.Duration("come-back", d.RetryAfter), zap.String("team", w.slot.Charge.Team), zap.Float64("charge", w.slot.Charge.Cost))
 }
 
-// slot implements hub.Grant for a decided request.
+// slot implements hub.SlotGrant for a decided request.
 type slot struct {
 	g  *Granter
 	id uint64
 }
 
-// NamedRate implements hub.Grant.
-func (s *slot) NamedRate(perSecond *float64) {
+// SetRate implements hub.SlotGrant.
+func (s *slot) SetRate(perSecond *float64) {
 	s.g.mu.Lock()
 	defer s.g.mu.Unlock()
 	s.g.scheduler.LearnLimit(time.Now(), s.id, perSecond)
 	s.g.grantSlots()
 }
 
-// Begun implements hub.Grant.
-func (s *slot) Begun() {
+// PrefillDone implements hub.SlotGrant.
+func (s *slot) PrefillDone() {
 	s.g.mu.Lock()
 	defer s.g.mu.Unlock()
 	s.g.scheduler.PrefillDone(time.Now(), s.id)
 	s.g.grantSlots()
 }
 
-// Done implements hub.Grant.
+// Done implements hub.SlotGrant.
 func (s *slot) Done(r balance.Result) { s.g.release(s.id, r) }
 
 // release ends a grant or a wait.
@@ -310,9 +310,9 @@
 	}
 }
 
-// Limited returns the models of which requests were recently refused because all their
+// LimitedModels returns the models of which requests were recently refused because all their
 // servers had reached their rate limits.
-func (g *Granter) Limited() map[string]bool {
+func (g *Granter) LimitedModels() map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
@@ -341,9 +341,9 @@
 func (g *Granter) loadAdapter(item hub.Item) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	reply := g.Adapter(ctx, g.loadRequest(item))
+	reply := g.LoadAdapter(ctx, g.loadRequest(item))
 	if !reply.Found {
-		clock.Sleep(ctx, Tick)
+		clock.Sleep(ctx, TickPeriod)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -357,10 +357,10 @@
 
 // loadRequest returns the load request for an item, with the servers that the requests
 // waiting for it exclude or found without it.
-func (g *Granter) loadRequest(i hub.Item) hub.Want {
+func (g *Granter) loadRequest(i hub.Item) hub.LoadRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := hub.Want{Item: i}
+	out := hub.LoadRequest{Item: i}
 	for _, w := range g.waiters {
 		if w.slot.Item == i {
 			out.Lacks = append(out.Lacks, w.slot.Lacks...)
--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -22,7 +22,7 @@
 	kindRateUpdate  peer.Kind = 10
 )
 
-// AckTimeout bounds the wait for the first reply to a Place, which says that the
+// AckTimeout bounds the wait for the first reply to a SlotRequest, which says that the
 // request is granted, refused or queued. The reply normally takes about 3 ms. By
 // its reports alone a node detects a leader that is frozen or unreachable only
 // after 1.3 s, by which time half of the requests of that interval have missed a
@@ -30,17 +30,17 @@
 const AckTimeout = 250 * time.Millisecond
 
 type (
-	// Want asks the leader to load a model or adapter immediately.
-	Want struct {
+	// LoadRequest asks the leader to load a model or adapter immediately.
+	LoadRequest struct {
 		Item
 		Lacks   []string // servers that recently responded that it isn't resident
 		Exclude []string // servers that the waiting requests exclude
 	}
 
-	// Place asks the leader for a slot of an engine. The reply comes when the
+	// SlotRequest asks the leader for a slot of an engine. The reply comes when the
 	// request may start. The caller then reports the end of the prefill, and the
-	// result of the request in a Released.
-	Place struct {
+	// result of the request in a Release.
+	SlotRequest struct {
 		Item
 		Request  string // request id, for the log
 		Tokens   int    // length of the prompt
@@ -61,8 +61,8 @@
 		Cost float64
 	}
 
-	// Placed is the reply to a Place.
-	Placed struct {
+	// SlotReply is the reply to a SlotRequest.
+	SlotReply struct {
 		Granted bool
 		Server  string // incarnation
 		Granter int64  // granter that counts the request until it ends
@@ -71,23 +71,23 @@
 		After   time.Duration // when the client of a refused request may retry
 	}
 
-	// Grant is a granted slot, or a wait that ended without one. Done must be
+	// SlotGrant is a granted slot, or a wait that ended without one. Done must be
 	// called exactly once.
-	Grant interface {
-		NamedRate(perSecond *float64) // the server's response sets a rate limit, or removes it if nil
-		Begun()                       // the prefill is done and the response has started
-		Done(r balance.Result)        // the request has ended
+	SlotGrant interface {
+		SetRate(perSecond *float64) // the server's response sets a rate limit, or removes it if nil
+		PrefillDone()               // the prefill is done and the response has started
+		Done(r balance.Result)      // the request has ended
 	}
 
-	// Released frees a granted slot.
-	Released struct{ Result balance.Result }
+	// Release frees a granted slot.
+	Release struct{ Result balance.Result }
 
-	// Rated carries the rate limit of a server's response, nil for none.
-	Rated struct{ PerSecond *float64 }
+	// RateUpdate carries the rate limit of a server's response, nil for none.
+	RateUpdate struct{ PerSecond *float64 }
 
-	// Offer is the reply to a Want: the server that holds the item, or why none
+	// LoadReply is the reply to a LoadRequest: the server that holds the item, or why none
 	// can.
-	Offer struct {
+	LoadReply struct {
 		Found  bool
 		Server string // incarnation
 		Why    string
@@ -96,26 +96,26 @@
 	// Client calls the leader.
 	Client struct {
 		Endpoint *peer.Endpoint
-		Heard    func() // called for each frame received from the leader, may be nil
+		OnReply  func() // called for each frame received from the leader, may be nil
 	}
 
-	// SilentError means that the leader didn't reply within AckTimeout.
-	SilentError struct{ Address string }
+	// AckTimeoutError means that the leader didn't reply within AckTimeout.
+	AckTimeoutError struct{ Address string }
 
-	// Holder serves the calls of other nodes.
-	Holder interface {
-		Report(r Report) Picture
-		Want(ctx context.Context, w Want) Offer
-		// Place waits for a slot, and calls queued if the request has to wait.
-		Place(ctx context.Context, p Place, queued func()) (Placed, Grant, error)
+	// Leader serves the calls of other nodes.
+	Leader interface {
+		HandleReport(r Report) ReportReply
+		RequestLoad(ctx context.Context, w LoadRequest) LoadReply
+		// AcquireSlot waits for a slot, and calls queued if the request has to wait.
+		AcquireSlot(ctx context.Context, p SlotRequest, queued func()) (SlotReply, SlotGrant, error)
 	}
 )
 
 // Error implements error.
-func (e *SilentError) Error() string { return "hub: no reply from " + e.Address }
+func (e *AckTimeoutError) Error() string { return "hub: no reply from " + e.Address }
 
-// Pick returns the request for which a server is picked.
-func (p Place) Pick() balance.Request {
+// PickRequest returns the request for which a server is picked.
+func (p SlotRequest) PickRequest() balance.Request {
 	r := balance.Request{Service: p.Service, Model: p.Model, Adapter: p.Adapter, Tokens: p.Tokens, Segments: p.Parts, Zone: p.Zone}
 	if len(p.Exclude) > 0 {
 		r.Exclude = make(map[string]bool, len(p.Exclude))
@@ -127,41 +127,41 @@
 }
 
 // Exchange reports to the leader and returns its reply.
-func (c *Client) Exchange(ctx context.Context, address string, r Report) (Picture, error) {
-	var p Picture
+func (c *Client) Exchange(ctx context.Context, address string, r Report) (ReportReply, error) {
+	var p ReportReply
 	err := c.call(ctx, address, kindReport, r, &p)
 	return p, err
 }
 
-// Want asks the leader to load a model or adapter.
-func (c *Client) Want(ctx context.Context, address string, w Want) (Offer, error) {
-	var o Offer
+// RequestLoad asks the leader to load a model or adapter.
+func (c *Client) RequestLoad(ctx context.Context, address string, w LoadRequest) (LoadReply, error) {
+	var o LoadReply
 	err := c.call(ctx, address, kindLoadRequest, w, &o)
 	return o, err
 }
 
-// Place asks the leader for a slot and waits until it is granted or refused.
-func (c *Client) Place(ctx context.Context, address string, p Place) (Placed, Grant, error) {
+// AcquireSlot asks the leader for a slot and waits until it is granted or refused.
+func (c *Client) AcquireSlot(ctx context.Context, address string, p SlotRequest) (SlotReply, SlotGrant, error) {
 	f, err := peer.Encode(kindSlotRequest, p)
 	if err != nil {
-		return Placed{}, nil, err
+		return SlotReply{}, nil, err
 	}
 	s, err := c.Endpoint.Open(ctx, address, f)
 	if err != nil {
-		return Placed{}, nil, err
+		return SlotReply{}, nil, err
 	}
 	stop := context.AfterFunc(ctx, s.Cancel)
 	frame, err := c.readSlotReply(s, address)
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
-	var reply Placed
+	var reply SlotReply
 	if err == nil {
 		err = frame.Decode(&reply)
 	}
 	if err != nil {
 		s.Cancel()
-		return Placed{}, nil, err
+		return SlotReply{}, nil, err
 	}
 	return reply, &streamGrant{s}, nil
 }
@@ -169,25 +169,25 @@
 // streamGrant reports to the leader on the stream of the slot request.
 type streamGrant struct{ s *peer.Stream }
 
-// NamedRate implements Grant.
-func (g *streamGrant) NamedRate(perSecond *float64) {
-	f, err := peer.Encode(kindRateUpdate, Rated{perSecond})
+// SetRate implements SlotGrant.
+func (g *streamGrant) SetRate(perSecond *float64) {
+	f, err := peer.Encode(kindRateUpdate, RateUpdate{perSecond})
 	if err != nil || g.s.Write(f) != nil {
 		g.s.Cancel()
 	}
 }
 
-// Begun implements Grant.
-func (g *streamGrant) Begun() {
+// PrefillDone implements SlotGrant.
+func (g *streamGrant) PrefillDone() {
 	if g.s.Write(peer.Frame{Kind: kindPrefillDone}) != nil {
 		g.s.Cancel()
 	}
 }
 
-// Done implements Grant. If the result can't be sent, the end of the stream frees
+// Done implements SlotGrant. If the result can't be sent, the end of the stream frees
 // the slot all the same.
 func (g *streamGrant) Done(r balance.Result) {
-	f, err := peer.Encode(kindRelease, Released{r})
+	f, err := peer.Encode(kindRelease, Release{r})
 	if err == nil {
 		err = g.s.Write(f)
 	}
@@ -199,26 +199,26 @@
 	g.s.CancelRead()
 }
 
-// readSlotReply reads the reply to a Place.
+// readSlotReply reads the reply to a SlotRequest.
 func (c *Client) readSlotReply(s *peer.Stream, address string) (peer.Frame, error) {
 	deadline := time.Now().Add(AckTimeout)
-	s.ReadBy(deadline)
+	s.SetReadDeadline(deadline)
 	f, err := c.readFrame(s)
 	if err != nil && !time.Now().Before(deadline) {
-		return f, &SilentError{Address: address}
+		return f, &AckTimeoutError{Address: address}
 	}
 	if err != nil || f.Kind != kindQueued {
 		return f, err
 	}
-	s.ReadBy(time.Time{})
+	s.SetReadDeadline(time.Time{})
 	return c.readFrame(s)
 }
 
-// readFrame reads a frame and calls Heard.
+// readFrame reads a frame and calls OnReply.
 func (c *Client) readFrame(s *peer.Stream) (peer.Frame, error) {
 	f, err := s.Read()
-	if err == nil && c.Heard != nil {
-		c.Heard()
+	if err == nil && c.OnReply != nil {
+		c.OnReply()
 	}
 	return f, err
 }
@@ -236,7 +236,7 @@
 	defer s.CancelRead()
 	_ = s.Close()
 	if deadline, ok := ctx.Deadline(); ok {
-		s.ReadBy(deadline)
+		s.SetReadDeadline(deadline)
 	}
 	frame, err := c.readFrame(s)
 	if err != nil {
@@ -246,7 +246,7 @@
 }
 
 // Serve handles one call of another node.
-func Serve(ctx context.Context, h Holder, f peer.Frame, s *peer.Stream) {
+func Serve(ctx context.Context, h Leader, f peer.Frame, s *peer.Stream) {
 	defer s.CancelRead()
 	defer func() { _ = s.Close() }()
 	var reply peer.Frame
@@ -257,15 +257,15 @@
 		if f.Decode(&r) != nil {
 			return
 		}
-		reply, err = peer.Encode(kindReportReply, h.Report(r))
+		reply, err = peer.Encode(kindReportReply, h.HandleReport(r))
 	case kindLoadRequest:
-		var w Want
+		var w LoadRequest
 		if f.Decode(&w) != nil {
 			return
 		}
 		ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 		defer cancel()
-		reply, err = peer.Encode(kindLoadReply, h.Want(ctx, w))
+		reply, err = peer.Encode(kindLoadReply, h.RequestLoad(ctx, w))
 	case kindSlotRequest:
 		serveSlotRequest(ctx, h, f, s)
 		return
@@ -277,30 +277,30 @@
 	}
 }
 
-// loadTimeout bounds the handling of one Want: loading an adapter from a busy store
+// loadTimeout bounds the handling of one LoadRequest: loading an adapter from a busy store
 // takes up to a few hundred milliseconds.
 const loadTimeout = time.Second
 
-// serveSlotRequest handles one Place and keeps the granted slot until it is released or
+// serveSlotRequest handles one SlotRequest and keeps the granted slot until it is released or
 // the stream ends.
-func serveSlotRequest(ctx context.Context, h Holder, f peer.Frame, s *peer.Stream) {
-	var p Place
+func serveSlotRequest(ctx context.Context, h Leader, f peer.Frame, s *peer.Stream) {
+	var p SlotRequest
 	if f.Decode(&p) != nil {
 		return
 	}
 	queued := func() { _ = s.Write(peer.Frame{Kind: kindQueued}) } // a failed write cancels ctx
-	placed, grant, err := h.Place(ctx, p, queued)
+	reply, grant, err := h.AcquireSlot(ctx, p, queued)
 	if err != nil {
 		s.Cancel()
 		return
 	}
 	result := balance.Abandoned
 	defer func() { grant.Done(result) }()
-	frame, err := peer.Encode(kindSlotReply, placed)
-	if err != nil || s.Write(frame) != nil || !placed.Granted {
+	frame, err := peer.Encode(kindSlotReply, reply)
+	if err != nil || s.Write(frame) != nil || !reply.Granted {
 		return
 	}
-	s.ReadBy(time.Now().Add(grantTimeout))
+	s.SetReadDeadline(time.Now().Add(grantTimeout))
 	for {
 		f, err := s.Read()
 		if err != nil {
@@ -308,16 +308,16 @@
 		}
 		switch f.Kind {
 		case kindRateUpdate:
-			var r Rated
+			var r RateUpdate
 			if f.Decode(&r) != nil {
 				return
 			}
-			grant.NamedRate(r.PerSecond)
+			grant.SetRate(r.PerSecond)
 		case kindPrefillDone:
-			grant.Begun()
-			s.ReadBy(time.Now().Add(maxRunTime))
+			grant.PrefillDone()
+			s.SetReadDeadline(time.Now().Add(maxRunTime))
 		case kindRelease:
-			var r Released
+			var r Release
 			if f.Decode(&r) == nil {
 				result = r.Result
 			}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -33,7 +33,7 @@
 	}
 	return &engines.Client{
 		Engine:  n.engineAt(s.Address),
-		Options: engine.StreamOptions{FirstTimeout: firstEventTimeout, ProgressTimeout: progressTimeout},
+		Options: engine.StreamOptions{FirstEventTimeout: firstEventTimeout, ProgressTimeout: progressTimeout},
 	}
 }
 
@@ -57,8 +57,8 @@
 	return settings
 }
 
-// occupancy returns the dispatcher's load on a server.
-func (n *Node) occupancy(server string) (running, queued, slots int, waitMS int64) {
+// serverLoad returns the dispatcher's load on a server.
+func (n *Node) serverLoad(server string) (running, queued, slots int, waitMS int64) {
 	l, _ := n.dispatch.Load(server)
 	return l.Running, l.Queued, l.Slots, l.WaitMS
 }
@@ -66,12 +66,12 @@
 // updateView stores a received view if it is newer than the current one.
 func (n *Node) updateView(v view.Server) {
 	if n.views.Put(v) {
-		n.router.Seen(v.Server)
+		n.router.ViewUpdated(v.Server)
 	}
 }
 
 // updateLoad stores a server load that its owner published.
 func (n *Node) updateLoad(server string, l forward.Load) {
-	n.views.Heard(server, l)
-	n.router.Seen(server)
+	n.views.UpdateLoad(server, l)
+	n.router.ViewUpdated(server)
 }
--- a/internal/owner/reason.go
+++ b/internal/owner/reason.go
@@ -8,14 +8,14 @@
 )
 
 // Reason is the reason why the owner did not send an order. Together with the
-// reasons of core/ledger, it is a label value of Metrics.Refused.
+// reasons of core/ledger, it is a label value of Metrics.UnsentOrders.
 type Reason string
 
 const (
 	// NoLease means that the lease is not valid.
 	NoLease Reason = "lease"
-	// Rival means that the engine has seen a higher fencing number.
-	Rival Reason = "rival"
+	// Fenced means that the engine has seen a higher fencing number.
+	Fenced Reason = "rival"
 	// Unreachable means that the engine didn't answer.
 	Unreachable Reason = "unreachable"
 	// Restarted means that the engine has a new boot ID and its fence has not been
@@ -23,8 +23,8 @@
 	Restarted Reason = "restarted"
 	// NotRecorded means that the order could not be recorded in the table.
 	NotRecorded Reason = "not-recorded"
-	// NoSlot means that other loads occupy all slots of the weight store.
-	NoSlot Reason = "no-slot"
+	// StoreBusy means that other loads occupy all slots of the weight store.
+	StoreBusy Reason = "no-slot"
 	// Undeclared means that the item is not in the configuration.
 	Undeclared Reason = "undeclared"
 	// Claimed means that another copy of the item is being unloaded, or that the
--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -43,8 +43,8 @@
 	return a
 }
 
-// Asked implements entry.Demand.
-func (d *Demand) Asked(name string, u config.Urgency) {
+// Requested implements entry.Demand.
+func (d *Demand) Requested(name string, u config.Urgency) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.estimateOf(name)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Took implements entry.Demand.
-func (d *Demand) Took(name string, seconds float64) {
+// ServiceTime implements entry.Demand.
+func (d *Demand) ServiceTime(name string, seconds float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.estimateOf(name)
@@ -65,8 +65,8 @@
 	a.seconds += (seconds - a.seconds) / serviceTimeWeight
 }
 
-// Wanted adds change to the number of requests that wait for a copy of an item.
-func (d *Demand) Wanted(i backend.Item, change int) {
+// AddWaiting adds change to the number of requests that wait for a copy of an item.
+func (d *Demand) AddWaiting(i backend.Item, change int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.estimateOf(i.Name).waiting += change
--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -18,11 +18,11 @@
 const (
 	// DefaultTimeout bounds one call to the table.
 	DefaultTimeout = 400 * time.Millisecond
-	// DefaultSpreadWait bounds the wait for the other nodes.
-	DefaultSpreadWait = 200 * time.Millisecond
-	// DefaultTrial is the longest time that a trial occupies a server's trial
+	// DefaultBroadcastTimeout bounds the wait for the other nodes.
+	DefaultBroadcastTimeout = 200 * time.Millisecond
+	// DefaultMaxTrial is the longest time that a trial occupies a server's trial
 	// slot.
-	DefaultTrial = time.Minute
+	DefaultMaxTrial = time.Minute
 
 	maxRounds  = 4 // attempts to plan one trial, repeated after a lost race
 	maxTries   = 8 // attempts to write a mark to the table
@@ -45,16 +45,16 @@
 	// before its first use. It is safe for concurrent use.
 	Guard struct {
 		Table Table
-		// Spread sends marks to the other nodes and returns when all live ones
+		// Broadcast sends marks to the other nodes and returns when all live ones
 		// have merged them or ctx ends. It may be nil.
-		Spread     func(ctx context.Context, marks []suspect.Mark)
-		Log        *zap.Logger // may be nil
-		Metrics    *Metrics    // may be nil
-		Timeout    time.Duration
-		SpreadWait time.Duration
-		Trial      time.Duration
-		Lifetime   time.Duration // lifetime of a mark
-		MaxMarks   int
+		Broadcast        func(ctx context.Context, marks []suspect.Mark)
+		Log              *zap.Logger // may be nil
+		Metrics          *Metrics    // may be nil
+		Timeout          time.Duration
+		BroadcastTimeout time.Duration
+		MaxTrial         time.Duration
+		Lifetime         time.Duration // lifetime of a mark
+		MaxMarks         int
 
 		once sync.Once
 		mu   sync.Mutex
@@ -142,7 +142,7 @@
 
 // Crashed records that the server that ran r crashed; bootID identifies the
 // server's incarnation. It returns when the other nodes know or after
-// SpreadWait.
+// BroadcastTimeout.
 func (g *Guard) Crashed(ctx context.Context, r Run, bootID string) {
 	crash := suspect.Incident{Server: r.Server, BootID: bootID}
 	g.once.Do(g.init)
@@ -151,11 +151,11 @@
 	g.mu.Unlock()
 	g.Metrics.count("crash")
 	g.writeLater(r)
-	g.spread(ctx, marks)
+	g.broadcast(ctx, marks)
 }
 
 // ServerCrashed marks all requests that were in flight at a server that crashed.
-// It returns when the other nodes know or after SpreadWait.
+// It returns when the other nodes know or after BroadcastTimeout.
 func (g *Guard) ServerCrashed(ctx context.Context, crash suspect.Incident, inflight []suspect.Fingerprint) {
 	g.once.Do(g.init)
 	g.mu.Lock()
@@ -166,7 +166,7 @@
 		g.writeLater(Run{Fingerprint: m.Fingerprint})
 	}
 	g.sweep()
-	g.spread(ctx, marks)
+	g.broadcast(ctx, marks)
 }
 
 // Merge merges marks of another node and returns how many changed.
@@ -197,7 +197,7 @@
 	}
 	now := time.Now()
 	g.mu.Lock()
-	p, err := g.set.Plan(now, run.Fingerprint, run.trial, now.Add(g.Trial), rows[0], rows[1])
+	p, err := g.set.Plan(now, run.Fingerprint, run.trial, now.Add(g.MaxTrial), rows[0], rows[1])
 	g.mu.Unlock()
 	switch {
 	case err != nil:
@@ -239,7 +239,7 @@
 	g.mu.Lock()
 	m := g.set.Charged(time.Now(), run.Fingerprint, run.trial)
 	g.mu.Unlock()
-	g.spread(ctx, []suspect.Mark{m})
+	g.broadcast(ctx, []suspect.Mark{m})
 }
 
 // commit commits the charge of a trial and reports whether it took effect.
@@ -257,21 +257,21 @@
 	return suspect.IsCharged(run.Fingerprint, run.trial, rows[0])
 }
 
-// spread sends marks to the other nodes and waits at most SpreadWait.
-func (g *Guard) spread(ctx context.Context, marks []suspect.Mark) {
-	if g.Spread == nil || len(marks) == 0 {
+// broadcast sends marks to the other nodes and waits at most BroadcastTimeout.
+func (g *Guard) broadcast(ctx context.Context, marks []suspect.Mark) {
+	if g.Broadcast == nil || len(marks) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.SpreadWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.BroadcastTimeout)
 	defer cancel()
-	g.Spread(ctx, marks)
+	g.Broadcast(ctx, marks)
 }
 
 // writeLater sends marks to the other nodes and writes the mark of r's request
 // to the table, in the background.
 func (g *Guard) writeLater(r Run, marks ...suspect.Mark) {
 	g.work.Go(func() {
-		g.spread(context.Background(), marks)
+		g.broadcast(context.Background(), marks)
 		for attempt := range maxTries {
 			if g.writeMark(r) {
 				return
@@ -328,7 +328,7 @@
 	}
 	g.work.Go(func() {
 		for _, prefix := range []string{suspect.Prefix, suspect.SlotPrefix} {
-			ctx, cancel := context.WithTimeout(context.Background(), g.Trial)
+			ctx, cancel := context.WithTimeout(context.Background(), g.MaxTrial)
 			rows, err := g.Table.Scan(ctx, prefix)
 			if tx, found := suspect.Sweep(time.Now(), rows); err == nil && found {
 				_, err = g.Table.Transact(ctx, tx)
@@ -367,11 +367,11 @@
 	if g.Timeout == 0 {
 		g.Timeout = DefaultTimeout
 	}
-	if g.SpreadWait == 0 {
-		g.SpreadWait = DefaultSpreadWait
+	if g.BroadcastTimeout == 0 {
+		g.BroadcastTimeout = DefaultBroadcastTimeout
 	}
-	if g.Trial == 0 {
-		g.Trial = DefaultTrial
+	if g.MaxTrial == 0 {
+		g.MaxTrial = DefaultMaxTrial
 	}
 	if g.Log == nil {
 		g.Log = zap.NewNop()
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -28,9 +28,9 @@
 	defaultNodes    = 8
 	defaultLoad     = 0.8
 	defaultDuration = 30 * time.Second
-	// defaultWarm is enough time for the nodes to discover all servers and for the
+	// defaultWarmUp is enough time for the nodes to discover all servers and for the
 	// first plan.
-	defaultWarm = 3 * time.Second
+	defaultWarmUp = 3 * time.Second
 )
 
 type (
@@ -45,7 +45,7 @@
 		Load       float64       // mean work as a fraction of the capacity, default 0.8
 		Duration   time.Duration // duration of the arrivals, default 30 s
 		Nodes      int           // default 8
-		Warm       time.Duration // between readiness and the first request, default 3 s
+		WarmUp     time.Duration // between readiness and the first request, default 3 s
 		MovePrice  float64       // default is that of the deployment; negative for zero
 		Limit      string        // how the use of teams is limited, default by cost
 		LogDir     string        // directory for the logs of the nodes; logs are discarded if empty
@@ -108,7 +108,7 @@
 	s.Load = cmp.Or(s.Load, defaultLoad)
 	s.Duration = cmp.Or(s.Duration, defaultDuration)
 	s.Nodes = cmp.Or(s.Nodes, defaultNodes)
-	s.Warm = cmp.Or(s.Warm, defaultWarm)
+	s.WarmUp = cmp.Or(s.WarmUp, defaultWarmUp)
 	s.Limit = cmp.Or(s.Limit, node.LimitCost)
 	s.MovePrice = cmp.Or(s.MovePrice, s.Deployment.Placement.MovePrice)
 	s.MovePrice = max(0, s.MovePrice)
@@ -119,7 +119,7 @@
 	}{
 		{"policy", s.Policy, route.Names()},
 		{"planner", s.Planner, place.Names()},
-		{"limit", s.Limit, node.Limits()},
+		{"limit", s.Limit, node.LimitNames()},
 		{"fault", s.Fault, append(Faults(), "")},
 	} {
 		if !slices.Contains(setting.values, setting.value) {
--- a/internal/testbed/session/process.go
+++ b/internal/testbed/session/process.go
@@ -232,8 +232,8 @@
 	return p.exitCode
 }
 
-// Ended reports whether the process has exited.
-func (p *Process) Ended() bool {
+// Exited reports whether the process has exited.
+func (p *Process) Exited() bool {
 	select {
 	case <-p.exited:
 		return true
@@ -250,9 +250,9 @@
 	p.awaitReady(printed)
 }
 
-// RestartUnread restarts the process with a pipe as its output, which is read only until the
+// RestartWithUnreadOutput restarts the process with a pipe as its output, which is read only until the
 // process listens.
-func (p *Process) RestartUnread() {
+func (p *Process) RestartWithUnreadOutput() {
 	p.Kill()
 	r, w, err := os.Pipe()
 	require.NoError(p.t, err)
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -28,7 +28,7 @@
 		_ = n.signal(syscall.SIGSTOP) // fails only if the process has exited
 		time.Sleep(randomDuration(rng, 200, 3000))
 		_ = n.signal(syscall.SIGCONT)
-		r.check.Disturbed(n.settings.Node, began, time.Now(), false)
+		r.check.RecordDisturbance(n.settings.Node, began, time.Now(), false)
 	}},
 	{"reload", func(r *Run, rng *rand.Rand) { _ = r.randomNode(rng).signal(syscall.SIGHUP) }},
 	{"store-down", func(r *Run, rng *rand.Rand) {
@@ -36,7 +36,7 @@
 		time.Sleep(randomDuration(rng, 300, 4000))
 		r.store.Outage(false)
 	}},
-	{"store-loses-answers", func(r *Run, rng *rand.Rand) { r.store.LoseAnswers(1 + rng.IntN(4)) }},
+	{"store-loses-answers", func(r *Run, rng *rand.Rand) { r.store.DropReplies(1 + rng.IntN(4)) }},
 	{"store-forgets", func(r *Run, _ *rand.Rand) { r.store.Compact() }},
 	{"node-cut-from-store", func(r *Run, rng *rand.Rand) {
 		n := r.randomNode(rng)
@@ -51,16 +51,16 @@
 		bad := []standin.Behaviour{standin.Shed, standin.Fail, standin.Truncate, standin.Extra, standin.WrongID,
 			standin.Unsigned, standin.Silent, standin.Crash, standin.Garbage, standin.Cut}
 		for end := time.Now().Add(randomDuration(rng, 300, 2000)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			w.Do(bad[rng.IntN(len(bad))], standin.OK)
+			w.SetScript(bad[rng.IntN(len(bad))], standin.OK)
 		}
-		w.Do(standin.OK)
+		w.SetScript(standin.OK)
 	}},
 	{"server-replaced", (*Run).replaceServer},
 	{"orders-late", func(r *Run, rng *rand.Rand) {
 		w := r.randomWorker(rng)
 		w.LoseOrders(1 + rng.IntN(2))
 		time.Sleep(randomDuration(rng, 500, 3000))
-		w.RunLate()
+		w.RunUnanswered()
 	}},
 	{"configure", func(r *Run, _ *rand.Rand) { r.writeConfig(int(r.version.Load()) + 1) }},
 }
@@ -99,10 +99,10 @@
 // degradeProxy sets the proxy of a node or server to a random fault mode for a while.
 func (r *Run) degradeProxy(name string, p *Proxy, rng *rand.Rand, maxMS int) {
 	began := time.Now()
-	defer func() { r.check.Disturbed(name, began, time.Now(), true) }()
-	p.Set(Mode(1 + rng.IntN(int(modes)-1)))
+	defer func() { r.check.RecordDisturbance(name, began, time.Now(), true) }()
+	p.SetMode(Mode(1 + rng.IntN(int(modes)-1)))
 	time.Sleep(randomDuration(rng, 200, maxMS))
-	p.Set(Pass)
+	p.SetMode(Pass)
 }
 
 // restart ends a node with a signal and starts it again. Restarts of one node don't overlap.
@@ -111,7 +111,7 @@
 	n.restartMu.Lock()
 	defer n.restartMu.Unlock()
 	began := time.Now()
-	defer func() { r.check.Disturbed(n.settings.Node, began, time.Now(), false) }()
+	defer func() { r.check.RecordDisturbance(n.settings.Node, began, time.Now(), false) }()
 	_ = n.signal(s)
 	kill := time.AfterFunc(time.Duration(graceS*float64(time.Second)), func() {
 		_ = n.signal(syscall.SIGCONT)
@@ -121,7 +121,7 @@
 	kill.Stop()
 	time.Sleep(randomDuration(rng, 10, 800))
 	if err := n.start(); err != nil {
-		r.check.Break("recover", "cannot start %s: %v", n.settings.Node, err)
+		r.check.RecordViolation("recover", "cannot start %s: %v", n.settings.Node, err)
 	}
 }
 
@@ -133,7 +133,7 @@
 		return
 	}
 	if err := r.addWorker(old.service, fmt.Sprintf("i-%x", rng.Uint32())); err != nil {
-		r.check.Break("recover", "cannot start a new server: %v", err)
+		r.check.RecordViolation("recover", "cannot start a new server: %v", err)
 		return
 	}
 	time.Sleep(randomDuration(rng, 100, 500))
--- a/internal/testbed/soak/limits.go
+++ b/internal/testbed/soak/limits.go
@@ -40,16 +40,16 @@
 		w := r.randomWorker(rng)
 		switch rng.IntN(3) {
 		case 0:
-			w.NameRate(1 + 3*rng.Float64())
+			w.SetRateLimit(1 + 3*rng.Float64())
 			clock.Sleep(ctx, randomDuration(rng, 4000, 8000))
-			w.NameRate(0)
+			w.SetRateLimit(0)
 		case 1:
-			w.AskRest(randomDuration(rng, 1000, 3000))
+			w.SetBackoff(randomDuration(rng, 1000, 3000))
 			for range 1 + rng.IntN(10) {
-				w.Do(standin.Shed, standin.OK)
+				w.SetScript(standin.Shed, standin.OK)
 				clock.Sleep(ctx, 100*time.Millisecond)
 			}
-			w.AskRest(0)
+			w.SetBackoff(0)
 		case 2:
 			r.announceLeaving(ctx, w, fmt.Sprintf("i-d%d", n))
 		}
@@ -64,17 +64,17 @@
 		return
 	}
 	if err := r.addWorker(w.service, next); err != nil {
-		r.check.Break("recover", "cannot start a new server: %v", err)
+		r.check.RecordViolation("recover", "cannot start a new server: %v", err)
 		return
 	}
 	clock.Sleep(ctx, 300*time.Millisecond)
-	w.Depart()
+	w.Drain()
 	clock.Sleep(ctx, 5*time.Second)
 	r.store.Drop(platform.TableServers, w.ID)
 }
 
-// Disturbed records that a node or server was stopped, paused or disconnected.
-func (c *Checker) Disturbed(name string, from, to time.Time, cut bool) {
+// RecordDisturbance records that a node or server was stopped, paused or disconnected.
+func (c *Checker) RecordDisturbance(name string, from, to time.Time, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disturbed[name] = append(c.disturbed[name], disturbance{from, to, cut})
@@ -106,13 +106,13 @@
 	return out
 }
 
-// Needs checks the requests that a server got against the limits that it set for nodes.
-func (c *Checker) Needs(server string, list []standin.Visit) {
+// CheckLimits checks the requests that a server got against the limits that it set for nodes.
+func (c *Checker) CheckLimits(server string, list []standin.Visit) {
 	c.mu.Lock()
 	violations := slices.Concat(c.afterLeaving(server, list), c.duringBackoff(server, list), c.overRate(server, list))
 	c.mu.Unlock()
 	for _, v := range violations {
-		c.Break(v.Promise, "%s", v.What)
+		c.RecordViolation(v.Promise, "%s", v.Detail)
 	}
 }
 
@@ -120,7 +120,7 @@
 // leavingBound after it had forwarded the server's announcement that it leaves.
 func (c *Checker) afterLeaving(server string, list []standin.Visit) []Violation {
 	var out []Violation
-	announced := c.forwardedResponses(list, func(v standin.Visit) bool { return v.Departs })
+	announced := c.forwardedResponses(list, func(v standin.Visit) bool { return v.Draining })
 	for _, v := range list {
 		who := c.callers[v.ID]
 		for _, t := range announced {
@@ -139,16 +139,16 @@
 	var out []Violation
 	for _, a := range list {
 		node, n := c.callers[a.ID].Node, 0
-		if a.Rest == 0 || !c.undisturbed(node, a.At, a.At.Add(a.Rest), true) || !c.undisturbed(server, a.At, a.At.Add(a.Rest), true) {
+		if a.Backoff == 0 || !c.undisturbed(node, a.At, a.At.Add(a.Backoff), true) || !c.undisturbed(server, a.At, a.At.Add(a.Backoff), true) {
 			continue
 		}
 		for _, b := range list {
-			if d := b.At.Sub(a.At); c.callers[b.ID].Node == node && d > backoffSlack && d < a.Rest {
+			if d := b.At.Sub(a.At); c.callers[b.ID].Node == node && d > backoffSlack && d < a.Backoff {
 				n++
 			}
 		}
 		if n > maxBackoffRequests {
-			out = append(out, Violation{"rest", fmt.Sprintf("%s had asked %s to back off for %v, and got %d requests", server, node, a.Rest, n)})
+			out = append(out, Violation{"rest", fmt.Sprintf("%s had asked %s to back off for %v, and got %d requests", server, node, a.Backoff, n)})
 		}
 	}
 	return out
--- a/internal/testbed/standin/platform/platform.go
+++ b/internal/testbed/standin/platform/platform.go
@@ -10,7 +10,7 @@
 //	p := &platform.Platform{}
 //	address, err := p.Start()
 //	defer p.Close()
-//	p.Table.Faults.Put(fault.Faults{Down: true})
+//	p.Table.Faults.SetFaults(fault.Faults{Down: true})
 package platform
 
 import (
@@ -52,20 +52,20 @@
 	mux.Handle("/vms/v1/", p.VMs.Handler())
 	mux.Handle("GET /counters", &p.Counters)
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, r *http.Request) {
-		fault.Spare(r)
+		fault.ExemptConn(r)
 		var f fault.Faults
 		if fault.ReadJSON(w, r, &f) {
-			p.Put(f)
+			p.SetFaults(f)
 			w.WriteHeader(http.StatusNoContent)
 		}
 	})
 	return p.server.Start()
 }
 
-// Put replaces the active faults of all stand-ins.
-func (p *Platform) Put(f fault.Faults) {
+// SetFaults replaces the active faults of all stand-ins.
+func (p *Platform) SetFaults(f fault.Faults) {
 	for _, set := range p.faultSets() {
-		set.Put(f)
+		set.SetFaults(f)
 	}
 }
 
--- a/io/caller/listen.go
+++ b/io/caller/listen.go
@@ -20,8 +20,8 @@
 func (s *Server) Listen() (string, error) {
 	logging.SetLevel(logging.LevelNone)
 	s.watchedConns = map[net.Conn]*watchedConn{}
-	if s.Idle == 0 {
-		s.Idle = defaultIdle
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = defaultIdle
 	}
 	l, err := net.Listen("tcp", s.Address)
 	if err != nil {
@@ -34,7 +34,7 @@
 		MaxHTTPBodySize:    hardBodyBytes,
 		ReadLimit:          hardReadBytes,
 		MaxWriteBufferSize: writeBuffer,
-		KeepaliveTime:      s.Idle,
+		KeepaliveTime:      s.IdleTimeout,
 		ServerExecutor:     func(f func()) { go f() },
 	})
 	s.pollerReady = make(chan struct{})
@@ -104,7 +104,7 @@
 }
 
 // Run watches connections until ctx ends and then closes the open ones. To shut down without
-// cutting off requests, wait until Open returns zero before ending ctx.
+// cutting off requests, wait until OpenRequests returns zero before ending ctx.
 func (s *Server) Run(ctx context.Context) error {
 	t := time.NewTicker(watchPeriod)
 	defer t.Stop()
--- a/io/operator/handler.go
+++ b/io/operator/handler.go
@@ -38,8 +38,8 @@
 		Explain(requestID string) (status.Explanation, bool)
 	}
 
-	// Bodies returns the document in force by its hash.
-	Bodies interface {
+	// ConfigBodies returns the document in force by its hash.
+	ConfigBodies interface {
 		Body(hash string) ([]byte, bool)
 	}
 
@@ -49,7 +49,7 @@
 		Readiness Readiness
 		Reporter  Reporter
 		Explainer Explainer
-		Bodies    Bodies
+		Bodies    ConfigBodies
 		Gatherer  prometheus.Gatherer
 
 		once sync.Once
--- a/io/peer/silent_test.go
+++ b/io/peer/silent_test.go
@@ -101,10 +101,10 @@
 	r.lost, r.seen = r.seen, map[string]bool{}
 }
 
-// TestInvariantSilentConnectionIsRenewed makes a connection between two nodes permanently
+// TestInvariantSilentConnectionIsRedialled makes a connection between two nodes permanently
 // unresponsive while new connections work: a call over it gets no reply, and the next call
-// after Renew succeeds.
-func TestInvariantSilentConnectionIsRenewed(t *testing.T) {
+// after Redial succeeds.
+func TestInvariantSilentConnectionIsRedialled(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.Generate(dir, []string{"a", "b"}))
 	a := &peer.Endpoint{TLS: loadFiles(t, dir, "a"), OnCall: echo}
@@ -118,13 +118,13 @@
 		if err != nil {
 			return err
 		}
-		s.ReadBy(time.Now().Add(wait))
+		s.SetReadDeadline(time.Now().Add(wait))
 		_, err = s.Read()
 		return err
 	}
 	require.NoError(t, call(10*time.Second))
 	relayed.loseConnections()
 	require.Error(t, call(500*time.Millisecond))
-	a.Renew(address)
+	a.Redial(address)
 	require.NoError(t, call(10*time.Second))
 }
