--- a/internal/hub/client.go
+++ b/internal/hub/client.go
@@ -22,11 +22,10 @@
 	kindRateUpdate  peer.Kind = 10
 )
 
-// AckTimeout bounds the wait for the first reply to a SlotRequest, which says that the
-// request is granted, refused or queued. The reply normally takes about 3 ms. By
-// its reports alone a node detects a leader that is frozen or unreachable only
-// after 1.3 s, by which time half of the requests of that interval have missed a
-// target of 0.6 s.
+// AckTimeout bounds the wait for the first reply to a SlotRequest, which reports whether the
+// request is granted, refused or queued. It normally takes about 3 ms. By its reports alone
+// a node detects a leader that is frozen or unreachable only after 1.3 s, by which time half
+// of the requests of that interval have missed a target of 0.6 s.
 const AckTimeout = 250 * time.Millisecond
 
 type (
@@ -37,9 +36,9 @@
 		Exclude []string // servers that the waiting requests exclude
 	}
 
-	// SlotRequest asks the leader for a slot of an engine. The reply comes when the
-	// request may start. The caller then reports the end of the prefill, and the
-	// result of the request in a Release.
+	// SlotRequest asks the leader for a slot of an engine. The reply arrives when the
+	// request may start or is refused. After a grant the caller reports the end of the
+	// prefill, and the result of the request in a Release.
 	SlotRequest struct {
 		Item
 		Request  string // request id, for the log
@@ -85,8 +84,8 @@
 	// RateUpdate carries the rate limit of a server's response, nil for none.
 	RateUpdate struct{ PerSecond *float64 }
 
-	// LoadReply is the reply to a LoadRequest: the server that holds the item, or why none
-	// can.
+	// LoadReply is the reply to a LoadRequest: the server that holds the item, or the reason
+	// why none does.
 	LoadReply struct {
 		Found  bool
 		Server string // incarnation
@@ -115,11 +114,11 @@
 func (e *AckTimeoutError) Error() string { return "hub: no reply from " + e.Address }
 
 // PickRequest returns the request for which a server is picked.
-func (p SlotRequest) PickRequest() balance.Request {
-	r := balance.Request{Service: p.Service, Model: p.Model, Adapter: p.Adapter, Tokens: p.Tokens, Segments: p.Parts, Zone: p.Zone}
-	if len(p.Exclude) > 0 {
-		r.Exclude = make(map[string]bool, len(p.Exclude))
-		for _, id := range p.Exclude {
+func (q SlotRequest) PickRequest() balance.Request {
+	r := balance.Request{Service: q.Service, Model: q.Model, Adapter: q.Adapter, Tokens: q.Tokens, Segments: q.Parts, Zone: q.Zone}
+	if len(q.Exclude) > 0 {
+		r.Exclude = make(map[string]bool, len(q.Exclude))
+		for _, id := range q.Exclude {
 			r.Exclude[id] = true
 		}
 	}
@@ -128,21 +127,21 @@
 
 // Exchange reports to the leader and returns its reply.
 func (c *Client) Exchange(ctx context.Context, address string, r Report) (ReportReply, error) {
-	var p ReportReply
-	err := c.call(ctx, address, kindReport, r, &p)
-	return p, err
+	var reply ReportReply
+	err := c.call(ctx, address, kindReport, r, &reply)
+	return reply, err
 }
 
 // RequestLoad asks the leader to load a model or adapter.
-func (c *Client) RequestLoad(ctx context.Context, address string, w LoadRequest) (LoadReply, error) {
-	var o LoadReply
-	err := c.call(ctx, address, kindLoadRequest, w, &o)
-	return o, err
+func (c *Client) RequestLoad(ctx context.Context, address string, q LoadRequest) (LoadReply, error) {
+	var reply LoadReply
+	err := c.call(ctx, address, kindLoadRequest, q, &reply)
+	return reply, err
 }
 
 // AcquireSlot asks the leader for a slot and waits until it is granted or refused.
-func (c *Client) AcquireSlot(ctx context.Context, address string, p SlotRequest) (SlotReply, SlotGrant, error) {
-	f, err := peer.Encode(kindSlotRequest, p)
+func (c *Client) AcquireSlot(ctx context.Context, address string, q SlotRequest) (SlotReply, SlotGrant, error) {
+	f, err := peer.Encode(kindSlotRequest, q)
 	if err != nil {
 		return SlotReply{}, nil, err
 	}
@@ -259,13 +258,13 @@
 		}
 		reply, err = peer.Encode(kindReportReply, h.HandleReport(r))
 	case kindLoadRequest:
-		var w LoadRequest
-		if f.Decode(&w) != nil {
+		var q LoadRequest
+		if f.Decode(&q) != nil {
 			return
 		}
 		ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 		defer cancel()
-		reply, err = peer.Encode(kindLoadReply, h.RequestLoad(ctx, w))
+		reply, err = peer.Encode(kindLoadReply, h.RequestLoad(ctx, q))
 	case kindSlotRequest:
 		serveSlotRequest(ctx, h, f, s)
 		return
@@ -284,12 +283,12 @@
 // serveSlotRequest handles one SlotRequest and keeps the granted slot until it is released or
 // the stream ends.
 func serveSlotRequest(ctx context.Context, h Leader, f peer.Frame, s *peer.Stream) {
-	var p SlotRequest
-	if f.Decode(&p) != nil {
+	var q SlotRequest
+	if f.Decode(&q) != nil {
 		return
 	}
 	queued := func() { _ = s.Write(peer.Frame{Kind: kindQueued}) } // a failed write cancels ctx
-	reply, grant, err := h.AcquireSlot(ctx, p, queued)
+	reply, grant, err := h.AcquireSlot(ctx, q, queued)
 	if err != nil {
 		s.Cancel()
 		return
--- a/internal/hub/client_test.go
+++ b/internal/hub/client_test.go
@@ -15,8 +15,8 @@
 	"guavapaddle/io/peer"
 )
 
-// slotServer grants a slot once decide is closed. If mute is set it doesn't confirm that the
-// request is queued.
+// slotServer grants a slot once decided is closed. If unresponsive is set, it doesn't confirm
+// that the request is queued.
 type slotServer struct {
 	hub.Leader
 	unresponsive bool
@@ -57,7 +57,7 @@
 }
 
 func TestSlotRequestFailsWithoutAcknowledgement(t *testing.T) {
-	unresponsive := endpoint(t, "mute", &slotServer{unresponsive: true})
+	unresponsive := endpoint(t, "unresponsive", &slotServer{unresponsive: true})
 	replies := 0
 	c := &hub.Client{Endpoint: endpoint(t, "node", nil), OnReply: func() { replies++ }}
 	start := time.Now()
@@ -71,13 +71,13 @@
 
 func TestQueuedSlotRequestWaitsPastAckTimeout(t *testing.T) {
 	h := &slotServer{decided: make(chan struct{})}
-	e := endpoint(t, "holder", h)
+	e := endpoint(t, "leader", h)
 	replies := make(chan struct{}, 8)
 	c := &hub.Client{Endpoint: endpoint(t, "node", nil), OnReply: func() { replies <- struct{}{} }}
 	time.AfterFunc(2*hub.AckTimeout, func() { close(h.decided) })
-	p, grant, err := c.AcquireSlot(context.Background(), e.Address, hub.SlotRequest{})
+	reply, grant, err := c.AcquireSlot(context.Background(), e.Address, hub.SlotRequest{})
 	require.NoError(t, err)
-	require.True(t, p.Granted)
+	require.True(t, reply.Granted)
 	grant.Done(balance.Succeeded)
 	require.Len(t, replies, 2, "one frame for queued, one for granted")
 }
@@ -105,13 +105,13 @@
 // BenchmarkPlace measures slot requests from the call to the release, with both ends of
 // the connection in one process.
 func BenchmarkPlace(b *testing.B) {
-	e := endpoint(b, "holder", grantingServer{})
+	e := endpoint(b, "leader", grantingServer{})
 	c := &hub.Client{Endpoint: endpoint(b, "node", nil)}
-	p := hub.SlotRequest{Item: hub.Item{Service: "drafter", Model: "mizi247a5b"}, Request: "9c41d07be2a35f68", Tokens: 1460, Zone: "seq-a", Priority: 2,
+	q := hub.SlotRequest{Item: hub.Item{Service: "drafter", Model: "mizi247a5b"}, Request: "9c41d07be2a35f68", Tokens: 1460, Zone: "seq-a", Priority: 2,
 		Parts:  []balance.Segment{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}, {ID: "e4402b7d", Tokens: 250}},
 		Target: 360 * time.Millisecond, Expire: 2 * time.Second}
 	for b.Loop() {
-		_, grant, err := c.AcquireSlot(context.Background(), e.Address, p)
+		_, grant, err := c.AcquireSlot(context.Background(), e.Address, q)
 		require.NoError(b, err)
 		grant.PrefillDone()
 		grant.Done(balance.Succeeded)
--- a/internal/hub/hub.go
+++ b/internal/hub/hub.go
@@ -50,8 +50,8 @@
 		Time   time.Duration // for which they occupied a slot of an engine
 	}
 
-	// ResidencyUpdate is a residency update: it says whether a server holds a model or adapter
-	// before the server's entry in the store does.
+	// ResidencyUpdate reports whether a server holds a model or adapter, before the server's
+	// entry in the store shows it.
 	ResidencyUpdate struct {
 		Server  string
 		Model   string
@@ -59,8 +59,7 @@
 		Held    bool
 	}
 
-	// CrashMark is a crash mark: a server ended while it ran the request with this
-	// fingerprint.
+	// CrashMark records that a server ended while it ran the request with this fingerprint.
 	CrashMark struct {
 		Fingerprint uint64
 		Server      string // incarnation that ended
@@ -91,7 +90,7 @@
 		Echo     ClockEcho
 		Quotas   quota.UsageReport
 		Limits   []Limit                 // rate limits that servers set or removed in responses to this node
-		Departed []departure.Incarnation // servers that announced that they leave but whose entries don't say so yet
+		Departed []departure.Incarnation // servers that announced that they leave but whose entries don't show it yet
 	}
 
 	// Limit is the rate limit that a server set or removed.
@@ -111,8 +110,8 @@
 		After time.Duration // from the arrival of the reply until the configuration was last confirmed as the newest
 	}
 
-	// Ack acknowledges the residency updates and crash marks of a hub up to a
-	// number.
+	// Ack acknowledges the residency updates and crash marks of a hub up to a number. A
+	// reply contains the one to send back in the next report.
 	Ack struct {
 		Hub    uint64 // that numbered them
 		Number uint64
@@ -293,10 +292,10 @@
 }
 
 // AddResidencyUpdate adds a residency update, which is sent to all nodes until it expires.
-func (h *Hub) AddResidencyUpdate(now time.Time, n ResidencyUpdate) {
+func (h *Hub) AddResidencyUpdate(now time.Time, u ResidencyUpdate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.updates = append(h.updates, numbered[ResidencyUpdate]{n, now, h.nextNumber()})
+	h.updates = append(h.updates, numbered[ResidencyUpdate]{u, now, h.nextNumber()})
 }
 
 // Demand returns the demand reported since the last call.
@@ -338,8 +337,8 @@
 }
 
 // addCounts adds one node's counts to the sum, multiplied by times; h.mu is held. The sum is
-// maintained incrementally: computing it for each report costs the product of nodes and
-// servers.
+// maintained incrementally: computing it anew for each report takes time proportional to
+// the product of nodes and servers.
 func (h *Hub) addCounts(counts map[string]balance.Count, times int) {
 	for id, c := range counts {
 		if c = addScaled(h.total[id], c, times); c == (balance.Count{}) {
--- a/internal/hub/hub_test.go
+++ b/internal/hub/hub_test.go
@@ -19,16 +19,16 @@
 		Demand: []hub.Demand{{Item: hub.Item{Model: "m"}, Tokens: 500}}, Marks: []hub.CrashMark{{Fingerprint: 7, Server: "i-9"}}})
 	h.Merge(now, hub.Report{Node: "b", Counts: map[string]balance.Count{"i-1": {Pending: 1, Tokens: 100}}})
 	h.AddResidencyUpdate(now, hub.ResidencyUpdate{Server: "i-1", Model: "m", Held: true})
-	p := h.Merge(now, hub.Report{Node: "c", Counts: map[string]balance.Count{"i-1": {Pending: 50}}})
-	require.True(t, p.Leading)
-	require.Equal(t, 3, p.Nodes)
-	require.Equal(t, balance.Count{Pending: 2, Running: 2, Tokens: 400}, p.Counts["i-1"], "counts of the other nodes only")
-	require.Equal(t, []hub.CrashMark{{Fingerprint: 7, Server: "i-9"}}, p.Marks)
-	require.Len(t, p.Notes, 1)
+	reply := h.Merge(now, hub.Report{Node: "c", Counts: map[string]balance.Count{"i-1": {Pending: 50}}})
+	require.True(t, reply.Leading)
+	require.Equal(t, 3, reply.Nodes)
+	require.Equal(t, balance.Count{Pending: 2, Running: 2, Tokens: 400}, reply.Counts["i-1"], "counts of the other nodes only")
+	require.Equal(t, []hub.CrashMark{{Fingerprint: 7, Server: "i-9"}}, reply.Marks)
+	require.Len(t, reply.Notes, 1)
 	require.Len(t, h.Demand(), 1)
 	require.Empty(t, h.Demand(), "each demand is returned once")
 
-	again := h.Merge(now, hub.Report{Node: "c", Heard: p.Heard})
+	again := h.Merge(now, hub.Report{Node: "c", Heard: reply.Heard})
 	require.Empty(t, again.Marks, "sent once")
 	require.Empty(t, again.Notes)
 	h.AddResidencyUpdate(now, hub.ResidencyUpdate{Server: "i-2", Model: "m", Held: true})
@@ -39,19 +39,19 @@
 	require.Len(t, other.Merge(now, hub.Report{Node: "c", Heard: again.Heard}).Notes, 1, "another hub numbers its own updates")
 
 	later := now.Add(5 * time.Second)
-	p = h.Merge(later, hub.Report{Node: "c"})
-	require.Equal(t, 1, p.Nodes, "expired reports are dropped")
-	require.Empty(t, p.Notes, "residency updates expire with the reports")
-	require.Len(t, p.Marks, 1, "crash marks are kept longer")
+	reply = h.Merge(later, hub.Report{Node: "c"})
+	require.Equal(t, 1, reply.Nodes, "expired reports are dropped")
+	require.Empty(t, reply.Notes, "residency updates expire with the reports")
+	require.Len(t, reply.Marks, 1, "crash marks are kept longer")
 }
 
 func TestOneNodeWithStoreContactIsDeputy(t *testing.T) {
-	h := &hub.Hub{Self: "holder"}
+	h := &hub.Hub{Self: "leader"}
 	now := time.Unix(1000, 0)
-	contact := map[string]time.Duration{"holder": 0, "a": time.Hour, "b": time.Hour, "c": time.Hour}
+	contact := map[string]time.Duration{"leader": 0, "a": time.Hour, "b": time.Hour, "c": time.Hour}
 	deputies := func(at time.Time) []string {
 		var out []string
-		for _, n := range []string{"holder", "a", "b", "c"} {
+		for _, n := range []string{"leader", "a", "b", "c"} {
 			if h.Merge(at, hub.Report{Node: n, Contact: contact[n]}).Deputy {
 				out = append(out, n)
 			}
@@ -61,7 +61,7 @@
 	deputies(now)
 	first := deputies(now)
 	require.Len(t, first, 1)
-	require.NotEqual(t, "holder", first[0])
+	require.NotEqual(t, "leader", first[0])
 	contact[first[0]] = 700 * time.Millisecond
 	for i := range 10 {
 		require.Equal(t, first, deputies(now.Add(time.Duration(i)*time.Second)))
@@ -149,10 +149,10 @@
 	for range 100 {
 		now = now.Add(200 * time.Millisecond)
 		h.Merge(now, hub.Report{Node: "a", Limits: limit(now)})
-		p := h.Merge(now.Add(100*time.Millisecond), hub.Report{Node: "b"})
-		require.Len(t, p.Limits, 1, "%v after the limit was set", now.Sub(setAt))
-		require.Equal(t, now.Add(100*time.Millisecond).Sub(setAt), p.Limits[0].Age)
+		reply := h.Merge(now.Add(100*time.Millisecond), hub.Report{Node: "b"})
+		require.Len(t, reply.Limits, 1, "%v after the limit was set", now.Sub(setAt))
+		require.Equal(t, now.Add(100*time.Millisecond).Sub(setAt), reply.Limits[0].Age)
 	}
-	p := h.Merge(now.Add(2*hub.LimitTTL), hub.Report{Node: "b"})
-	require.Empty(t, p.Limits, "a limit that no node reports expires")
+	reply := h.Merge(now.Add(2*hub.LimitTTL), hub.Report{Node: "b"})
+	require.Empty(t, reply.Limits, "a limit that no node reports expires")
 }
