--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -100,7 +100,7 @@
 	g.picker = balance.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	g.picker.SetRateFraction(rateFraction)
 	g.picker.Update(g.servers)
-	g.learnLimits(limits)
+	g.mergeLimits(limits)
 	g.scheduler = grant.New(g.picker, g.Settings)
 	g.waiters = map[uint64]waiter{}
 	g.loading = map[hub.Item]bool{}
@@ -153,13 +153,13 @@
 }
 
 // SetResidency applies a residency update, which overrides the server's entry.
-func (g *Granter) SetResidency(n hub.ResidencyUpdate) {
+func (g *Granter) SetResidency(u hub.ResidencyUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.picker == nil {
 		return
 	}
-	g.picker.SetResidency(time.Now(), n.Server, n.Model, n.Adapter, n.Held)
+	g.picker.SetResidency(time.Now(), u.Server, u.Model, u.Adapter, u.Held)
 	g.scheduler.Invalidate()
 	g.grantSlots()
 }
@@ -171,14 +171,14 @@
 	if g.picker == nil {
 		return
 	}
-	if g.learnLimits(list) {
+	if g.mergeLimits(list) {
 		g.scheduler.Invalidate()
 	}
 	g.grantSlots()
 }
 
-// learnLimits merges rate limits and reports whether any of them changed; g.mu is held.
-func (g *Granter) learnLimits(list []hub.Limit) bool {
+// mergeLimits merges rate limits and reports whether any of them changed; g.mu is held.
+func (g *Granter) mergeLimits(list []hub.Limit) bool {
 	changed := false
 	now := time.Now()
 	for _, l := range list {
@@ -205,8 +205,8 @@
 
 // AcquireSlot waits until a request is granted a slot or refused, and calls queued if
 // that isn't decided immediately.
-func (g *Granter) AcquireSlot(ctx context.Context, p hub.SlotRequest, queued func()) (grant.Decision, hub.SlotGrant, error) {
-	w := waiter{slot: p, arrivedAt: time.Now(), decision: make(chan grant.Decision, 1)}
+func (g *Granter) AcquireSlot(ctx context.Context, q hub.SlotRequest, queued func()) (grant.Decision, hub.SlotGrant, error) {
+	w := waiter{slot: q, arrivedAt: time.Now(), decision: make(chan grant.Decision, 1)}
 	g.mu.Lock()
 	if g.scheduler == nil {
 		g.mu.Unlock()
@@ -215,10 +215,10 @@
 	g.lastID++
 	id := g.lastID
 	now := time.Now()
-	for _, s := range p.Lacks {
-		g.picker.SetResidency(now, s, p.Model, p.Adapter, false)
+	for _, s := range q.Lacks {
+		g.picker.SetResidency(now, s, q.Model, q.Adapter, false)
 	}
-	if ok, after := g.ledger.Charge(now, p.Charge.Team, p.Charge.Cost); !ok {
+	if ok, after := g.ledger.Charge(now, q.Charge.Team, q.Charge.Cost); !ok {
 		g.mu.Unlock()
 		d := grant.Decision{Reason: OverQuota, RetryAfter: after}
 		w.log(g.Log, d)
@@ -226,8 +226,8 @@
 	}
 	w.ahead = g.scheduler.Waiting()
 	g.waiters[id] = w
-	g.scheduler.Enqueue(grant.Request{ID: id, Pick: p.PickRequest(), Priority: p.Priority, OverShare: g.ledger.OverShare(now, p.Charge.Team), ArrivedAt: now.Add(-p.Waited),
-		TargetStart: now.Add(p.Target), Deadline: now.Add(p.Expire)})
+	g.scheduler.Enqueue(grant.Request{ID: id, Pick: q.PickRequest(), Priority: q.Priority, OverShare: g.ledger.OverShare(now, q.Charge.Team), ArrivedAt: now.Add(-q.Waited),
+		TargetStart: now.Add(q.Target), Deadline: now.Add(q.Expire)})
 	g.grantSlots()
 	g.loadMissing()
 	reset := g.reset
@@ -238,20 +238,20 @@
 	select {
 	case d := <-w.decision:
 		if !d.Granted {
-			g.refund(p.Charge)
+			g.refund(q.Charge)
 		}
 		w.log(g.Log, d)
 		return d, &slot{g, id}, nil
 	case <-reset:
 		return grant.Decision{}, nil, context.Canceled
 	case <-ctx.Done():
-		g.refund(p.Charge)
+		g.refund(q.Charge)
 		g.release(id, balance.Abandoned)
 		return grant.Decision{}, nil, ctx.Err()
 	}
 }
 
-// log records how a wait ended and the values that led to the decision.
+// log logs the decision on a request and the values that led to it.
 func (w waiter) log(log *zap.Logger, d grant.Decision) {
 	log.Info("place", zap.String("request-id", w.slot.Request), zap.Bool("granted", d.Granted), zap.String("why", string(d.Reason)),
 		zap.String("server", d.Selection.Server.ID), zap.String("model", w.slot.Model), zap.String("adapter", w.slot.Adapter),
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -19,9 +19,9 @@
 	"guavapaddle/internal/testbed/await"
 )
 
-func startGranter(t *testing.T, adapter func(context.Context, hub.LoadRequest) hub.LoadReply) *granter.Granter {
+func startGranter(t *testing.T, loadAdapter func(context.Context, hub.LoadRequest) hub.LoadReply) *granter.Granter {
 	t.Helper()
-	g := &granter.Granter{Log: zap.NewNop(), LoadAdapter: adapter}
+	g := &granter.Granter{Log: zap.NewNop(), LoadAdapter: loadAdapter}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -98,9 +98,9 @@
 		{ID: "i-1", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m", Adapters: []string{"a1"}}}},
 		{ID: "i-2", Service: "llm", Slots: 64, Resident: []fleet.ResidentModel{{Model: "m"}}},
 	})
-	p := slotRequest("m", "a1", 100)
-	p.Exclude = []string{"i-1"}
-	d, grant, err := g.AcquireSlot(context.Background(), p, func() {})
+	q := slotRequest("m", "a1", 100)
+	q.Exclude = []string{"i-1"}
+	d, grant, err := g.AcquireSlot(context.Background(), q, func() {})
 	require.NoError(t, err)
 	defer grant.Done(balance.Succeeded)
 	require.True(t, d.Granted)
@@ -110,11 +110,11 @@
 
 func TestRequestWithoutModelIsCountedAndRefusedAtDeadline(t *testing.T) {
 	g := startGranter(t, nil)
-	p := slotRequest("none", "", 100)
-	p.Target, p.Expire = 0, 200*time.Millisecond
+	q := slotRequest("none", "", 100)
+	q.Target, q.Expire = 0, 200*time.Millisecond
 	waiting := make(chan map[string]int, 1)
 	time.AfterFunc(100*time.Millisecond, func() { waiting <- g.Waiting() })
-	d, grant, err := g.AcquireSlot(context.Background(), p, func() {})
+	d, grant, err := g.AcquireSlot(context.Background(), q, func() {})
 	require.NoError(t, err)
 	defer grant.Done(balance.Abandoned)
 	require.False(t, d.Granted)
--- a/internal/granter/quotas.go
+++ b/internal/granter/quotas.go
@@ -35,7 +35,7 @@
 	return g.ledger.Report(time.Now(), r.Node, r.At.Key, r.Quotas)
 }
 
-// Balances returns the usage of all teams with a quota.
+// Balances returns the balance of each team with a quota.
 func (g *Granter) Balances() []quota.Balance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,9 +51,9 @@
 
 // Collect implements prometheus.Collector.
 func (g *Granter) Collect(c chan<- prometheus.Metric) {
-	for _, a := range g.Balances() {
-		for d, v := range map[*prometheus.Desc]float64{quotaLeft: a.Left, quotaUsed: a.Used, quotaRate: a.Quota.Rate} {
-			c <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, a.Team)
+	for _, b := range g.Balances() {
+		for d, v := range map[*prometheus.Desc]float64{quotaLeft: b.Left, quotaUsed: b.Used, quotaRate: b.Quota.Rate} {
+			c <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, b.Team)
 		}
 	}
 }
