--- a/internal/follow/confirmation_test.go
+++ b/internal/follow/confirmation_test.go
@@ -70,7 +70,7 @@
 
 func (v confirmView) Read(ctx context.Context, table, _, _ string) ([]platform.Row, int64, error) {
 	if !v.delay(ctx) {
-		return nil, 0, errNoAnswer
+		return nil, 0, errNoReply
 	}
 	v.mu.Lock()
 	version, rows := v.version, []platform.Row(nil)
@@ -79,14 +79,14 @@
 	}
 	v.mu.Unlock()
 	if !v.delay(ctx) {
-		return nil, 0, errNoAnswer
+		return nil, 0, errNoReply
 	}
 	return rows, version, nil
 }
 
 func (v confirmView) Feed(ctx context.Context, table string, after int64, wait time.Duration) ([]platform.Row, int64, error) {
 	if !v.delay(ctx) {
-		return nil, 0, errNoAnswer
+		return nil, 0, errNoReply
 	}
 	until := time.Now().Add(wait)
 	for {
@@ -97,7 +97,7 @@
 		left := time.Until(until)
 		if table == platform.TableOperator && version > after || left <= 0 {
 			if !v.delay(ctx) {
-				return nil, 0, errNoAnswer
+				return nil, 0, errNoReply
 			}
 			if table == platform.TableOperator && version > after {
 				return []platform.Row{row}, version, nil
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -26,10 +26,10 @@
 	deputyWait = 600 * time.Millisecond
 	// quickWait replaces feedWait in the first call after a pause or a failed call:
 	// changes made meanwhile are returned immediately, and a call without a response
-	// is detected after 0.42 s instead of 1.4 s. With feedWait, a node that received no
-	// updates for 0.7 s would have had no news for 2.1 s by then.
+	// is detected after 0.42 s instead of 1.4 s. With feedWait, the copy of a node that
+	// received no updates for 0.7 s would be 2.1 s old by then.
 	quickWait = 20 * time.Millisecond
-	// gapLeader, gapDeputy and gapAlone are the minimum time from a response of a feed
+	// gapLeader, gapDeputy and gapStandalone are the minimum time from a response of a feed
 	// to the next call, at the leader, its deputy and standalone nodes. Without them
 	// each change of a server costs a call: 65 nodes that lost their leader while 17
 	// servers came back made 860 calls per second.
@@ -53,13 +53,13 @@
 	readTimeout   = 1500 * time.Millisecond
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// minLeaderRetryDelay and ledMost bound the retry delay of a node whose leader replies with an
-	// outdated copy: the leader and its deputy retry more often, and pass changes on
-	// when the store is back.
+	// minLeaderRetryDelay and maxLeaderRetryDelay bound the retry delay of a node whose
+	// leader replies with an outdated copy: the leader and its deputy retry more often, and
+	// pass changes on when the store is back.
 	minLeaderRetryDelay = time.Second
 	maxLeaderRetryDelay = 4 * time.Second
 	// defaultHeartbeat is how often servers write their entries if Heartbeat isn't set;
-	// the users' platforms state 1.2 s.
+	// the users' platforms use 1.2 s.
 	defaultHeartbeat = 1200 * time.Millisecond
 	// waitsPerConfigAge is how many waits of the operator table's feed fit into MaxConfigAge. A
 	// confirmation is already as old as the wait when it arrives, and has to last until
@@ -126,9 +126,9 @@
 )
 
 const (
-	// Standalone is a standalone node, which passes nothing on.
+	// Standalone passes nothing on.
 	Standalone Role = iota
-	// Leader is the leader, which passes changes on to all nodes.
+	// Leader passes changes on to all nodes.
 	Leader
 	// Deputy passes changes on to the leader.
 	Deputy
@@ -194,7 +194,7 @@
 	t := &f.operator
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if own := t.own(); own > 0 && own >= version {
+	if own := t.ownVersion(); own > 0 && own >= version {
 		f.confirmation.advance(at)
 	}
 }
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -27,11 +27,11 @@
 	servers map[string]fleet.Server
 }
 
-func startNode(t testing.TB, s *standin.Store, fed func() bool) *node {
+func startNode(t testing.TB, s *standin.Store, hasFeed func() bool) *node {
 	t.Helper()
 	n := &node{}
 	n.Follower = &follow.Follower{
-		Store: &platform.Store{Client: &jsonhttp.Client{Address: s.Address()}}, Log: zap.NewNop(), HasFeed: fed,
+		Store: &platform.Store{Client: &jsonhttp.Client{Address: s.Address()}}, Log: zap.NewNop(), HasFeed: hasFeed,
 		OnConfig: func(c *fleet.Config) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -145,7 +145,7 @@
 	eventually(t, "contact", func() bool { return n.has("i-3") })
 	require.True(t, n.has("i-1") && n.has("i-2"), "they may come back")
 	s.Put(platform.TableServers, "i-2", entry("ready"))
-	eventually(t, "a missing entry is dropped after Grace", func() bool { return !n.has("i-1") })
+	eventually(t, "a missing entry is dropped after MissingGrace", func() bool { return !n.has("i-1") })
 	require.WithinDuration(t, outageEnd.Add(follow.MissingGrace), time.Now(), 1500*time.Millisecond)
 	require.True(t, n.has("i-2"))
 }
@@ -160,7 +160,7 @@
 	s.Put(platform.TableServers, "i-2", entry("ready"))
 	s.Put(platform.TableServers, "i-1", entry("draining"))
 	s.Put(platform.TableOperator, platform.KeyConfig, []byte(`{"version":6}`))
-	eventually(t, "holder", func() bool { return leader.leaving("i-1") && leader.version() == 6 })
+	eventually(t, "leader", func() bool { return leader.leaving("i-1") && leader.version() == 6 })
 	require.EqualValues(t, 5, n.version())
 	n.ApplyUpdate(time.Now(), leader.ChangesSince(time.Now(), n.Versions()))
 	require.True(t, n.has("i-2") && n.leaving("i-1"))
--- a/internal/follow/share.go
+++ b/internal/follow/share.go
@@ -41,7 +41,7 @@
 func (f *Follower) Versions() Versions {
 	f.operator.mu.Lock()
 	defer f.operator.mu.Unlock()
-	return Versions{Operator: f.operator.own(), Servers: f.server.Version()}
+	return Versions{Operator: f.operator.ownVersion(), Servers: f.server.Version()}
 }
 
 // Version returns the version up to which this node has all changes.
@@ -59,11 +59,11 @@
 func (t *table) newest() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.announced, t.own())
+	return max(t.announced, t.ownVersion())
 }
 
-// own returns the version of the newest row in this copy; t.mu is held.
-func (t *table) own() int64 {
+// ownVersion returns the version of the newest row in this copy; t.mu is held.
+func (t *table) ownVersion() int64 {
 	v := int64(0)
 	for _, r := range t.rows {
 		v = max(v, r.Version)
@@ -124,7 +124,7 @@
 	defer t.mu.Unlock()
 	t.announced = max(t.announced, u.Operator)
 	t.recordFeed(now, u) // even without the row, its version is known
-	if t.own() >= u.Operator {
+	if t.ownVersion() >= u.Operator {
 		return
 	}
 	select {
--- a/internal/follow/sim_test.go
+++ b/internal/follow/sim_test.go
@@ -27,14 +27,14 @@
 	simPeriod       = 200 * time.Millisecond // between reports to the leader
 	simFeedTimeout  = 700 * time.Millisecond // after which a node follows the store itself
 	simHangInterval = 4 * time.Second        // minimum time between calls without a response
-	// simDrain is how long a server may get requests after the store says that it leaves
-	// or is gone.
+	// simDrain is how long a server may get requests after its entry in the store shows
+	// that it leaves, or is removed.
 	simDrain = 2 * time.Second
 	// simJoin is how long a new server may stay unknown.
 	simJoin = 2 * time.Second
 )
 
-var errNoAnswer = errors.New("no answer")
+var errNoReply = errors.New("no reply")
 
 var simSeeds = flag.Int("sim-seeds", 20, "number of seeds to run in simulated time")
 
@@ -163,23 +163,23 @@
 		f := n.fleet
 		f.mu.Lock()
 		target := f.nodes[f.leader]
-		there, back := f.delay(), f.delay()
+		outward, back := f.delay(), f.delay()
 		f.mu.Unlock()
 		if target == n {
 			continue
 		}
 		known := n.Versions()
 		update := n.ChangesSince(time.Now(), follow.Versions{Operator: known.Operator, Servers: leaderVersion})
-		clock.Sleep(ctx, max(pause, there)) // a suspended node reports what it had read before
+		clock.Sleep(ctx, max(pause, outward)) // a suspended node reports what it had read before
 		if leaderVersion != 0 {
 			target.ApplyUpdate(time.Now(), update)
 		}
-		answer := target.ChangesSince(time.Now(), known)
+		reply := target.ChangesSince(time.Now(), known)
 		clock.Sleep(ctx, back)
-		n.ApplyUpdate(time.Now(), answer)
+		n.ApplyUpdate(time.Now(), reply)
 		n.mu.Lock()
-		n.leaderVersion = answer.Version
-		if answer.Age <= 1300*time.Millisecond {
+		n.leaderVersion = reply.Version
+		if reply.Age <= 1300*time.Millisecond {
 			n.fedAt = time.Now()
 		}
 		n.mu.Unlock()
@@ -195,8 +195,8 @@
 }
 
 // call waits for the time of a store call. Some calls get no response, at least simHangInterval
-// apart: with two in a row, a node would have no news for longer than a server may stay in
-// use.
+// apart: with two in a row, a node's copy would get older than the time for which a leaving
+// server may stay in use.
 func (n *simNode) call(ctx context.Context, table string) error {
 	f := n.fleet
 	f.mu.Lock()
@@ -212,7 +212,7 @@
 	}
 	f.event(fmt.Sprint("no response for ", n.index, " of ", table))
 	<-ctx.Done()
-	return errNoAnswer
+	return errNoReply
 }
 
 // Read implements follow.Store.
@@ -272,9 +272,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	_, there := f.readySince[key]
+	_, known := f.readySince[key]
 	switch {
-	case state == "ready" && !there:
+	case state == "ready" && !known:
 		f.readySince[key] = now
 	case state == "draining" && f.departed[key].IsZero():
 		f.departed[key] = now
--- a/internal/follow/stale.go
+++ b/internal/follow/stale.go
@@ -7,7 +7,7 @@
 
 const (
 	// defaultNotice is the notice period of a leaving server if none is set: how long after
-	// the store says that it leaves requests may still reach it.
+	// its entry in the store shows that it leaves it may still get requests.
 	defaultNotice = 2 * time.Second
 	// readTime is the part of the notice period reserved for a node to read the store itself
 	// once another node's copy is stale.
@@ -18,9 +18,9 @@
 )
 
 // StaleAfter returns the age from which another node's copy of the tables is stale. The
-// notice is how long after the store says that a server leaves requests may still reach
-// it, zero for 2 s. The silence is how long the other node may send nothing; it is
-// subtracted because a copy just below the limit is used for that time.
+// notice is how long a server may still get requests after its entry in the store shows
+// that it leaves, zero for 2 s. The silence is how long the other node may send nothing; it
+// is subtracted because a copy just below the limit is used for that time.
 func StaleAfter(notice, silence time.Duration) time.Duration {
 	return max(minStale, cmp.Or(notice, defaultNotice)-silence-readTime)
 }
--- a/internal/follow/stale_test.go
+++ b/internal/follow/stale_test.go
@@ -9,7 +9,7 @@
 	"guavapaddle/internal/follow"
 )
 
-// TestStaleAfterLeavesTimeWithinNotice adds up the longest time without news, which
+// TestStaleAfterLeavesTimeWithinNotice adds up the longest time without an update, which
 // must be below the notice period: the age of a copy that is just not stale, the silence of the
 // node that passes it on, and the node's own read of the store.
 func TestStaleAfterLeavesTimeWithinNotice(t *testing.T) {
--- a/internal/follow/table.go
+++ b/internal/follow/table.go
@@ -46,7 +46,7 @@
 }
 
 // ages returns the age of the copy and the time since the store responded to this node.
-func (t *table) ages(now time.Time) (lastComplete, lastContact time.Duration) {
+func (t *table) ages(now time.Time) (copyAge, storeAge time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.lastComplete), now.Sub(t.lastContact)
@@ -133,7 +133,7 @@
 func (t *table) behind() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.announced > t.own()
+	return t.announced > t.ownVersion()
 }
 
 // empty reports whether the copy has no rows.
@@ -219,7 +219,7 @@
 
 // confirm records that the copy is complete up to the start of a store call; t.mu is held.
 func (t *table) confirm(began time.Duration) {
-	if t == &t.f.operator && t.own() > 0 {
+	if t == &t.f.operator && t.ownVersion() > 0 {
 		t.f.confirmation.advance(began)
 	}
 }
