--- a/internal/front/deputy.go
+++ b/internal/front/deputy.go
@@ -12,15 +12,15 @@
 	"guavapaddle/platform"
 )
 
-// deputyBackoff is how long the deputy gets no queries after it didn't reply, or refused
+// deputyBackoff is how long the deputy isn't queried after it didn't reply, or refused
 // because it reaches the leader.
 const deputyBackoff = 500 * time.Millisecond
 
 // isActing reports whether this node is the deputy of a leader that it can't reach, and
 // therefore grants slots. Unlike orders, slots may be granted by two nodes at the same time,
-// which costs only time. Without a deputy, nodes select engines by themselves until the
-// lease has expired, so that their selections collide at engines with few slots, and all
-// nodes follow the store.
+// which costs only time. Without an acting deputy, nodes would select engines by themselves
+// until the lease has expired, their selections would collide at engines with few slots, and
+// all nodes would follow the store.
 func (n *Node) isActing() bool {
 	acting := n.isDeputy.Load() && !n.placer.IsLeading() && n.leaderSuspected()
 	if n.acting.Swap(acting) == acting {
@@ -35,10 +35,10 @@
 
 // replyAsDeputy replies to another node's report while the leader can't be reached.
 func (n *Node) replyAsDeputy(r hub.Report, lease platform.Row) hub.ReportReply {
-	p := n.hub.Merge(time.Now(), r)
-	p.Leading, p.Acting, p.Deputy, p.Lease = false, true, false, lease
-	p.Nodes = max(p.Nodes, int(n.nodeCount.Load())) // some nodes haven't reported yet
-	return p
+	reply := n.hub.Merge(time.Now(), r)
+	reply.Leading, reply.Acting, reply.Deputy, reply.Lease = false, true, false, lease
+	reply.Nodes = max(reply.Nodes, int(n.nodeCount.Load())) // some nodes haven't reported yet
+	return reply
 }
 
 // actingEpoch returns the negated epoch of the lease, which identifies the leader's deputy
@@ -69,15 +69,15 @@
 	defer cancel()
 	r.Counts = n.gateway.Counts(actingEpoch(l))
 	sentAt := clock.SinceBoot()
-	p, err := (&hub.Client{Endpoint: n.endpoint}).Exchange(ctx, at.Address, r)
-	if err != nil || !p.Acting {
+	reply, err := (&hub.Client{Endpoint: n.endpoint}).Exchange(ctx, at.Address, r)
+	if err != nil || !reply.Acting {
 		n.recordRefusal(at, err)
 		return false
 	}
 	n.deputyReplyAt.Store(int64(clock.SinceBoot()))
-	n.applyReply(r, p)
-	n.onFeed(p.Update, sentAt)
-	n.placer.ObserveLease(p.Lease)
+	n.applyReply(r, reply)
+	n.onFeed(reply.Update, sentAt)
+	n.placer.ObserveLease(reply.Lease)
 	return true
 }
 
@@ -94,15 +94,15 @@
 }
 
 // acquireFromDeputy requests a slot at an engine from the deputy.
-func (n *Node) acquireFromDeputy(ctx context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
+func (n *Node) acquireFromDeputy(ctx context.Context, q hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 	if n.isActing() {
-		return n.AcquireSlot(ctx, p, func() {})
+		return n.AcquireSlot(ctx, q, func() {})
 	}
 	at, ok := n.availableDeputy()
 	if !ok {
 		return hub.SlotReply{}, nil, context.Canceled
 	}
-	reply, grant, err := (&hub.Client{Endpoint: n.endpoint}).AcquireSlot(ctx, at.Address, p)
+	reply, grant, err := (&hub.Client{Endpoint: n.endpoint}).AcquireSlot(ctx, at.Address, q)
 	if err != nil && ctx.Err() == nil {
 		n.recordRefusal(at, err)
 	}
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -61,13 +61,13 @@
 		}
 		r := n.newReport(l)
 		sentAt := clock.SinceBoot()
-		p, err := n.sendReport(ctx, l, r)
-		if err == nil && p.Leading {
+		reply, err := n.sendReport(ctx, l, r)
+		if err == nil && reply.Leading {
 			b.Reset()
-			n.onLeaderReply(l, r, p, sentAt)
+			n.onLeaderReply(l, r, reply, sentAt)
 			continue
 		}
-		if err == nil && n.placer.ObserveLease(p.Lease) {
+		if err == nil && n.placer.ObserveLease(reply.Lease) {
 			n.gateway.RestoreMarks(r.Marks)
 			n.log.Info("leader-left", zap.String("leader", l.Node), zap.Int64("epoch", l.Epoch))
 			continue
@@ -124,35 +124,35 @@
 
 // onLeaderReply processes the leader's reply to a report. sentAt is the boot time at which
 // the report was sent.
-func (n *Node) onLeaderReply(l leader.Lease, r hub.Report, p hub.ReportReply, sentAt time.Duration) {
-	n.nodeCount.Store(int64(p.Nodes))
+func (n *Node) onLeaderReply(l leader.Lease, r hub.Report, reply hub.ReportReply, sentAt time.Duration) {
+	n.nodeCount.Store(int64(reply.Nodes))
 	if was := n.leaderReplyAt.Swap(int64(clock.SinceBoot())); was == 0 || time.Duration(int64(clock.SinceBoot())-was) > n.leaderTimeout() {
-		n.log.Info("leader-reached", zap.String("leader", l.Node), zap.Int64("epoch", l.Epoch), zap.Int("nodes", p.Nodes))
+		n.log.Info("leader-reached", zap.String("leader", l.Node), zap.Int64("epoch", l.Epoch), zap.Int("nodes", reply.Nodes))
 	}
-	n.deputy.Store(&p.DeputyAt)
-	if was := n.isDeputy.Swap(p.Deputy); was != p.Deputy {
-		n.log.Info("deputy", zap.Bool("following", p.Deputy), zap.String("leader", l.Node))
+	n.deputy.Store(&reply.DeputyAt)
+	if was := n.isDeputy.Swap(reply.Deputy); was != reply.Deputy {
+		n.log.Info("deputy", zap.Bool("following", reply.Deputy), zap.String("leader", l.Node))
 	}
-	if p.Deputy && len(p.Keys) > 0 {
-		n.peerKeys.add(p.Keys) // the nodes that may query the deputy
-		n.roster = p.Roster
+	if reply.Deputy && len(reply.Keys) > 0 {
+		n.peerKeys.add(reply.Keys) // the nodes that may query the deputy
+		n.roster = reply.Roster
 	}
-	n.applyReply(r, p)
+	n.applyReply(r, reply)
 	if l.Key != n.key.Fingerprint() {
-		n.onFeed(p.Update, sentAt)
-		n.placer.ObserveLease(p.Lease)
+		n.onFeed(reply.Update, sentAt)
+		n.placer.ObserveLease(reply.Lease)
 	}
 }
 
 // applyReply processes the part of a reply to a report that the leader and its deputy have
 // in common.
-func (n *Node) applyReply(r hub.Report, p hub.ReportReply) {
-	n.ack = p.Heard
-	n.clockEcho, n.clockEchoAt = hub.ClockEcho{Hub: p.Heard.Hub, Stamp: p.Stamp}, clock.SinceBoot()
-	n.gateway.ApplyReply(p)
-	n.addLeaving(p.Departed...)
-	n.gateway.UpdateQuotas(r.Quotas.Number, p.Quotas, p.Nodes)
-	n.leaderServersVersion.Store(p.Update.Version)
+func (n *Node) applyReply(r hub.Report, reply hub.ReportReply) {
+	n.ack = reply.Heard
+	n.clockEcho, n.clockEchoAt = hub.ClockEcho{Hub: reply.Heard.Hub, Stamp: reply.Stamp}, clock.SinceBoot()
+	n.gateway.ApplyReply(reply)
+	n.addLeaving(reply.Departed...)
+	n.gateway.UpdateQuotas(r.Quotas.Number, reply.Quotas, reply.Nodes)
+	n.leaderServersVersion.Store(reply.Update.Version)
 }
 
 // recentUpdate returns what this node has recently read of the store's tables: the store may
@@ -173,8 +173,8 @@
 }
 
 // onFeed applies the leader's copy of the store's tables. A copy that is outdated doesn't
-// keep this node from following the store. sentAt is the boot time at which the report was
-// sent that the copy answers.
+// keep this node from following the store. sentAt is the boot time at which this node
+// sent the report that the copy answers.
 func (n *Node) onFeed(u follow.Update, sentAt time.Duration) {
 	n.follower.ApplyUpdate(time.Now(), u)
 	n.follower.ConfirmConfig(u.Operator, sentAt-u.ConfigAge)
@@ -243,54 +243,54 @@
 	return at != 0 && clock.SinceBoot()-time.Duration(at) < n.leaderTimeout()
 }
 
-// leaderSuspected reports whether the leader hasn't replied recently, or left a slot request
-// without any sign of life.
+// leaderSuspected reports whether the leader hasn't replied to a report recently, or has sent
+// nothing since a slot request that it left without a reply.
 func (n *Node) leaderSuspected() bool { return !n.leaderReached() || n.leaderSuspect.Load() }
 
-// requestLoad requests a model or adapter from the leader.
-func (n *Node) requestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
+// requestLoad asks the leader to load a model or adapter.
+func (n *Node) requestLoad(ctx context.Context, q hub.LoadRequest) hub.LoadReply {
 	l, ok := n.placer.Leader()
 	if !ok || l.Node == "" {
 		return hub.LoadReply{Why: "no-leader"}
 	}
 	if l.Key == n.key.Fingerprint() {
-		return n.RequestLoad(ctx, w)
+		return n.RequestLoad(ctx, q)
 	}
-	o, err := n.leaderClient().RequestLoad(ctx, l.Address, w)
+	reply, err := n.leaderClient().RequestLoad(ctx, l.Address, q)
 	if err != nil {
-		n.log.Info("want-failed", zap.String("leader", l.Node), zap.String("model", w.Model), zap.String("adapter", w.Adapter), zap.Error(err))
+		n.log.Info("want-failed", zap.String("leader", l.Node), zap.String("model", q.Model), zap.String("adapter", q.Adapter), zap.Error(err))
 	}
-	return o
+	return reply
 }
 
-// HandleReport processes another node's report and returns the reply.
+// HandleReport processes the report of a node, which may be this one, and returns the reply.
 func (n *Node) HandleReport(r hub.Report) hub.ReportReply {
-	p := n.placer.Report(r)
+	reply := n.placer.Report(r)
 	if n.placer.LeaseVersion() != r.Lease {
-		p.Lease = n.placer.LeaseRow() // also if the lease was released
+		reply.Lease = n.placer.LeaseRow() // even if the lease was released
 	}
-	if !p.Leading && n.isActing() {
-		p = n.replyAsDeputy(r, p.Lease)
+	if !reply.Leading && n.isActing() {
+		reply = n.replyAsDeputy(r, reply.Lease)
 	}
-	if !p.Leading && !p.Acting {
-		return p
+	if !reply.Leading && !reply.Acting {
+		return reply
 	}
-	p.Quotas = n.granter.ReportUsage(r)
+	reply.Quotas = n.granter.ReportUsage(r)
 	n.granter.MergeLimits(r.Limits)
 	n.addLeaving(r.Departed...)
-	p.Departed = n.undeclaredLeaving()
+	reply.Departed = n.undeclaredLeaving()
 	if r.Update != nil {
 		n.follower.ApplyUpdate(time.Now(), *r.Update)
-		n.confirmConfig(r, p.Heard.Hub)
+		n.confirmConfig(r, reply.Heard.Hub)
 	}
-	p.Update = n.follower.ChangesSince(time.Now(), r.Known)
-	p.Stamp = clock.SinceBoot()
-	return p
+	reply.Update = n.follower.ChangesSince(time.Now(), r.Known)
+	reply.Stamp = clock.SinceBoot()
+	return reply
 }
 
-// RequestLoad serves another node's load request.
-func (n *Node) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
-	return n.placer.RequestLoad(ctx, w)
+// RequestLoad serves the load request of a node, which may be this one.
+func (n *Node) RequestLoad(ctx context.Context, q hub.LoadRequest) hub.LoadReply {
+	return n.placer.RequestLoad(ctx, q)
 }
 
 // get returns the client for an address.
@@ -300,10 +300,10 @@
 	if c.clients == nil {
 		c.clients = map[string]*jsonhttp.Client{}
 	}
-	k := c.clients[address]
-	if k == nil {
-		k = &jsonhttp.Client{Address: address, ConnectTimeout: 300 * time.Millisecond}
-		c.clients[address] = k
+	client := c.clients[address]
+	if client == nil {
+		client = &jsonhttp.Client{Address: address, ConnectTimeout: 300 * time.Millisecond}
+		c.clients[address] = client
 	}
-	return k
+	return client
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -178,8 +178,8 @@
 }
 
 // TestPlannedStopHandsOverLeaseAtOnce guards against nodes that stay with a stopped leader
-// until its lease expires. After a planned stop of the leader the other nodes kept to it for
-// three seconds, and sent requests to engines at which the next leader granted slots too.
+// until its lease expires, here for three seconds, and start requests at engines at which the
+// next leader grants slots too.
 func TestPlannedStopHandsOverLeaseAtOnce(t *testing.T) {
 	f, _, _ := newClusterWithLease(t, 3, 3*time.Second)
 	leaderName := func() string {
@@ -199,7 +199,7 @@
 		}
 	}
 	stopped := time.Now()
-	require.Eventually(t, func() bool { h := leaderName(); return h != "" && h != before }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { now := leaderName(); return now != "" && now != before }, 5*time.Second, time.Millisecond)
 	require.Less(t, time.Since(stopped), time.Second)
 }
 
--- a/internal/front/join.go
+++ b/internal/front/join.go
@@ -49,18 +49,18 @@
 		if seed == n.settings.Control {
 			continue
 		}
-		var a joinReply
+		var reply joinReply
 		sentAt := clock.SinceBoot()
 		call, cancel := context.WithTimeout(ctx, joinTimeout)
-		got, err := n.seeds.get(seed).JSON(call, http.MethodPost, joinPath, r, &a)
+		got, err := n.seeds.get(seed).JSON(call, http.MethodPost, joinPath, r, &reply)
 		cancel()
 		if err != nil || got.Status != http.StatusOK {
 			n.log.Info("join-failed", zap.String("seed", seed), zap.Int("status", got.Status), zap.Error(err))
 			continue
 		}
-		n.log.Info("joined", zap.String("seed", seed), zap.Int64("version", a.Copy.Version), zap.Duration("age", a.Copy.Age))
-		n.follower.ApplyCopy(time.Now(), a.Copy, sentAt)
-		n.placer.ObserveLease(a.Lease)
+		n.log.Info("joined", zap.String("seed", seed), zap.Int64("version", reply.Copy.Version), zap.Duration("age", reply.Copy.Age))
+		n.follower.ApplyCopy(time.Now(), reply.Copy, sentAt)
+		n.placer.ObserveLease(reply.Lease)
 		return
 	}
 }
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -21,16 +21,16 @@
 }
 
 // newPair starts nodes and a server of a service, which is a model engine if a model is
-// given, and returns the server with the name of its service. If beside is set, the service
+// given, and returns the server with the name of its service. If withSecond is set, the service
 // has a second server, to which the first is preferred.
-func newPair(t *testing.T, nodes int, model string, beside bool) (f *testCluster, preferred *standin.Worker, service string) {
+func newPair(t *testing.T, nodes int, model string, withSecond bool) (f *testCluster, preferred *standin.Worker, service string) {
 	t.Helper()
 	f = &testCluster{t: t, store: standin.NewStore(t)}
 	service = "plain"
 	if model != "" {
 		service = "llm"
 	}
-	if beside {
+	if withSecond {
 		other := (&standin.Worker{ID: "i-other", Stream: 5}).Hold("m0").Start(t)
 		f.store.Put(platform.TableServers, "i-other", other.Entry(service, "away", false))
 	}
--- a/internal/front/members.go
+++ b/internal/front/members.go
@@ -31,7 +31,8 @@
 		Key        string `json:"key"` // fingerprint of the node's certificate
 	}
 
-	// trustedKeys holds the keys of the nodes as last read from the store.
+	// trustedKeys holds the keys of the nodes as last read from the store, and those that
+	// the leader has passed on since.
 	trustedKeys struct {
 		mu      sync.Mutex
 		keys    map[string]bool
@@ -117,7 +118,7 @@
 	return false
 }
 
-// add adds keys that another node has passed on.
+// add adds keys that the leader has passed on.
 func (t *trustedKeys) add(keys []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/front/node.go
+++ b/internal/front/node.go
@@ -52,8 +52,8 @@
 	reservedDescriptors = 200
 	// clientShare is the share of the other descriptors that clients may use.
 	clientShare = 0.6
-	// memoryShare is the share of the memory bound that is set as the garbage collector's
-	// limit; the rest is for stacks, kernel buffers and code.
+	// memoryShare is the share of the process's memory limit that is set as the garbage
+	// collector's limit; the rest is for stacks, kernel buffers and code.
 	memoryShare   = 0.75
 	sweepInterval = time.Second
 	// peerIdleTimeout is how long another node may be silent before its connection is closed
@@ -90,7 +90,7 @@
 	deputyReplyAt        atomic.Int64                    // boot time of the deputy's last reply to a report
 	deputyRefusedAt      atomic.Int64                    // boot time of the deputy's last refusal
 	acting               atomic.Bool                     // this node is the deputy and grants slots
-	ack                  hub.Ack                         // what the leader has acknowledged; used by runExchange only
+	ack                  hub.Ack                         // acknowledges the updates in the leader's last reply; used by runExchange only
 	roster               uint64                          // version of the leader's roster that a deputy has; likewise
 	clockEcho            hub.ClockEcho                   // clock echo of the last reply to a report; likewise
 	clockEchoAt          time.Duration                   // boot time of the arrival of that reply; likewise
@@ -131,7 +131,7 @@
 	n.follower = &follow.Follower{Store: n.store, Log: log, OnConfig: n.onConfig, OnServers: n.onServers, HasFeed: n.hasFeed, HasLeader: n.hasLeader,
 		Role: n.role, FetchCopy: n.join, Heartbeat: time.Duration(s.HeartbeatMS) * time.Millisecond, MaxConfigAge: n.gateway.KeyAge}
 	n.gateway.ConfigAge = n.follower.ConfigAge
-	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, OnBadRequest: n.refused, AcceptFailed: n.acceptFailed,
+	n.clients = &http1.Server{Handler: n.gateway, Limits: n.limits, OnBadRequest: n.badRequest, AcceptFailed: n.acceptFailed,
 		MaxConns: int(float64(s.Descriptors-reservedDescriptors) * clientShare)}
 	n.probes = &http1.Server{Handler: readiness{n}, AcceptFailed: n.acceptFailed}
 	return n, nil
@@ -141,14 +141,14 @@
 // retries.
 func (n *Node) retryBudget() retry.ServiceBudget {
 	s := n.settings
-	f := retry.ServiceBudget{Ratio: s.RepeatRatio, Extra: s.RepeatExtra, Window: time.Duration(s.RepeatSpanS * float64(time.Second))}
-	if f.Ratio == 0 {
-		f.Ratio = -1
+	budget := retry.ServiceBudget{Ratio: s.RepeatRatio, Extra: s.RepeatExtra, Window: time.Duration(s.RepeatSpanS * float64(time.Second))}
+	if budget.Ratio == 0 {
+		budget.Ratio = -1
 	}
-	if f.Extra == 0 {
-		f.Extra = -1
+	if budget.Extra == 0 {
+		budget.Extra = -1
 	}
-	return f
+	return budget
 }
 
 func (n *Node) newStore() *platform.Store {
@@ -315,8 +315,8 @@
 	n.log.Error("accept-failed", zap.Error(err))
 }
 
-// refused logs a request that couldn't be read.
-func (n *Node) refused(err error) {
+// badRequest logs a request that couldn't be read.
+func (n *Node) badRequest(err error) {
 	n.log.Info("request-unreadable", zap.Error(err))
 }
 
--- a/internal/front/servers.go
+++ b/internal/front/servers.go
@@ -37,7 +37,7 @@
 }
 
 // undeclaredLeaving returns the servers that have announced that they are leaving while
-// their entries don't say so.
+// their entries don't show it.
 func (n *Node) undeclaredLeaving() []departure.Incarnation {
 	n.servers.mu.Lock()
 	defer n.servers.mu.Unlock()
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -42,8 +42,8 @@
 		RepeatSpanS float64  `json:"repeat-span-s"` // length of that window
 		CheckEpochs bool     `json:"engines-check-epochs"`
 		HeartbeatMS int      `json:"server-heartbeat-ms"` // interval at which backend servers write their entries; 0 if unknown
-		NoticeMS    int      `json:"server-notice-ms"`    // maximum time from the store's notice that a backend server is leaving to the last request to it; 0 for 2000
-		RevokeMS    int      `json:"key-revocation-ms"`   // maximum time from the store's notice that an API key was removed until no request sent later may run; 0 for no limit
+		NoticeMS    int      `json:"server-notice-ms"`    // how long a backend server may get requests after its entry shows that it is leaving; 0 for 2000
+		RevokeMS    int      `json:"key-revocation-ms"`   // how long requests with an API key may be accepted after its removal from the store; 0 for no limit
 		QuotaOver   float64  `json:"quota-over"`          // fraction by which the use of a quota may exceed it in a window
 		QuotaSlack  float64  `json:"quota-slack"`         // units by which it may exceed the quota in addition, summed over all nodes
 		QuotaSpanS  float64  `json:"quota-span-s"`        // length of the quota window; 0 for 10
--- a/internal/front/slots.go
+++ b/internal/front/slots.go
@@ -13,15 +13,16 @@
 	"guavapaddle/internal/hub"
 )
 
-// callGroup cancels the calls that wait for the leader when the leader falls silent.
+// callGroup cancels the calls that wait for the leader when the leader stops replying.
 type callGroup struct {
 	mu     sync.Mutex
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// AcquireSlot grants a slot at an engine to another node's request.
-func (n *Node) AcquireSlot(ctx context.Context, p hub.SlotRequest, queued func()) (hub.SlotReply, hub.SlotGrant, error) {
+// AcquireSlot waits until a request of a node, which may be this one, is granted a slot at an
+// engine or refused.
+func (n *Node) AcquireSlot(ctx context.Context, q hub.SlotRequest, queued func()) (hub.SlotReply, hub.SlotGrant, error) {
 	l, _ := n.placer.Leader()
 	granter := l.Epoch
 	if !n.placer.IsLeading() {
@@ -30,27 +31,28 @@
 		}
 		granter = actingEpoch(l)
 	}
-	d, grant, err := n.granter.AcquireSlot(ctx, p, queued)
+	d, grant, err := n.granter.AcquireSlot(ctx, q, queued)
 	return hub.SlotReply{Granted: d.Granted, Granter: granter, Server: d.Selection.Server.ID, Wait: d.Selection.Wait, Why: string(d.Reason), After: d.RetryAfter}, grant, err
 }
 
-// acquireSlot requests a slot at an engine from the leader.
-func (n *Node) acquireSlot(ctx context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
+// acquireSlot requests a slot at an engine from the leader, or from its deputy if the leader
+// is suspected to be unreachable.
+func (n *Node) acquireSlot(ctx context.Context, q hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error) {
 	l, ok := n.placer.Leader()
 	if !ok || l.Node == "" {
 		return hub.SlotReply{}, nil, context.Canceled
 	}
 	if l.Key == n.key.Fingerprint() {
-		return n.AcquireSlot(ctx, p, func() {})
+		return n.AcquireSlot(ctx, q, func() {})
 	}
 	if n.leaderSuspected() {
-		return n.acquireFromDeputy(ctx, p)
+		return n.acquireFromDeputy(ctx, q)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(n.leaderCalls.context(), cancel)()
 	sentAt := clock.SinceBoot()
-	reply, grant, err := n.leaderClient().AcquireSlot(ctx, l.Address, p)
+	reply, grant, err := n.leaderClient().AcquireSlot(ctx, l.Address, q)
 	n.suspectLeader(l, sentAt, err)
 	return reply, grant, err
 }
