--- a/internal/owner/claims.go
+++ b/internal/owner/claims.go
@@ -141,7 +141,7 @@
 	defer cancel()
 	_, err := c.o.Table.Transact(ctx, row.Tx{}.When(cl.key, cl.revision).Delete(cl.key))
 	if err != nil {
-		c.o.Metrics.lease("claim-left")
+		c.o.Metrics.countLeaseEvent("claim-left")
 	}
 }
 
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -5,7 +5,7 @@
 //
 // # Method
 //
-// Rendezvous hashing over the live nodes determines the wanted owner of each
+// Rendezvous hashing over the live nodes determines the assigned owner of each
 // server. Separate goroutines watch the clock, renew the node's session, and
 // acquire the servers that the node should own. One worker per owned server polls
 // the engine and sends orders. The rules that protect memory and reachability are
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -41,6 +41,6 @@
 	m.Memory.DeletePartialMatch(prometheus.Labels{"server": server})
 }
 
-func (m *Metrics) lease(event string) { m.Leases.WithLabelValues(event).Inc() }
+func (m *Metrics) countLeaseEvent(event string) { m.Leases.WithLabelValues(event).Inc() }
 
-func (m *Metrics) refused(r Reason) { m.UnsentOrders.WithLabelValues(string(r)).Inc() }
+func (m *Metrics) countUnsent(r Reason) { m.UnsentOrders.WithLabelValues(string(r)).Inc() }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -46,9 +46,9 @@
 
 // raiseFence raises the fence on a restarted engine. It needs a valid lease.
 func (w *worker) raiseFence(ctx context.Context) bool {
-	running, _ := w.o.mayOrder(w.name)
-	if !running {
-		w.o.Metrics.refused(Restarted)
+	valid, _ := w.o.mayOrder(w.name)
+	if !valid {
+		w.o.Metrics.countUnsent(Restarted)
 		return false
 	}
 	began, epoch := w.o.now(), w.ledger.Epoch()
@@ -69,20 +69,20 @@
 func (w *worker) load(ctx context.Context, item backend.Item) Reason {
 	cost, ok := w.catalog.costs[item]
 	if !ok {
-		return w.refuse(item, backend.Load, Undeclared)
+		return w.recordUnsent(item, backend.Load, Undeclared)
 	}
 	order, err := w.ledger.Reserve(w.o.now(), backend.Load, item, cost, nil)
 	if reasonOf(err) == Reason(ledger.NoMemory) {
-		w.o.Metrics.refused(Reason(ledger.NoMemory))
+		w.o.Metrics.countUnsent(Reason(ledger.NoMemory))
 		return Reason(ledger.NoMemory) // makeRoom logs the details
 	}
 	if err != nil {
-		return w.refuse(item, backend.Load, reasonOf(err))
+		return w.recordUnsent(item, backend.Load, reasonOf(err))
 	}
 	slotClaim, ok := w.slotClaim(ctx, item)
 	if !ok {
 		w.ledger.Cancel(w.o.now(), order.OrderID)
-		return w.refuse(item, backend.Load, StoreBusy)
+		return w.recordUnsent(item, backend.Load, StoreBusy)
 	}
 	w.slots[item] = slotClaim
 	return w.send(ctx, order)
@@ -110,7 +110,7 @@
 	if reason != allowed {
 		w.ledger.Cancel(w.o.now(), order.OrderID)
 		w.releaseUnsent(ctx, order)
-		return w.refuse(order.Item, order.Op, reason)
+		return w.recordUnsent(order.Item, order.Op, reason)
 	}
 	w.orders[order.Item] = order
 	w.ledger.Sending(w.o.now(), order.OrderID)
@@ -123,7 +123,7 @@
 		w.cooldownEnd[order.Item] = w.o.now() + retryDelay
 		w.handleOrderError(ctx, err)
 	}
-	delete(w.lastRefusal, order.Item)
+	delete(w.unsentReason, order.Item)
 	return allowed
 }
 
@@ -161,7 +161,7 @@
 	if w.server.ChecksOrders {
 		return allowed
 	}
-	if running, _ := w.o.mayOrder(w.name); !running {
+	if valid, _ := w.o.mayOrder(w.name); !valid {
 		return NoLease
 	}
 	if !w.writeRecords(ctx) {
@@ -175,8 +175,8 @@
 // its last epoch, provided that the engine confirms that the fence was not raised
 // above that epoch and that it has not restarted.
 func (w *worker) checkLease(ctx context.Context) Reason {
-	running, outage := w.o.mayOrder(w.name)
-	if running {
+	valid, outage := w.o.mayOrder(w.name)
+	if valid {
 		return allowed
 	}
 	epoch, held := w.o.epochOf(w.name)
@@ -244,8 +244,8 @@
 // epoch changed.
 func (w *worker) bump(ctx context.Context) bool {
 	now := w.o.now()
-	running, _ := w.o.mayOrder(w.name)
-	if !running || (w.lastBump != 0 && now-w.lastBump < minBumpInterval) {
+	valid, _ := w.o.mayOrder(w.name)
+	if !valid || (w.lastBump != 0 && now-w.lastBump < minBumpInterval) {
 		return false
 	}
 	w.lastBump = now
@@ -288,7 +288,7 @@
 		}
 	}
 	if missing > 0 {
-		w.refuse(item, backend.Load, Protected)
+		w.recordUnsent(item, backend.Load, Protected)
 	}
 	return missing <= 0
 }
@@ -331,13 +331,13 @@
 	}
 }
 
-// refuse counts an order that was not sent and starts the item's cooldown. A
-// reason is logged only when it changes.
-func (w *worker) refuse(item backend.Item, op backend.Op, r Reason) Reason {
-	w.o.Metrics.refused(r)
+// recordUnsent counts an order that was not sent and starts the item's cooldown.
+// The reason is logged only when it changes.
+func (w *worker) recordUnsent(item backend.Item, op backend.Op, r Reason) Reason {
+	w.o.Metrics.countUnsent(r)
 	w.cooldownEnd[item] = w.o.now() + retryDelay
-	if w.lastRefusal[item] != r {
-		w.lastRefusal[item] = r
+	if w.unsentReason[item] != r {
+		w.unsentReason[item] = r
 		w.log.Info("order not sent", zap.Uint64("epoch", w.ledger.Epoch()), zap.Stringer("item", item),
 			zap.String("op", string(op)), zap.String("reason", string(r)), zap.Int64("free-bytes", w.ledger.Free()))
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -26,7 +26,7 @@
 	// DefaultTickPeriod is the period of the loops that renew the session and acquire
 	// servers.
 	DefaultTickPeriod = 200 * time.Millisecond
-	// DefaultHandoverDelay is how long another node must be the wanted owner
+	// DefaultHandoverDelay is how long another node must be the assigned owner
 	// before a server is handed over.
 	DefaultHandoverDelay = time.Second
 	// DefaultResendAfter is the time after which an order that has shown no effect
@@ -83,30 +83,30 @@
 		ResendAfter   time.Duration  // DefaultResendAfter if zero
 		CallTimeout   time.Duration  // DefaultCallTimeout if zero
 
-		epoch         time.Time // origin of monotonic times
-		once          sync.Once
-		claims        *claims
-		assignment    assignment // used only by the loop that acquires servers
-		mu            sync.Mutex // guards the fields below
-		registry      *lease.Registry
-		catalog       *catalog
-		version       uint64
-		workers       map[string]*worker
-		plans         map[string][]backend.Item
-		views         map[string]view.Server
-		engines       map[string]Engine
-		unwantedSince map[string]time.Duration // when another node became the wanted owner
-		tableDown     bool                     // the last call to the table failed
-		searchedAt    time.Duration            // last search for free servers
-		held          map[string]uint64        // epochs already logged as acquired
+		epoch           time.Time // origin of monotonic times
+		once            sync.Once
+		claims          *claims
+		assignment      assignment // used only by the loop that acquires servers
+		mu              sync.Mutex // guards the fields below
+		registry        *lease.Registry
+		catalog         *catalog
+		version         uint64
+		workers         map[string]*worker
+		plans           map[string][]backend.Item
+		views           map[string]view.Server
+		engines         map[string]Engine
+		reassignedSince map[string]time.Duration // when another node became the assigned owner
+		tableDown       bool                     // the last call to the table failed
+		searchedAt      time.Duration            // last search for free servers
+		held            map[string]uint64        // epochs already logged as acquired
 	}
 
 	// assignment is the set of servers that the node should own, and the inputs
 	// from which it was computed.
 	assignment struct {
-		live           []string
-		currentCatalog *catalog
-		wanted         map[string]bool
+		live    []string
+		catalog *catalog
+		servers map[string]bool // names
 	}
 )
 
@@ -135,7 +135,7 @@
 		o.plans = map[string][]backend.Item{}
 		o.views = map[string]view.Server{}
 		o.engines = map[string]Engine{}
-		o.unwantedSince = map[string]time.Duration{}
+		o.reassignedSince = map[string]time.Duration{}
 		o.held = map[string]uint64{}
 	})
 }
--- a/internal/owner/reconcile.go
+++ b/internal/owner/reconcile.go
@@ -27,7 +27,7 @@
 	defer o.mu.Unlock()
 	if o.registry.Tick(o.now(), time.Now()) {
 		o.Log.Warn("process pause detected; leases are treated as lost until renewed", zap.String("node", o.Node))
-		o.Metrics.lease("paused")
+		o.Metrics.countLeaseEvent("paused")
 	}
 }
 
@@ -44,9 +44,9 @@
 // reconcile acquires the servers that the node should own and marks those that it
 // should hand over.
 func (o *Owner) reconcile(ctx context.Context) {
-	wanted := o.wanted()
-	o.markUnwanted(wanted)
-	o.acquireWanted(ctx, wanted)
+	assigned := o.assignedServers()
+	o.markReassigned(assigned)
+	o.acquireAssigned(ctx, assigned)
 	o.logLeases()
 }
 
@@ -62,7 +62,7 @@
 	o.mu.Unlock()
 	if lost {
 		o.Log.Warn("session ended by another node", zap.String("session", id))
-		o.Metrics.lease("session-lost")
+		o.Metrics.countLeaseEvent("session-lost")
 	}
 }
 
@@ -79,16 +79,16 @@
 	case err == nil && result.Committed:
 		o.registry.Committed(o.now(), tx, result.Revision)
 	case err == nil:
-		o.Metrics.lease("conflict")
+		o.Metrics.countLeaseEvent("conflict")
 		o.registry.Observe(o.now(), result.Conflicts...)
 	case table.KindOf(err) == table.Uncertain:
-		o.Metrics.lease("uncertain")
+		o.Metrics.countLeaseEvent("uncertain")
 		keys := o.registry.WriteKeys(tx)
 		o.mu.Unlock()
 		o.readBack(ctx, keys)
 		o.mu.Lock()
 	default:
-		o.Metrics.lease("table-unavailable")
+		o.Metrics.countLeaseEvent("table-unavailable")
 	}
 }
 
@@ -115,50 +115,50 @@
 	return live
 }
 
-// wanted returns the names of the engine servers that this node should
-// own. The result is recomputed only when the live nodes or the catalog change.
-func (o *Owner) wanted() map[string]bool {
-	live, currentCatalog := o.live(), o.currentCatalog()
-	if o.assignment.currentCatalog == currentCatalog && slices.Equal(o.assignment.live, live) {
-		return o.assignment.wanted
+// assignedServers returns the names of the engine servers that this node should own.
+// The result is recomputed only when the live nodes or the catalog change.
+func (o *Owner) assignedServers() map[string]bool {
+	live, current := o.live(), o.currentCatalog()
+	if o.assignment.catalog == current && slices.Equal(o.assignment.live, live) {
+		return o.assignment.servers
 	}
 	ring := rendezvous.New(live, xxhash.Sum64String)
 	out := map[string]bool{}
-	for name := range currentCatalog.servers {
+	for name := range current.servers {
 		if ring.Lookup(name) == o.Node {
 			out[name] = true
 		}
 	}
-	o.assignment = assignment{live: live, currentCatalog: currentCatalog, wanted: out}
+	o.assignment = assignment{live: live, catalog: current, servers: out}
 	return out
 }
 
-// markUnwanted records when another node became the wanted owner of a held server.
-func (o *Owner) markUnwanted(wanted map[string]bool) {
+// markReassigned records when another node became the assigned owner of a held server.
+func (o *Owner) markReassigned(assigned map[string]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
 	for name := range o.catalog.servers {
 		_, held := o.registry.Held(name)
-		if !held || wanted[name] {
-			delete(o.unwantedSince, name)
-		} else if _, ok := o.unwantedSince[name]; !ok {
-			o.unwantedSince[name] = now
+		if !held || assigned[name] {
+			delete(o.reassignedSince, name)
+		} else if _, ok := o.reassignedSince[name]; !ok {
+			o.reassignedSince[name] = now
 		}
 	}
 }
 
-// handOver reports whether a server should be released now.
-func (o *Owner) handOver(server string) bool {
+// handoverDue reports whether a server should be released now.
+func (o *Owner) handoverDue(server string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	since, ok := o.unwantedSince[server]
+	since, ok := o.reassignedSince[server]
 	return ok && o.now()-since >= o.HandoverDelay
 }
 
-// acquireWanted acquires the free servers that the node should own and does not
+// acquireAssigned acquires the free servers that the node should own and does not
 // hold. It reads their rows first.
-func (o *Owner) acquireWanted(ctx context.Context, wanted map[string]bool) {
+func (o *Owner) acquireAssigned(ctx context.Context, assigned map[string]bool) {
 	var missing, keys []string
 	o.mu.Lock()
 	now := o.now()
@@ -167,7 +167,7 @@
 		return
 	}
 	o.searchedAt = now
-	for name := range wanted {
+	for name := range assigned {
 		if _, held := o.registry.Held(name); !held {
 			missing = append(missing, name)
 			keys = append(keys, o.registry.KeysToWatch(name)...)
@@ -204,13 +204,13 @@
 		case held && epoch != previous:
 			o.held[name] = epoch
 			o.Log.Info("lease acquired", zap.String("server", name), zap.Uint64("epoch", epoch))
-			o.Metrics.lease("acquired")
+			o.Metrics.countLeaseEvent("acquired")
 		case !held && previous != 0:
 			delete(o.held, name)
 			r, _ := o.registry.Row(name)
 			o.Log.Warn("lease lost", zap.String("server", name), zap.Uint64("epoch", previous),
 				zap.String("holder", r.Node), zap.Uint64("holder-epoch", r.Epoch))
-			o.Metrics.lease("lost")
+			o.Metrics.countLeaseEvent("lost")
 		}
 	}
 }
@@ -225,11 +225,11 @@
 
 // mayOrder reports whether the lease of a server is valid now, and whether the
 // table is unavailable, which may be the cause if it is not.
-func (o *Owner) mayOrder(server string) (running, outage bool) {
+func (o *Owner) mayOrder(server string) (valid, outage bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_, running = o.registry.MaySend(o.now(), server)
-	return running, o.tableDown
+	_, valid = o.registry.MaySend(o.now(), server)
+	return valid, o.tableDown
 }
 
 // recordOrders writes unsettled orders to a server's row. It returns true only if
@@ -299,7 +299,7 @@
 	}
 	o.transact(ctx, tx)
 	o.Log.Info("lease released", zap.String("server", server), zap.String("reason", reason))
-	o.Metrics.lease("released")
+	o.Metrics.countLeaseEvent("released")
 }
 
 // releaseAll ends the session, which releases all servers in one transaction.
@@ -310,6 +310,6 @@
 	if ok {
 		o.transact(ctx, tx)
 		o.Log.Info("session ended", zap.String("node", o.Node), zap.String("reason", "stop"))
-		o.Metrics.lease("ended")
+		o.Metrics.countLeaseEvent("ended")
 	}
 }
--- a/internal/owner/unload.go
+++ b/internal/owner/unload.go
@@ -23,11 +23,11 @@
 		return w.reserveUnload(ctx, item, nil)
 	}
 	if w.o.LastCopy != nil && w.o.LastCopy(item, w.name) && !w.servedHere(item) {
-		return w.refuse(item, backend.Unload, Reason(ledger.LastCopy))
+		return w.recordUnsent(item, backend.Unload, Reason(ledger.LastCopy))
 	}
 	got, ok, err := w.o.claims.acquire(ctx, w.name, item, w.claimTTL(), unloadPrefix+nameOf(item))
 	if err != nil || !ok {
-		return w.refuse(item, backend.Unload, Claimed)
+		return w.recordUnsent(item, backend.Unload, Claimed)
 	}
 	isLastCopy := func(i backend.Item) bool { return !w.servedHere(i) && !w.servedElsewhere(ctx, i) }
 	w.unloads[item] = got
@@ -43,11 +43,11 @@
 // longer take effect, and until then no other node may unload the name.
 func (w *worker) readInheritedClaims(ctx context.Context) {
 	names := slices.Sorted(maps.Keys(w.catalog.declared))
-	inheritedUnloads, err := w.o.claims.inheritedUnloads(ctx, w.name, names)
+	found, err := w.o.claims.inheritedUnloads(ctx, w.name, names)
 	if err != nil {
 		return // retried in the next round
 	}
-	w.inherited, w.inheritedRead = inheritedUnloads, true
+	w.inherited, w.inheritedRead = found, true
 }
 
 // releaseInheritedClaims releases the inherited claims whose order is settled: the
@@ -66,7 +66,7 @@
 func (w *worker) reserveUnload(ctx context.Context, item backend.Item, isLastCopy func(backend.Item) bool) Reason {
 	order, err := w.ledger.Reserve(w.o.now(), backend.Unload, item, ledger.Cost{}, isLastCopy)
 	if err != nil {
-		return w.refuse(item, backend.Unload, reasonOf(err))
+		return w.recordUnsent(item, backend.Unload, reasonOf(err))
 	}
 	return w.send(ctx, order)
 }
--- a/internal/owner/worker.go
+++ b/internal/owner/worker.go
@@ -43,12 +43,12 @@
 	lastBump    time.Duration
 	adoptedAt   time.Duration // time of the first inventory; the age of its items is unknown
 
-	wakeUp      chan struct{}
-	cooldownEnd map[backend.Item]time.Duration // end of the cooldown
-	lastRefusal map[backend.Item]Reason        // last logged refusal
-	orders      map[backend.Item]backend.Order // sent and not yet settled
-	slots       map[backend.Item]claim         // slot claims of loads
-	unloads     map[backend.Item]claim         // name claims of unloads
+	wakeUp       chan struct{}
+	cooldownEnd  map[backend.Item]time.Duration // no order is sent before this time
+	unsentReason map[backend.Item]Reason        // last logged reason for an unsent order
+	orders       map[backend.Item]backend.Order // sent and not yet settled
+	slots        map[backend.Item]claim         // slot claims of loads
+	unloads      map[backend.Item]claim         // name claims of unloads
 
 	inherited     map[backend.Item]claim // unload claims left by earlier owners
 	inheritedRead bool                   // inherited has been read in this epoch
@@ -57,13 +57,13 @@
 func newWorker(o *Owner, name string) *worker {
 	return &worker{
 		o: o, name: name, log: o.Log.With(zap.String("server", name)),
-		ledger:      ledger.New(ledger.Settings{Server: name}),
-		wakeUp:      make(chan struct{}, 1),
-		cooldownEnd: map[backend.Item]time.Duration{},
-		lastRefusal: map[backend.Item]Reason{},
-		orders:      map[backend.Item]backend.Order{},
-		slots:       map[backend.Item]claim{},
-		unloads:     map[backend.Item]claim{},
+		ledger:       ledger.New(ledger.Settings{Server: name}),
+		wakeUp:       make(chan struct{}, 1),
+		cooldownEnd:  map[backend.Item]time.Duration{},
+		unsentReason: map[backend.Item]Reason{},
+		orders:       map[backend.Item]backend.Order{},
+		slots:        map[backend.Item]claim{},
+		unloads:      map[backend.Item]claim{},
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	w.catalog = w.o.currentCatalog()
 	server, declared := w.catalog.servers[w.name]
-	if !declared || w.o.handOver(w.name) {
+	if !declared || w.o.handoverDue(w.name) {
 		w.handOver(ctx, declared)
 		return false
 	}
@@ -169,7 +169,7 @@
 
 // handOver releases the server and logs the reason.
 func (w *worker) handOver(ctx context.Context, declared bool) {
-	reason := "another node is to own it"
+	reason := "another node should own it"
 	if !declared {
 		reason = "no longer declared"
 	}
@@ -179,7 +179,7 @@
 // adopt starts the ledger in a new epoch. It needs a valid lease, because an
 // engine that restarted may have forgotten that another node raised the fence.
 func (w *worker) adopt(ctx context.Context, epoch uint64) {
-	if running, _ := w.o.mayOrder(w.name); !running {
+	if valid, _ := w.o.mayOrder(w.name); !valid {
 		return
 	}
 	r := w.o.leaseRow(w.name)
@@ -192,7 +192,7 @@
 		}
 	}
 	inv, err := w.inventory(ctx, epoch)
-	if !w.answered(err) {
+	if !w.countPoll(err) {
 		w.handleStaleFence(ctx, err, epoch)
 		return
 	}
@@ -227,7 +227,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	s, err := w.engine.State(callCtx)
-	if !w.answered(err) {
+	if !w.countPoll(err) {
 		return
 	}
 	if s.Leaving && !w.leaving {
@@ -245,8 +245,8 @@
 	}
 }
 
-// answered counts consecutive failed polls. It reports whether the poll succeeded.
-func (w *worker) answered(err error) bool {
+// countPoll counts consecutive failed polls. It reports whether the poll succeeded.
+func (w *worker) countPoll(err error) bool {
 	if err != nil {
 		w.missedPolls++
 		return false
@@ -269,7 +269,7 @@
 		return
 	}
 	if current, held := w.o.epochOf(w.name); held && current == epoch {
-		if running, _ := w.o.mayOrder(w.name); running {
+		if valid, _ := w.o.mayOrder(w.name); valid {
 			w.o.acquire(ctx, w.name, highest)
 		}
 	}
