--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -17,8 +17,8 @@
 	bootTimeout        = 300 * time.Millisecond
 	marksPeriod        = 2 * time.Second
 	marksGossipNodes   = 2
-	maxMarksPerMessage = 64 // maximum marks per message
-	maxMarksCalls      = 32 // maximum concurrent calls to other nodes
+	maxMarksPerMessage = 64
+	maxMarksCalls      = 32 // maximum nodes to which new marks are sent at once
 	crashTimeout       = 2 * time.Second
 	maxMarksReceived   = 4096
 )
@@ -37,9 +37,9 @@
 	}
 )
 
-// connectionLost handles the loss of a request's connection to a server's engine. If the
-// engine has crashed, all requests that were running on it are marked before lost
-// returns.
+// connectionLost handles the loss of a request's connection to a server's engine. If
+// the engine has crashed, all requests that were running on it are marked before
+// connectionLost returns.
 func (c *crashes) connectionLost(server string, running []string) {
 	_, _, _ = c.group.Do(server, func() (any, error) {
 		v, _ := c.node.views.Get(server)
@@ -75,7 +75,8 @@
 	return state.Inventory.BootID, err
 }
 
-// broadcastMarks sends marks to all other nodes and returns when the calls have ended.
+// broadcastMarks sends marks to at most maxMarksCalls other live nodes and returns
+// when each has merged them or ctx ends.
 func (n *Node) broadcastMarks(ctx context.Context, marks []suspect.Mark) {
 	n.cluster.CallAll(ctx, maxMarksCalls, cluster.KindSuspect, marksBody{Marks: marks})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -218,7 +218,7 @@
 	return &operator.Handler{Readiness: n, Reporter: n, Explainer: n.trace, Bodies: n.follower, Gatherer: n.registry}
 }
 
-// handleMessage handles messages from other nodes other than membership.
+// handleMessage handles the messages of other nodes, except membership messages.
 func (n *Node) handleMessage(from string, f peer.Frame) {
 	if f.Kind == cluster.KindSuspect {
 		n.mergeMarks(f)
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -25,8 +25,8 @@
 	minLoadPeriod       = 3 * time.Second        // minimum time between views that differ only in load
 	loadPeriodPerServer = 50 * time.Millisecond  // minimum time between such views, per known server
 	minVMPeriod         = time.Second            // minimum time between reads of the VM list
-	vmPeriodPerVM       = 100 * time.Millisecond // time between reads per listed VM beyond vmFew
-	vmsAtMinPeriod      = 40
+	vmPeriodPerVM       = 100 * time.Millisecond // time between reads per listed VM beyond uncountedVMs
+	uncountedVMs        = 40                     // listed VMs that don't lengthen the period
 	keysPeriod          = 10 * time.Second
 	drainPoll           = 20 * time.Millisecond
 	drainReport         = 5 * time.Second // between log lines about what a shutdown waits for
@@ -226,7 +226,7 @@
 func (n *Node) vmsPeriod() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return max(minVMPeriod, time.Duration(n.listedVMs-vmsAtMinPeriod)*vmPeriodPerVM)
+	return max(minVMPeriod, time.Duration(n.listedVMs-uncountedVMs)*vmPeriodPerVM)
 }
 
 // loadsPeriod returns the time between views that differ only in load. It grows with
