--- a/internal/planner/demand.go
+++ b/internal/planner/demand.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	demandHalf        = 5 * time.Second // half-life of a demand estimate
+	demandHalfLife    = 5 * time.Second // of a demand estimate
 	minRate           = 1e-3            // requests per second below which an item's estimate is dropped
 	serviceTimeWeight = 8               // a new service time has a weight of 1/8 in the moving average
 )
@@ -77,7 +77,7 @@
 func (d *Demand) report(period time.Duration) []view.Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	decay := 1 - period.Seconds()/(period.Seconds()+demandHalf.Seconds())
+	decay := 1 - period.Seconds()/(period.Seconds()+demandHalfLife.Seconds())
 	var out []view.Demand
 	for name, a := range d.names {
 		a.rate = decay*a.rate + (1-decay)*float64(a.count)/period.Seconds()
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -28,7 +28,7 @@
 	defaultPeriod       = time.Second
 	planTimeout         = time.Second
 
-	// planRest is the minimum time between plans as a multiple of the duration of
+	// planPauseRatio is the minimum time between plans as a multiple of the duration of
 	// the last one. It limits planning to one hundredth of a processor.
 	planPauseRatio     = 100
 	planResendInterval = time.Minute     // resend interval of a plan that its owner follows
@@ -203,7 +203,7 @@
 	}
 	for owner, m := range byOwner {
 		if owner == p.Self {
-			p.follow(m)
+			p.applyPlan(m)
 			continue
 		}
 		sendCtx, cancel := context.WithTimeout(ctx, planTimeout)
@@ -216,8 +216,8 @@
 
 // shouldSend reports whether to send a server's plan to its owner, and if so, records
 // it as sent. A plan is sent if it differs from the one last sent to that owner. It
-// is resent, since messages may be lost, after planUnfollowed if the server does not
-// follow it yet and after planRepeat otherwise.
+// is resent, since messages may be lost, after planRetryInterval if the server
+// does not follow it yet and after planResendInterval otherwise.
 func (p *Planner) shouldSend(now time.Time, v view.Server, items []backend.Item) bool {
 	last, ok := p.sentPlans[v.Server]
 	interval := planResendInterval
@@ -234,8 +234,8 @@
 	return true
 }
 
-// follow passes a plan to this node's owner.
-func (p *Planner) follow(m planMessage) {
+// applyPlan passes a plan to this node's owner.
+func (p *Planner) applyPlan(m planMessage) {
 	for server, items := range m.Plan {
 		p.SetPlan(server, items)
 	}
@@ -253,7 +253,7 @@
 	case cluster.KindPlan:
 		var m planMessage
 		if f.Decode(&m) == nil {
-			p.follow(m)
+			p.applyPlan(m)
 		}
 	}
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -90,10 +90,10 @@
 // TestReceiveForeign checks that messages that can't be decoded are ignored.
 func TestReceiveForeign(t *testing.T) {
 	p := newPlanner(t, "n1", []string{"n1"}, make(chan sentMessage, 1))
-	hasFollowed := false
-	p.SetPlan = func(string, []backend.Item) { hasFollowed = true }
+	applied := false
+	p.SetPlan = func(string, []backend.Item) { applied = true }
 	for kind := range peer.Kind(10) {
 		p.Receive("n2", peer.Frame{Kind: kind, Body: []byte{0xff, 0x00}})
 	}
-	require.False(t, hasFollowed)
+	require.False(t, applied)
 }
