--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -30,10 +30,10 @@
 	fakeEngine struct {
 		tokens      int
 		breaks      []int
-		overlap     int   // number of tokens that a resumption repeats
-		generateErr error // error of Generate
-		resumeErr   error // error of Resume
-		connections int   // number of connections
+		overlap     int // number of tokens that a resumption repeats
+		generateErr error
+		resumeErr   error
+		connections int
 	}
 
 	fakeStream struct {
