--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -144,12 +144,12 @@
 		"no server":           {"", tabletest.Fault{}, 0, request(book, "r1", "k1", "b"), outcome.NoServer},
 		"unreachable":         {"unreachable", tabletest.Fault{}, 3, request(book, "r1", "k1", "b"), outcome.BackendUnreachable},
 		"unreachable, no key": {"unreachable", tabletest.Fault{}, 3, request(book, "r1", "", "b"), outcome.BackendUnreachable},
-		"affirmed":            {"refused", tabletest.Fault{}, 3, request(book, "r1", "k1", "b"), outcome.BackendRefused},
-		"affirmed, no key":    {"refused", tabletest.Fault{}, 3, request(book, "r1", "", "b"), outcome.BackendRefused},
-		"lookup affirmed":     {"refused", tabletest.Fault{}, 3, request(lookup, "r1", "", "b"), outcome.BackendRefused},
+		"confirmed":           {"refused", tabletest.Fault{}, 3, request(book, "r1", "k1", "b"), outcome.BackendRefused},
+		"confirmed, no key":   {"refused", tabletest.Fault{}, 3, request(book, "r1", "", "b"), outcome.BackendRefused},
+		"lookup confirmed":    {"refused", tabletest.Fault{}, 3, request(lookup, "r1", "", "b"), outcome.BackendRefused},
 		"table refuses":       {"", tabletest.Fault{Refuse: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
-		"table silent":        {"", tabletest.Fault{Hang: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
-		"table answer lost":   {"", tabletest.Fault{LoseResponse: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
+		"table unresponsive":  {"", tabletest.Fault{Hang: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
+		"table reply lost":    {"", tabletest.Fault{LoseResponse: true}, 3, request(book, "r1", "k1", "b"), outcome.TableDown},
 		"deadline passed":     {"", tabletest.Fault{}, 3, past, outcome.DeadlinePassed},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/call/execution.go
+++ b/internal/call/execution.go
@@ -17,7 +17,7 @@
 
 const (
 	// crashWindow is the period within which lost calls at a server that accepts
-	// no connections count as one crash. Plain services have no boot id that
+	// no connections count as one crash. Plain services have no boot ID that
 	// would tell two crashes apart.
 	crashWindow = 10 * time.Minute
 	// probeTimeout bounds the probe of a server that lost a call.
@@ -164,8 +164,8 @@
 	return context.WithTimeout(ctx, time.Until(t.r.Deadline)/attemptDivisor)
 }
 
-// reportToSuspects reports the end of an attempt at p to the crash suspects. A
-// lost call counts as a crash if its server no longer accepts connections.
+// reportToSuspects reports the end of an attempt at p to Suspects. A lost
+// call counts as a crash if its server no longer accepts connections.
 func (t *execution) reportToSuspects(ctx context.Context, p target, e *outcome.Error) {
 	switch {
 	case t.c.Suspects == nil:
--- a/internal/call/service_test.go
+++ b/internal/call/service_test.go
@@ -25,7 +25,7 @@
 		w.Header().Set(svc.RequestIDHeader, r.Header.Get(svc.RequestIDHeader))
 		w.Header().Set("Keep-Alive", "timeout=5")
 		switch r.URL.Path {
-		case "/affirmed":
+		case "/confirmed":
 			w.Header().Set(svc.NotRunHeader, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case "/overloaded":
@@ -50,14 +50,14 @@
 		reason    outcome.Reason
 	}{
 		"no connection":          {closed.URL, "/", book, outcome.RefusedNotRun, outcome.BackendUnreachable},
-		"affirmed":               {server.URL, "/affirmed", book, outcome.RefusedNotRun, outcome.BackendRefused},
+		"confirmed":              {server.URL, "/confirmed", book, outcome.RefusedNotRun, outcome.BackendRefused},
 		"breaks":                 {server.URL, "/breaks", book, outcome.Unknown, outcome.BackendLost},
 		"breaks, repeatable":     {server.URL, "/breaks", lookup, outcome.Unknown, outcome.BackendLost},
 		"cut":                    {server.URL, "/cut", book, outcome.Unknown, outcome.BackendLost},
 		"another request's id":   {server.URL, "/foreign", book, outcome.Unknown, outcome.BackendFailed},
 		"overloaded, repeatable": {server.URL, "/overloaded", lookup, outcome.FailedAfterStart, outcome.BackendFailed},
 		"overloaded, once":       {server.URL, "/overloaded", book, outcome.Done, ""},
-		"sound":                  {server.URL, "/", book, outcome.Done, ""},
+		"no fault":               {server.URL, "/", book, outcome.Done, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &call.Services{}
