--- a/internal/generate/guard.go
+++ b/internal/generate/guard.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// probeTimeout bounds the query of a server's boot id after a broken
+	// probeTimeout bounds the query of a server's boot ID after a broken
 	// connection.
 	probeTimeout = 300 * time.Millisecond
 	// busyRetryAfter is the retry delay given to a marked request that found no
@@ -59,7 +59,7 @@
 }
 
 // serverSurvived reports whether the server survived a failed attempt. After a
-// broken connection it asks the server for its boot id.
+// broken connection it queries the server for its boot ID.
 func (a *attempt) serverSurvived(ctx context.Context, err error, boot string) bool {
 	if _, isSinkError := errors.AsType[*engines.SinkError](err); isSinkError {
 		return true
--- a/internal/generate/outcome_test.go
+++ b/internal/generate/outcome_test.go
@@ -63,7 +63,7 @@
 		err        *outcome.Error
 		repeatable bool
 		want       outcome.Outcome
-		maxJobs    int // jobs
+		maxJobs    int
 	}{
 		{"owner lost, may be repeated", lost, true, outcome.FailedAfterStart, 3},
 		{"owner lost, may not be repeated", lost, false, outcome.Unknown, 1},
--- a/internal/generate/retry.go
+++ b/internal/generate/retry.go
@@ -45,8 +45,8 @@
 	return a.retry(ctx, e)
 }
 
-// retryElsewhere retries an attempt that reached no server. It returns false if
-// the failure is of another kind.
+// retryElsewhere retries an attempt that loaded no server. It returns false if the
+// failure is of another kind.
 func (a *attempt) retryElsewhere(ctx context.Context, e *outcome.Error) (bool, error) {
 	switch e.Reason {
 	case outcome.NoServer:
--- a/internal/generate/router.go
+++ b/internal/generate/router.go
@@ -22,9 +22,9 @@
 	// noCopyRetryAfter is the retry delay given to callers if the model has no
 	// copy.
 	noCopyRetryAfter = 2 * time.Second
-	// maxFreeAttempts bounds the attempts that reached no server because it is
-	// down or its owner changed. Such attempts load no server, so they don't
-	// count against the retry policy.
+	// maxFreeAttempts bounds the attempts that loaded no server because it is
+	// down, its owner changed or it no longer holds the item. They don't count
+	// against the retry policy.
 	maxFreeAttempts = 8
 	// unreachableCooldown is how long an unreachable server is skipped unless no
 	// other server holds the item. The server's owner detects the failure within
@@ -89,7 +89,7 @@
 	// explain.
 	Event struct {
 		RequestID string
-		Event     string // "pick", "retry", "resume", "wait", "end"
+		Event     string // such as "pick", "wait", "retry" or "resume"
 		Server    string
 		Owner     string
 		Epoch     uint64 // epoch of the owner's lease in the view that was used, zero if unknown
@@ -109,7 +109,7 @@
 		Forward      bool // send through the owner; false goes to engines directly
 		Retry        retry.Policy
 		Guard        Guard
-		BootID       func(ctx context.Context, server string) (string, error) // boot id of a server's engine
+		BootID       func(ctx context.Context, server string) (string, error) // boot ID of a server's engine
 		Trace        func(Event)
 		AddWaiting   func(item backend.Item, waiting int) // receives the change in the number of requests that wait for a copy
 
@@ -134,7 +134,7 @@
 		offset        int
 		exclude       map[string]bool
 		attempts      int // attempts that loaded a server
-		freeAttempts  int // attempts that reached no server
+		freeAttempts  int // attempts that loaded no server
 		server        string
 		owner         string
 		epoch         uint64          // epoch of the owner's lease
--- a/internal/generate/send.go
+++ b/internal/generate/send.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// engineRequestID returns the request id used at the engine. A resumed request
-// keeps the id of its first part; each new attempt has its own.
+// engineRequestID returns the request ID used at the engine. A resumed request
+// keeps the ID of its first part; each new attempt has its own.
 func (a *attempt) engineRequestID() string {
 	switch {
 	case a.q.Resume != nil:
