--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -125,9 +125,9 @@
 	go func() { done <- c.Endpoint.Run(ctx) }()
 	t := time.NewTicker(tickPeriod)
 	defer t.Stop()
-	var joined time.Time
+	var seedsSet time.Time // last SetSeeds; zero before Join
 	for {
-		c.sendAll(ctx, c.step(time.Now(), &joined))
+		c.sendAll(ctx, c.step(time.Now(), &seedsSet))
 		select {
 		case <-t.C:
 		case err := <-done:
@@ -139,16 +139,16 @@
 }
 
 // step advances the membership state and returns the messages to send.
-func (c *Cluster) step(now time.Time, joined *time.Time) []member.Envelope {
+func (c *Cluster) step(now time.Time, seedsSet *time.Time) []member.Envelope {
 	defer c.timeWork(metrics.Membership)()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []member.Envelope
-	if joined.IsZero() {
+	if seedsSet.IsZero() {
 		out = c.state.Join(now, c.Seeds())
 	}
-	if now.Sub(*joined) > seedPeriod {
-		*joined = now
+	if now.Sub(*seedsSet) > seedPeriod {
+		*seedsSet = now
 		c.state.SetSeeds(c.Seeds())
 	}
 	out = append(out, c.state.Tick(now)...)
