--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -47,7 +47,7 @@
 		mu      sync.Mutex
 		queue   *queue.Queue
 		waiting map[string]chan verdict
-		running map[string]*running // by engine id
+		running map[string]*running // by engine ID
 		timer   *time.Timer
 		closed  bool
 	}
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -60,7 +60,7 @@
 		s.refuse(e)
 	}
 	for d, ok := s.queue.Next(now); ok; d, ok = s.queue.Next(now) {
-		s.verdict(d.ID, verdict{priority: d.Priority})
+		s.deliver(d.ID, verdict{priority: d.Priority})
 	}
 	s.schedule(now)
 }
@@ -83,11 +83,11 @@
 
 // refuse delivers a rejection by the queue to the waiting job. The lock is held.
 func (s *server) refuse(e queue.Rejection) {
-	s.verdict(e.ID, verdict{err: outcome.Refuse(e.Reason, s.name, e.RetryAfter)})
+	s.deliver(e.ID, verdict{err: outcome.Refuse(e.Reason, s.name, e.RetryAfter)})
 }
 
-// verdict delivers v to a waiting job. The lock is held.
-func (s *server) verdict(id string, v verdict) {
+// deliver delivers v to a waiting job. The lock is held.
+func (s *server) deliver(id string, v verdict) {
 	if c, ok := s.waiting[id]; ok {
 		delete(s.waiting, id)
 		c <- v
@@ -127,7 +127,7 @@
 	defer s.mu.Unlock()
 	s.closed = true
 	for _, e := range s.queue.Drain() {
-		s.verdict(e.ID, verdict{err: outcome.Refuse(outcome.NoServer, s.name+" changed its owner", notOwnedRetry)})
+		s.deliver(e.ID, verdict{err: outcome.Refuse(outcome.NoServer, s.name+" changed its owner", notOwnedRetry)})
 	}
 	if s.timer != nil {
 		s.timer.Stop()
