--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -24,10 +24,13 @@
 	// slot.
 	DefaultMaxTrial = time.Minute
 
-	maxRounds  = 4 // attempts to plan one trial, repeated after a lost race
-	maxTries   = 8 // attempts to write a mark to the table
+	maxPlanAttempts  = 4 // attempts to plan one trial, repeated after a lost race
+	maxWriteAttempts = 8 // attempts to write a mark to the table
+	// retryAfter is the retry delay of a suspect that is on trial or has at most one
+	// open incident.
 	retryAfter = 2 * time.Second
-	refuseFor  = 10 * time.Minute
+	// confirmedRetryAfter is the retry delay of a suspect with several open incidents.
+	confirmedRetryAfter = 10 * time.Minute
 	// sweepPeriod is the minimum time between removals of old rows. Rows are
 	// removed only after a crash, since nothing else creates rows.
 	sweepPeriod = time.Hour
@@ -108,7 +111,7 @@
 		return run, nil
 	}
 	run.trial = suspect.Incident{Server: server, Trial: rand.Text()}
-	for range maxRounds {
+	for range maxPlanAttempts {
 		done, err := g.planTrial(ctx, &run, own)
 		if done || err != nil {
 			return run, err
@@ -272,7 +275,7 @@
 func (g *Guard) writeLater(r Run, marks ...suspect.Mark) {
 	g.work.Go(func() {
 		g.broadcast(context.Background(), marks)
-		for attempt := range maxTries {
+		for attempt := range maxWriteAttempts {
 			if g.writeMark(r) {
 				return
 			}
@@ -357,7 +360,7 @@
 	g.mu.Unlock()
 	after := retryAfter
 	if !m.OnTrial() && m.OpenIncidents() > 1 {
-		after = refuseFor
+		after = confirmedRetryAfter
 	}
 	return outcome.Refuse(outcome.CrashSuspect, "the request was in flight at servers that crashed", after)
 }
--- a/internal/suspects/guard_test.go
+++ b/internal/suspects/guard_test.go
@@ -47,7 +47,7 @@
 
 func TestFirstRequestsDoNotReadTheTable(t *testing.T) {
 	withGuards(t, func(t *testing.T, table *tabletest.Table, a, _ *suspects.Guard) {
-		table.SetFault(func(tabletest.Call) tabletest.Fault { t.Error("asked"); return tabletest.Fault{} })
+		table.SetFault(func(tabletest.Call) tabletest.Fault { t.Error("the table was called"); return tabletest.Fault{} })
 		r := requireBegin(t, a, "s1", false)
 		require.False(t, r.OnTrial())
 		a.Succeeded(r)
@@ -71,7 +71,7 @@
 // marked request at the same time: only one may, also when the reply to its
 // charge is lost.
 func TestInvariantCrashingRequestOneTrial(t *testing.T) {
-	for name, fault := range map[string]tabletest.Fault{"sound": {}, "answer lost": {LoseResponse: true}} {
+	for name, fault := range map[string]tabletest.Fault{"no fault": {}, "reply lost": {LoseResponse: true}} {
 		t.Run(name, func(t *testing.T) {
 			withGuards(t, func(t *testing.T, table *tabletest.Table, a, b *suspects.Guard) {
 				a.Crashed(t.Context(), requireBegin(t, a, "s1", false), "b1")
@@ -131,7 +131,7 @@
 		newGuard.Crashed(t.Context(), requireBegin(t, newGuard, "s4", false), "b4")
 		_, err = newGuard.Begin(t.Context(), fp, "s5", true)
 		requireSuspected(t, err)
-		require.Len(t, newGuard.Marks()[0].Incidents, 4, "what happened in the outage was written after it")
+		require.Len(t, newGuard.Marks()[0].Incidents, 4, "the incidents of the outage are written after it")
 		newGuard.Wait()
 	})
 }
@@ -155,7 +155,7 @@
 		unresponsive = true
 		start := time.Now()
 		a.Crashed(t.Context(), requireBegin(t, a, "s2", true), "b2")
-		require.LessOrEqual(t, time.Since(start), 2*suspects.DefaultBroadcastTimeout, "charge and crash")
+		require.LessOrEqual(t, time.Since(start), 2*suspects.DefaultBroadcastTimeout, "one broadcast for the trial and one for the crash")
 	})
 }
 
