--- a/internal/placer/adapter.go
+++ b/internal/placer/adapter.go
@@ -48,26 +48,26 @@
 	return p.Hub.Merge(time.Now(), r)
 }
 
-// RequestLoad makes sure that an engine holds an adapter and returns that engine. A model without a
-// copy is left to the plan, which takes into account the waiting request that the node
-// reports.
-func (p *Placer) RequestLoad(ctx context.Context, w hub.LoadRequest) hub.LoadReply {
+// RequestLoad makes sure that an engine holds an adapter and returns that engine. A model
+// without a copy is left to the plan, which takes into account the waiting request that the
+// node reports.
+func (p *Placer) RequestLoad(ctx context.Context, r hub.LoadRequest) hub.LoadReply {
 	if _, ok := p.orderEpoch(); !ok {
 		return hub.LoadReply{Why: "no-lease"}
 	}
-	if w.Adapter == "" {
+	if r.Adapter == "" {
 		return hub.LoadReply{Why: "planned"}
 	}
-	key := w.Model + "/" + w.Adapter
-	p.markMissing(w.Lacks, key)
-	for _, s := range p.candidates(w) {
+	key := r.Model + "/" + r.Adapter
+	p.markMissing(r.Lacks, key)
+	for _, s := range p.candidates(r) {
 		p.mu.Lock()
 		e := p.engine(s.ID)
 		p.mu.Unlock()
 		if !e.callSem.TryAcquire(1) { // another call to the engine is in progress
 			continue
 		}
-		v, err := p.loadAdapter(ctx, e, s, w.Model, w.Adapter)
+		v, err := p.loadAdapter(ctx, e, s, r.Model, r.Adapter)
 		e.callSem.Release(1)
 		held, unacked, sequence := p.adapterCounts(e)
 		p.Log.Info("order-adapter", zap.String("server", s.ID), zap.String("adapter", key), zap.Int("held", held), zap.Int("late", unacked),
@@ -75,7 +75,7 @@
 		if err != nil || v != platform.Accepted && v != platform.Done {
 			continue
 		}
-		p.publishResidency(hub.ResidencyUpdate{Server: s.ID, Model: w.Model, Adapter: w.Adapter, Held: true})
+		p.publishResidency(hub.ResidencyUpdate{Server: s.ID, Model: r.Model, Adapter: r.Adapter, Held: true})
 		if v == platform.Accepted || p.recentlyOrdered(s.ID, key) {
 			clock.Sleep(ctx, adapterLoadTime)
 		}
@@ -98,7 +98,7 @@
 
 // candidates returns the engines that could load an adapter: those that hold it first, then
 // the others by increasing cost.
-func (p *Placer) candidates(w hub.LoadRequest) []fleet.Server {
+func (p *Placer) candidates(r hub.LoadRequest) []fleet.Server {
 	counts := p.Hub.Counts()
 	now := time.Now()
 	p.mu.Lock()
@@ -110,17 +110,17 @@
 	var list []candidate
 	for _, s := range p.servers {
 		e := p.engine(s.ID)
-		if slices.Contains(w.Exclude, s.ID) {
+		if slices.Contains(r.Exclude, s.ID) {
 			continue // the waiting requests can't be sent there
 		}
-		if s.Service != w.Service || s.Leaving || !s.Holds(w.Model, "") || e.unloading == w.Model || now.Before(e.blockedUntil) {
+		if s.Service != r.Service || s.Leaving || !s.Holds(r.Model, "") || e.unloading == r.Model || now.Before(e.blockedUntil) {
 			continue
 		}
 		c := cost(counts[s.ID]) + 300*len(e.adapters)
 		if e.loading != "" || e.unloading != "" {
 			c += 20000 // the engine may refuse adapters while a model is loading or unloading
 		}
-		if _, ok := e.adapters[w.Model+"/"+w.Adapter]; ok || s.Holds(w.Model, w.Adapter) {
+		if _, ok := e.adapters[r.Model+"/"+r.Adapter]; ok || s.Holds(r.Model, r.Adapter) {
 			c -= 100000
 		}
 		list = append(list, candidate{s, c})
@@ -132,8 +132,8 @@
 		return list[i].ID < list[j].ID
 	})
 	out := make([]fleet.Server, 0, maxAdapterTries)
-	for _, h := range list[:min(maxAdapterTries, len(list))] {
-		out = append(out, h.Server)
+	for _, c := range list[:min(maxAdapterTries, len(list))] {
+		out = append(out, c.Server)
 	}
 	return out
 }
@@ -141,7 +141,7 @@
 // cost returns the work that all nodes have at an engine, in prompt tokens.
 func cost(c balance.Count) int { return c.Tokens + 100*c.Running }
 
-// loadAdapter loads an adapter, evicting others first if necessary; e.turn is held.
+// loadAdapter loads an adapter, evicting others first if necessary; e.callSem is held.
 func (p *Placer) loadAdapter(ctx context.Context, e *engine, s fleet.Server, model, adapter string) (platform.Verdict, error) {
 	if p.needsReport(e) {
 		if err := p.readReport(ctx, e, s); err != nil {
--- a/internal/placer/adapter_test.go
+++ b/internal/placer/adapter_test.go
@@ -23,17 +23,17 @@
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.SetConfig(twoModelConfig())
 	a.SetServers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.IsLeading)
-	want := func(adapter string) hub.LoadReply {
+	eventually(t, "is leader", a.IsLeading)
+	request := func(adapter string) hub.LoadReply {
 		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}})
 	}
 	for _, adapter := range []string{"a1", "a2"} {
-		o := want(adapter)
+		o := request(adapter)
 		require.True(t, o.Found, o.Why)
 		require.Equal(t, "i-1", o.Server)
 	}
 	require.ElementsMatch(t, []string{"a1", "a2"}, w.Models()["m0"])
-	eventually(t, "the third replaces the first once that is idle", func() bool { return want("a3").Found })
+	eventually(t, "the third replaces the first once that is idle", func() bool { return request("a3").Found })
 	require.Len(t, w.Models()["m0"], 2, "never more than there are slots")
 	require.Contains(t, w.Models()["m0"], "a3")
 	require.False(t, a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "none", Adapter: "a1"}}).Found)
@@ -46,7 +46,7 @@
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.SetConfig(twoModelConfig())
 	a.SetServers([]fleet.Server{entryOf(holds), entryOf(lacks)})
-	eventually(t, "holding", a.IsLeading)
+	eventually(t, "is leader", a.IsLeading)
 	w := hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a1"}}
 	require.Equal(t, "i-1", a.RequestLoad(context.Background(), w).Server)
 	w.Exclude = []string{"i-1"}
@@ -62,18 +62,18 @@
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.SetConfig(twoModelConfig())
 	a.SetServers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.IsLeading)
-	want := func() bool {
+	eventually(t, "is leader", a.IsLeading)
+	request := func() bool {
 		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: "a3"}}).Found
 	}
 	eventually(t, "both unloads were ordered", func() bool {
-		require.False(t, want())
+		require.False(t, request())
 		return len(w.Orders()) >= 2
 	})
 	require.Zero(t, w.MaxAdapters(), "no adapter was loaded into a slot in use")
 	w.SetInUse("m0", "a1", false)
 	w.SetInUse("m0", "a2", false)
-	eventually(t, "a slot is free", want)
+	eventually(t, "a slot is free", request)
 	require.LessOrEqual(t, w.MaxAdapters(), 2)
 }
 
@@ -83,16 +83,16 @@
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.SetConfig(twoModelConfig())
 	a.SetServers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.IsLeading)
-	want := func(adapter string, lacks ...string) {
+	eventually(t, "is leader", a.IsLeading)
+	request := func(adapter string, lacks ...string) {
 		a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}, Lacks: lacks})
 	}
-	want("a1")
-	want("a2")
+	request("a1")
+	request("a2")
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); {
-		want("a1", "i-1") // the engine reports it as missing
-		want("a3")
-		want("a4")
+		request("a1", "i-1") // the engine reports it as missing
+		request("a3")
+		request("a4")
 	}
 	require.Equal(t, 2, w.MaxAdapters(), "two slots, both taken")
 }
@@ -117,20 +117,20 @@
 		return []fleet.Server{remaining, full}
 	}
 	a.SetServers(entries())
-	eventually(t, "holding", a.IsLeading)
-	want := func(model, adapter string) hub.LoadReply {
+	eventually(t, "is leader", a.IsLeading)
+	request := func(model, adapter string) hub.LoadReply {
 		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: model, Adapter: adapter}})
 	}
-	eventually(t, "the record is read", func() bool { return want("m0", "a1").Found })
+	eventually(t, "the record is read", func() bool { return request("m0", "a1").Found })
 	eventually(t, "m0 is unloaded for m3", func() bool { return slices.Contains(w.Unloading(), "m0") })
 	a.SetServers(entries())
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
-		want("m1", "a1")
+		request("m1", "a1")
 		require.Zero(t, w.MaxAdapters(), "both slots are taken until the unload has completed")
 	}
 	w.FinishUnloads()
 	a.SetServers(entries())
-	eventually(t, "the slots are free after the unload", func() bool { return want("m1", "a1").Found })
+	eventually(t, "the slots are free after the unload", func() bool { return request("m1", "a1").Found })
 }
 
 // delayedAdapterLoad sends orders to simulated engines, but the load of one adapter gets no
@@ -160,7 +160,7 @@
 // TestUnackedAdapterLoadKeepsItsSlot guards against a ninth adapter for eight slots, at
 // which an engine ended and cut off its callers. The load of one adapter got no reply. A
 // second later this adapter was the least recently used one, and its unload was answered
-// "already so" because the engine didn't hold it; the leader took this for an order that the
+// Done because the engine didn't hold it; the leader took this for an order that the
 // engine had counted. Then the late load was executed, the engine's count matched the one
 // that the leader expected, and the next load was accepted too. In simulated time each case
 // of nine adapters followed these four orders.
@@ -172,13 +172,13 @@
 		n := w.start(l)
 		clock.Sleep(ctx, 2*time.Second)
 		require.True(t, n.IsLeading())
-		want := func(adapter string) bool {
+		request := func(adapter string) bool {
 			return n.RequestLoad(ctx, hub.LoadRequest{Item: hub.Item{Service: simService, Model: "m0", Adapter: adapter}}).Found
 		}
 		for i := range simAdapterSlots - 1 {
-			require.True(t, want(fmt.Sprint("a", i+1)))
+			require.True(t, request(fmt.Sprint("a", i+1)))
 		}
-		require.False(t, want(l.adapter), "no reply")
+		require.False(t, request(l.adapter), "no reply")
 		clock.Sleep(ctx, 1500*time.Millisecond)
 		r := hub.Report{Node: "entry"}
 		for i := range simAdapterSlots - 1 {
@@ -187,7 +187,7 @@
 		n.Report(r) // all other adapters are in use
 		clock.Sleep(ctx, 500*time.Millisecond)
 		for range 10 {
-			want("a9")
+			request("a9")
 			clock.Sleep(ctx, 100*time.Millisecond)
 		}
 		require.NotZero(t, l.delayed, "the load was delayed")
@@ -207,11 +207,11 @@
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.SetConfig(c)
 	a.SetServers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.IsLeading)
-	want := func(adapter string) bool {
+	eventually(t, "is leader", a.IsLeading)
+	request := func(adapter string) bool {
 		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}}).Found
 	}
-	eventually(t, "the first", func() bool { return want("a1") })
-	eventually(t, "the second replaces it", func() bool { return want("a2") })
+	eventually(t, "the first", func() bool { return request("a1") })
+	eventually(t, "the second replaces it", func() bool { return request("a2") })
 	require.Equal(t, 1, w.MaxAdapters())
 }
--- a/internal/placer/lease_test.go
+++ b/internal/placer/lease_test.go
@@ -14,7 +14,7 @@
 func TestLeasePassesToAnotherNodeOnRelease(t *testing.T) {
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	eventually(t, "first", a.IsLeading)
+	eventually(t, "the first is leader", a.IsLeading)
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	eventually(t, "the second knows the first", func() bool { l, ok := b.Leader(); return ok && l.Node == "a" })
 	require.False(t, b.IsLeading())
@@ -22,7 +22,7 @@
 	eventually(t, "released", b.IsLeading)
 	l, _ := b.Leader()
 	require.EqualValues(t, 2, l.Epoch)
-	eventually(t, "the first stops", func() bool { return !a.IsLeading() })
+	eventually(t, "the first is no longer leader", func() bool { return !a.IsLeading() })
 }
 
 // TestReleaseDuringRenewal stops a leader after the store has executed its renewal but
@@ -30,24 +30,24 @@
 func TestReleaseDuringRenewal(t *testing.T) {
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	eventually(t, "first", a.IsLeading)
+	eventually(t, "the first is leader", a.IsLeading)
 	b := startPlacer(t, s, "b", leaderUnreachable)
 	eventually(t, "the second knows the first", func() bool { l, ok := b.Leader(); return ok && l.Node == "a" })
 	before := s.Row("lease", "orders").Version
 	s.DropReplies(1)
 	eventually(t, "a renewal is done", func() bool { return s.Row("lease", "orders").Version > before })
 	a.Release(context.Background())
-	eventually(t, "the second holds it", b.IsLeading)
+	eventually(t, "the second is leader", b.IsLeading)
 }
 
 func TestLeaseSurvivesLostRenewalReply(t *testing.T) {
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
-	eventually(t, "first", a.IsLeading)
+	eventually(t, "the first is leader", a.IsLeading)
 	before := s.Row("lease", "orders").Version
 	s.DropReplies(2)
 	eventually(t, "renewed", func() bool { return s.Row("lease", "orders").Version >= before+4 })
-	eventually(t, "still holding", a.IsLeading)
+	eventually(t, "still leader", a.IsLeading)
 	l, _ := a.Leader()
 	require.EqualValues(t, 1, l.Epoch)
 	require.Equal(t, 1, a.terms)
@@ -57,11 +57,11 @@
 	s := standin.NewStore(t)
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.Fencing = false
-	eventually(t, "first", a.IsLeading)
+	eventually(t, "the first is leader", a.IsLeading)
 	s.Outage(true)
-	eventually(t, "stops", func() bool { return !a.IsLeading() })
+	eventually(t, "is no longer leader", func() bool { return !a.IsLeading() })
 	s.Outage(false)
-	eventually(t, "goes on", a.IsLeading)
+	eventually(t, "is leader again", a.IsLeading)
 }
 
 // TestLoadsOfPreviousLeaderCount has a leader start all loads that a window allows and
--- a/internal/placer/loads_test.go
+++ b/internal/placer/loads_test.go
@@ -20,7 +20,7 @@
 const loadLimit = 14 // 2.1 * 5 * 1.1 + 3, rounded down
 
 // delayedLoads sends orders to simulated engines, but no load of a model gets a reply: all
-// are executed at one time, as far as their sequence numbers are still valid then.
+// are executed at the same time, as far as their sequence numbers are still valid then.
 type delayedLoads struct {
 	simEngines
 	at time.Time
@@ -67,7 +67,7 @@
 // TestUnackedLoadsCountUntilResolved guards against more loads within five seconds than the
 // weight store has capacity for. Load orders had got no reply; the leader counted each for
 // five seconds from its order and ordered others instead, and then all the late ones started
-// at one time.
+// at the same time.
 func TestUnackedLoadsCountUntilResolved(t *testing.T) {
 	runLoads(t, func(ctx context.Context, t *testing.T, w *simWorld) {
 		w.start(&delayedLoads{simEngines{w}, time.Now().Add(9 * time.Second)})
--- a/internal/placer/order.go
+++ b/internal/placer/order.go
@@ -64,11 +64,11 @@
 	e.stale = true
 }
 
-// sendOrder sends an order under the current epoch and the engine's sequence; e.turn is
+// sendOrder sends an order under the current epoch and the engine's sequence; e.callSem is
 // held. store marks a load from the weight store. Without a known sequence nothing is sent,
 // because the order could be executed late, in addition to others.
 //
-// An engine replies "already so" to the unload of an adapter in two cases: it has unloaded
+// An engine replies Done to the unload of an adapter in two cases: it has unloaded
 // the adapter at once, which it counts as an order, or it doesn't hold the adapter, which it
 // doesn't count. If the engine has accepted no order of this leader yet, an order of the
 // previous leader may still raise the count, so the sequence is read again.
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -97,8 +97,6 @@
 	engine struct {
 		callSem *semaphore.Weighted // held during a call to the engine
 
-		// The rest is guarded by the placer's.
-
 		// The remaining fields are guarded by Placer.mu.
 		sequence       int64 // number of accepted orders, negative if unknown
 		loading        string
--- a/internal/placer/report.go
+++ b/internal/placer/report.go
@@ -122,7 +122,7 @@
 }
 
 // readReport reads the engine's state into its record, which invalidates moves planned
-// before; e.turn is held.
+// before; e.callSem is held.
 func (p *Placer) readReport(ctx context.Context, e *engine, s fleet.Server) error {
 	r, err := p.Engines.Report(ctx, s)
 	if err != nil {
--- a/internal/placer/report_test.go
+++ b/internal/placer/report_test.go
@@ -54,16 +54,16 @@
 	a := startPlacer(t, s, "a", leaderUnreachable)
 	a.SetConfig(twoModelConfig())
 	a.SetServers([]fleet.Server{entryOf(w)})
-	eventually(t, "holding", a.IsLeading)
-	want := func(adapter string) bool {
+	eventually(t, "is leader", a.IsLeading)
+	request := func(adapter string) bool {
 		return a.RequestLoad(context.Background(), hub.LoadRequest{Item: hub.Item{Service: "llm", Model: "m0", Adapter: adapter}}).Found
 	}
-	eventually(t, "the record is read", func() bool { return want("a1") })
+	eventually(t, "the record is read", func() bool { return request("a1") })
 	w.AcceptForeignOrder()
-	require.False(t, want("a2"), "the sequence number differs")
+	require.False(t, request("a2"), "the sequence number differs")
 	orders := w.Orders()
 	require.EqualValues(t, 1, orders[len(orders)-1]["expected"])
-	eventually(t, "it is read again", func() bool { return want("a2") })
+	eventually(t, "it is read again", func() bool { return request("a2") })
 	orders = w.Orders()
 	require.EqualValues(t, 2, orders[len(orders)-1]["expected"])
 }
@@ -87,7 +87,7 @@
 	b.mu.Unlock()
 	b.SetConfig(c)
 	b.SetServers([]fleet.Server{entryOf(first), entryOf(other)})
-	eventually(t, "the next node holds the lease", b.IsLeading)
+	eventually(t, "the next node is leader", b.IsLeading)
 	for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); {
 		require.Empty(t, other.Orders(), "a copy is loading already")
 		require.Len(t, first.Orders(), 1, "it is busy")
--- a/internal/placer/rig_test.go
+++ b/internal/placer/rig_test.go
@@ -35,13 +35,13 @@
 func startPlacer(t *testing.T, s *standin.Store, node string, reachable func() bool) *testPlacer {
 	t.Helper()
 	h := &testPlacer{verdicts: map[string]int{}}
-	began := time.Now()
+	started := time.Now()
 	h.Placer = &placer.Placer{
 		Store:   &platform.Store{Client: &jsonhttp.Client{Address: s.Address()}},
 		Engines: &platform.Engines{Client: func(a string) *jsonhttp.Client { return &jsonhttp.Client{Address: a} }},
 		Hub:     &hub.Hub{}, Log: zap.NewNop(), Fencing: true, Window: 5 * time.Second, LeaderReachable: reachable,
 		Elector: &leader.Elector{Self: leader.Lease{Node: node, Incarnation: node, Key: node, Cores: 1}, TTL: ttl},
-		Clock:   func() time.Duration { return time.Since(began) + time.Hour },
+		Clock:   func() time.Duration { return time.Since(started) + time.Hour },
 		OnVerdict: func(v string) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
--- a/internal/placer/sim_test.go
+++ b/internal/placer/sim_test.go
@@ -93,20 +93,20 @@
 
 // step requests adapters and occasionally injects a fault.
 func (w *simWorld) step(rng *rand.Rand) {
-	h := w.leader()
-	if h == nil {
+	l := w.leader()
+	if l == nil {
 		return
 	}
-	w.requestAdapters(rng, h)
+	w.requestAdapters(rng, l)
 	switch n := rng.IntN(1000); {
 	case n < 8:
-		w.stop(h, time.Duration(rng.Int64N(int64(simMaxGrace))))
+		w.stop(l, time.Duration(rng.Int64N(int64(simMaxGrace))))
 	case n < 12:
-		w.kill(h)
+		w.kill(l)
 	case n < 16:
-		w.logEvent("cut", h.name)
+		w.logEvent("cut", l.name)
 		w.mu.Lock()
-		h.storeLostUntil = time.Now().Add(time.Duration(rng.IntN(8000)) * time.Millisecond)
+		l.storeLostUntil = time.Now().Add(time.Duration(rng.IntN(8000)) * time.Millisecond)
 		w.mu.Unlock()
 	case n < 24:
 		e := w.pick(rng)
@@ -141,10 +141,10 @@
 }
 
 // requestAdapters requests some adapters of the requested models.
-func (w *simWorld) requestAdapters(rng *rand.Rand, h *simNode) {
+func (w *simWorld) requestAdapters(rng *rand.Rand, l *simNode) {
 	models := w.requestedModels()
 	for range rng.IntN(4) {
 		i := hub.Item{Service: simService, Model: models[rng.IntN(len(models))], Adapter: fmt.Sprint("a", 1+rng.IntN(20))}
-		w.wg.Go(func() { h.RequestLoad(w.ctx, hub.LoadRequest{Item: i}) })
+		w.wg.Go(func() { l.RequestLoad(w.ctx, hub.LoadRequest{Item: i}) })
 	}
 }
--- a/internal/placer/sim_world_test.go
+++ b/internal/placer/sim_world_test.go
@@ -265,11 +265,11 @@
 func (w *simWorld) shiftDemand() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	hot := make([]string, 0, simRequestedN)
+	models := make([]string, 0, simRequestedN)
 	for range simRequestedN {
-		hot = append(hot, fmt.Sprint("m", w.rng.IntN(simModelN)))
+		models = append(models, fmt.Sprint("m", w.rng.IntN(simModelN)))
 	}
-	w.requested = hot
+	w.requested = models
 }
 
 // ReadOne implements placer.Store.
@@ -308,10 +308,10 @@
 // storeCall takes the time of a call to the store, and fails while the node can't reach it.
 func (n *simNode) storeCall(ctx context.Context) error {
 	n.world.mu.Lock()
-	cut := time.Now().Before(n.storeLostUntil)
+	storeLost := time.Now().Before(n.storeLostUntil)
 	wait := time.Duration(2+n.world.rng.IntN(8)) * time.Millisecond
 	n.world.mu.Unlock()
-	if cut {
+	if storeLost {
 		<-ctx.Done()
 		return ctx.Err()
 	}
