--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -59,7 +59,7 @@
 	return false
 }
 
-// refresh queries for a configuration newer than c, which doesn't contain the request's
+// refresh looks for a configuration newer than c, which doesn't contain the request's
 // key, and returns the configuration that is in force afterwards.
 func (r *request) refresh(c *fleet.Config) *fleet.Config {
 	if r.g.Refresh == nil {
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -131,16 +131,16 @@
 func TestUnknownKeyRefreshesConfig(t *testing.T) {
 	w := startWorker(t, "i-1", standin.OK)
 	r := newRig(t, w)
-	asked := 0
+	refreshes := 0
 	r.gateway.Refresh = func(context.Context) {
-		asked++
+		refreshes++
 		r.gateway.SetConfig(configWithKeys(3, fleet.Quota{}, "k-new"))
 	}
 	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
 	require.Equal(t, 200, r.do("GET", "/safe/x", "a", "", "Authorization: Bearer k-new").status)
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, refreshes)
 	require.Equal(t, 401, r.do("GET", "/safe/x", "b", "", deskAuth).status)
-	require.Equal(t, 1, asked, "a revoked key is refused without a query")
+	require.Equal(t, 1, refreshes, "a revoked key is refused without a query")
 }
 
 var smallQuota = fleet.Quota{Rate: 100, Burst: 100, CountTokens: true, DefaultTokens: 200}
@@ -228,10 +228,10 @@
 	}
 	r.gateway.SetServers(list(false))
 	r.gateway.SetConfig(configWithKeys(2, fleet.Quota{}, deskKey))
-	asked := 0
+	checks := 0
 	r.gateway.KeyAge = time.Second
 	r.gateway.ConfigAge = func() time.Duration {
-		if asked++; asked > 1 { // the first check is at admission
+		if checks++; checks > 1 { // the first check is at admission
 			r.gateway.SetServers(list(true))
 		}
 		return 0
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,10 +44,10 @@
 		Metrics *Metrics
 		// RequestLoad requests a model or adapter that no server holds. It returns when
 		// that may have changed.
-		RequestLoad func(ctx context.Context, w hub.LoadRequest) hub.LoadReply
+		RequestLoad func(ctx context.Context, r hub.LoadRequest) hub.LoadReply
 		// AcquireSlot requests a slot from the leader: when and at which server a request
 		// to a model engine may begin. An error means that the leader is unreachable.
-		AcquireSlot func(ctx context.Context, p hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error)
+		AcquireSlot func(ctx context.Context, r hub.SlotRequest) (hub.SlotReply, hub.SlotGrant, error)
 		// Tolerance is how far the usage of a quota may exceed it.
 		Tolerance quota.Tolerance
 		// Refresh queries another node for a newer configuration, and returns when that is
@@ -338,19 +338,19 @@
 }
 
 // ApplyReply applies the leader's reply to a report, with the data of the other nodes.
-func (g *Gateway) ApplyReply(p hub.ReportReply) {
+func (g *Gateway) ApplyReply(reply hub.ReportReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.setNodes(p.Nodes)
-	g.picker.SetRemoteCounts(now, p.Counts)
-	for _, l := range p.Limits {
+	g.setNodes(reply.Nodes)
+	g.picker.SetRemoteCounts(now, reply.Counts)
+	for _, l := range reply.Limits {
 		g.picker.LearnLimit(l.Server, l.Local(now))
 	}
-	for _, n := range p.Notes {
+	for _, n := range reply.Notes {
 		g.picker.SetResidency(now, n.Server, n.Model, n.Adapter, n.Held)
 	}
-	for _, m := range p.Marks {
+	for _, m := range reply.Marks {
 		g.addCrashMark(m.Fingerprint, m.Server)
 	}
 }
@@ -368,29 +368,29 @@
 }
 
 // addDemand adds demand for a model and adapter.
-func (g *Gateway) addDemand(w hub.Item, tokens, waiting int) {
+func (g *Gateway) addDemand(item hub.Item, tokens, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	d := g.demandFor(w)
+	d := g.demandFor(item)
 	d.Tokens += tokens
 	d.Waiting += waiting
 }
 
 // recordStream counts a stream that succeeded.
-func (g *Gateway) recordStream(w hub.Item, tokens int, took time.Duration) {
+func (g *Gateway) recordStream(item hub.Item, tokens int, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	d := g.demandFor(w)
+	d := g.demandFor(item)
 	d.Ran.Tokens += tokens
 	d.Ran.Time += took
 }
 
 // demandFor returns the demand for an item since the last report; g.mu is held.
-func (g *Gateway) demandFor(w hub.Item) *hub.Demand {
-	d := g.demand[w]
+func (g *Gateway) demandFor(item hub.Item) *hub.Demand {
+	d := g.demand[item]
 	if d == nil {
-		d = &hub.Demand{Item: w}
-		g.demand[w] = d
+		d = &hub.Demand{Item: item}
+		g.demand[item] = d
 	}
 	return d
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -202,21 +202,21 @@
 		runs     int // of both servers together
 		notReady bool
 	}{
-		{"shed unsafe goes elsewhere", standin.Shed, "/unsafe/", 200, 1, false},
-		{"lacking unsafe goes elsewhere", standin.NotResident, "/unsafe/", 200, 1, false},
+		{"shed unsafe is retried", standin.Shed, "/unsafe/", 200, 1, false},
+		{"not-resident unsafe is retried", standin.NotResident, "/unsafe/", 200, 1, false},
 		{"truncated unsafe is unknown", standin.Truncate, "/unsafe/", 502, 1, false},
 		{"crashed unsafe is unknown", standin.Crash, "/unsafe/", 502, 1, false},
-		{"garbage to unsafe is unknown", standin.Garbage, "/unsafe/", 502, 1, false},
-		{"answer of another to unsafe is unknown", standin.WrongID, "/unsafe/", 502, 1, false},
-		{"unsigned answer to unsafe is unknown", standin.Unsigned, "/unsafe/", 502, 1, false},
-		{"failed unsafe is passed on", standin.Fail, "/unsafe/", 500, 1, false},
-		{"unframed unsafe is whole", standin.Unframed, "/unsafe/", 200, 1, false},
-		{"truncated safe runs again", standin.Truncate, "/safe/", 200, 2, false},
-		{"crashed safe runs again", standin.Crash, "/safe/", 200, 2, false},
-		{"garbage to safe runs again", standin.Garbage, "/safe/", 200, 2, false},
-		{"answer of another to safe runs again", standin.WrongID, "/safe/", 200, 2, false},
-		{"unsigned answer to safe runs again", standin.Unsigned, "/safe/", 200, 2, false},
-		{"failed safe runs again", standin.Fail, "/safe/", 200, 2, false},
+		{"garbage on unsafe is unknown", standin.Garbage, "/unsafe/", 502, 1, false},
+		{"response to another request on unsafe is unknown", standin.WrongID, "/unsafe/", 502, 1, false},
+		{"unsigned response on unsafe is unknown", standin.Unsigned, "/unsafe/", 502, 1, false},
+		{"failed unsafe is forwarded", standin.Fail, "/unsafe/", 500, 1, false},
+		{"unframed unsafe is forwarded", standin.Unframed, "/unsafe/", 200, 1, false},
+		{"truncated safe is retried", standin.Truncate, "/safe/", 200, 2, false},
+		{"crashed safe is retried", standin.Crash, "/safe/", 200, 2, false},
+		{"garbage on safe is retried", standin.Garbage, "/safe/", 200, 2, false},
+		{"response to another request on safe is retried", standin.WrongID, "/safe/", 200, 2, false},
+		{"unsigned response on safe is retried", standin.Unsigned, "/safe/", 200, 2, false},
+		{"failed safe is retried", standin.Fail, "/safe/", 200, 2, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			a, b := startWorker(t, "i-1", x.does), startWorker(t, "i-2")
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -38,7 +38,7 @@
 	// Limited means that all servers that could run the request have reached the rate limit
 	// that they announced.
 	Limited Reason = "limited"
-	// Backoff means that the servers that could run the request asked for a backoff by this node.
+	// Backoff means that the servers that could run the request asked this node to back off.
 	Backoff Reason = "resting"
 	// Leaving means that the server announced that it is leaving after it was picked.
 	Leaving Reason = "leaving"
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -41,7 +41,7 @@
 	respMeta      platform.Response
 	firstByte     time.Duration // time until the response header
 	extraResponse bool          // a response to another request came first
-	stopClose     func() bool   // stops closing the connection when the client leaves; false if it is already closed
+	stopClose     func() bool   // cancels the close at a disconnect of the client, false if that came too late
 }
 
 // send sends the request to a server and forwards the response if it is final.
@@ -141,7 +141,7 @@
 }
 
 // recordServerState records whether the server announced with its response that it is
-// leaving or asked for a backoff.
+// leaving or asked this node to back off.
 func (t *try) recordServerState() {
 	s := t.selection.Server
 	if t.respMeta.Leaving && t.g.OnLeaving != nil && t.g.OnLeaving(departure.IncarnationOf(s)) {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -33,7 +33,7 @@
 	// adapter again.
 	recheckInterval = 300 * time.Millisecond
 	// maxLimitedRetryAfter bounds the Retry-After of requests that were refused since all
-	// servers have reached their announced limits or asked for a backoff by this node:
+	// servers have reached their announced limits or asked this node to back off:
 	// the retry may reach another node that may send one.
 	maxLimitedRetryAfter = time.Second
 	// defaultRetryAfter is the Retry-After of refusals without a better estimate.
@@ -181,13 +181,13 @@
 func (r *request) pick() (balance.Selection, Reason) {
 	g := r.g
 	b := r.balanceRequest()
-	w := r.item()
+	item := r.item()
 	if b.Model != "" && r.sends == 0 {
-		g.addDemand(w, b.Tokens, 0)
+		g.addDemand(item, b.Tokens, 0)
 	}
 	if b.Model != "" {
 		for range maxSlotRequests {
-			c, reason, result := r.requestSlot(b, w)
+			c, reason, result := r.requestSlot(b, item)
 			if result == decided {
 				return c, reason
 			}
@@ -199,7 +199,7 @@
 	waiting := false
 	defer func() {
 		if waiting {
-			g.addDemand(w, 0, -1)
+			g.addDemand(item, 0, -1)
 		}
 	}()
 	waitUntil := time.Now().Add(r.maxWait(b.Model))
@@ -227,10 +227,10 @@
 		}
 		if !waiting && b.Model != "" {
 			waiting = true
-			g.addDemand(w, 0, 1)
+			g.addDemand(item, 0, 1)
 		}
 		if reason == balance.NoAdapter {
-			r.requestAdapter(w)
+			r.requestAdapter(item)
 		}
 		if !r.noneAvailable(b) {
 			continue
@@ -246,15 +246,15 @@
 }
 
 // requestSlot requests a slot from the leader.
-func (r *request) requestSlot(b balance.Request, w hub.Item) (c balance.Selection, reason Reason, result slotResult) {
-	p := hub.SlotRequest{Item: w, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.notResident, Priority: r.urgency(),
+func (r *request) requestSlot(b balance.Request, item hub.Item) (c balance.Selection, reason Reason, result slotResult) {
+	req := hub.SlotRequest{Item: item, Request: r.meta.ID, Tokens: b.Tokens, Parts: b.Segments, Zone: b.Zone, Lacks: r.notResident, Priority: r.urgency(),
 		Waited: time.Since(r.x.Received),
 		Target: time.Until(r.x.Received.Add(r.route.TargetLatency * targetPercent / 100)), Expire: r.maxWait(b.Model)}
-	p.Charge = r.pendingCharge()
-	p.Exclude = r.unusable()
+	req.Charge = r.pendingCharge()
+	req.Exclude = r.unusable()
 	ctx, cancel := r.waitContext()
 	defer cancel()
-	reply, grant, err := r.g.AcquireSlot(ctx, p)
+	reply, grant, err := r.g.AcquireSlot(ctx, req)
 	if ctx.Err() != nil {
 		if err == nil {
 			grant.Done(balance.Abandoned)
@@ -268,12 +268,12 @@
 		return c, "", leaderUnreachable
 	}
 	if reply.Granted {
-		r.recordCharge(p.Charge)
+		r.recordCharge(req.Charge)
 	}
 	if !reply.Granted {
 		grant.Done(balance.Abandoned)
 		r.retryAfter = reply.After
-		if reply.Why == string(balance.NoServer) && len(p.Exclude) > len(r.excluded) {
+		if reply.Why == string(balance.NoServer) && len(req.Exclude) > len(r.excluded) {
 			return c, Backoff, decided
 		}
 		return c, Reason(reply.Why), decided
@@ -281,7 +281,7 @@
 	r.notResident = slices.DeleteFunc(r.notResident, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
 	s, known := r.g.picker.Server(reply.Server)
-	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
+	r.g.picker.SetResidency(time.Now(), reply.Server, item.Model, item.Adapter, true)
 	_, withheld := r.g.picker.Withheld(time.Now(), reply.Server)
 	r.g.mu.Unlock()
 	if !known || withheld {
@@ -298,7 +298,7 @@
 }
 
 // unusable returns the servers that the request can't go to: those already tried, and
-// those that asked for a backoff by this node.
+// those that asked this node to back off.
 func (r *request) unusable() []string {
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
@@ -329,17 +329,17 @@
 const targetPercent = 60
 
 // requestAdapter sends a load request for an adapter to the leader.
-func (r *request) requestAdapter(w hub.Item) {
+func (r *request) requestAdapter(item hub.Item) {
 	ctx, cancel := context.WithTimeout(r.x.Context(), recheckInterval)
 	defer cancel()
-	reply := r.g.RequestLoad(ctx, hub.LoadRequest{Item: w, Lacks: r.notResident, Exclude: r.unusable()})
+	reply := r.g.RequestLoad(ctx, hub.LoadRequest{Item: item, Lacks: r.notResident, Exclude: r.unusable()})
 	if !reply.Found {
 		return
 	}
 	r.notResident = slices.DeleteFunc(r.notResident, func(id string) bool { return id == reply.Server })
 	r.g.mu.Lock()
 	defer r.g.mu.Unlock()
-	r.g.picker.SetResidency(time.Now(), reply.Server, w.Model, w.Adapter, true)
+	r.g.picker.SetResidency(time.Now(), reply.Server, item.Model, item.Adapter, true)
 }
 
 // noneAvailable reports whether there is still no server to pick.
