--- a/internal/configsync/apply_test.go
+++ b/internal/configsync/apply_test.go
@@ -167,7 +167,7 @@
 }
 
 // TestInvariantOperatorsRaceOnPlatform guards against two operators' documents accepted
-// as the same version, and against operators that are told a wrong outcome. Eight
+// as the same version, and against operators that get the wrong outcome. Eight
 // operators apply at the same time while four of five transactions have a fault.
 func TestInvariantOperatorsRaceOnPlatform(t *testing.T) {
 	const operators, rounds = 8, 20
--- a/internal/configsync/fake_test.go
+++ b/internal/configsync/fake_test.go
@@ -22,7 +22,7 @@
 	answered   = iota // committed, and the reply received
 	answerLost        // committed, but the reply is lost
 	callLost          // not committed, unknown to the caller
-	refused           // not committed, and the caller is told
+	refused           // not committed, known to the caller
 	late              // committed with the next transaction, unknown to the caller
 )
 
--- a/internal/configsync/follower.go
+++ b/internal/configsync/follower.go
@@ -254,7 +254,7 @@
 }
 
 func (f *Follower) recordAssumed(version uint64) {
-	f.Metrics.trusted.Inc()
+	f.Metrics.assumed.Inc()
 	f.Log.Warn("config-trusted", zap.Uint64("version", version))
 }
 
--- a/internal/configsync/follower_test.go
+++ b/internal/configsync/follower_test.go
@@ -31,7 +31,7 @@
 		stop        context.CancelFunc
 	}
 
-	// link implements configsync.Peer for a member.
+	// peerLink implements configsync.Peer for a member.
 	peerLink struct{ m *member }
 )
 
@@ -309,7 +309,7 @@
 		advance(configsync.DefaultAssumeAfter - time.Second)
 		require.False(t, m.Fresh(), "no fresh peer replies, and not all peers reply")
 		advance(2 * time.Second)
-		require.True(t, m.Fresh(), "no fresh peer replied for TrustAfter")
+		require.True(t, m.Fresh(), "no fresh peer replied for AssumeAfter")
 	})
 }
 
--- a/internal/configsync/metrics.go
+++ b/internal/configsync/metrics.go
@@ -19,7 +19,7 @@
 	rejected prometheus.Counter
 	pauses   prometheus.Counter
 	forks    prometheus.Counter
-	trusted  prometheus.Counter
+	assumed  prometheus.Counter
 }
 
 // NewMetrics returns metrics registered with r.
@@ -34,9 +34,9 @@
 		rejected: prometheus.NewCounter(opts("rejected_total", "Bodies that could not be parsed.")),
 		pauses:   prometheus.NewCounter(opts("pauses_total", "Pauses of the process that made its configuration stale.")),
 		forks:    prometheus.NewCounter(opts("forks_total", "Versions that were told with another hash.")),
-		trusted:  prometheus.NewCounter(opts("trusted_total", "Times the newest version seen was trusted unconfirmed.")),
+		assumed:  prometheus.NewCounter(opts("trusted_total", "Times the newest version seen was trusted unconfirmed.")),
 	}
-	r.MustRegister(m.version, m.reads, m.fetches, m.rejected, m.pauses, m.forks, m.trusted)
+	r.MustRegister(m.version, m.reads, m.fetches, m.rejected, m.pauses, m.forks, m.assumed)
 	return m
 }
 
