--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -178,7 +178,7 @@
 		s.Metrics.transaction(conflict)
 	case err != nil && notCommitted(err):
 		s.Metrics.transaction(refused)
-		s.failed(ctx, batch, err)
+		s.handleFailure(ctx, batch, err)
 	default:
 		s.Metrics.transaction(unsure)
 		s.readBack(ctx, batch, err)
@@ -219,7 +219,7 @@
 	defer cancel()
 	rows, err := s.Table.Read(call, keys...)
 	if err != nil || len(rows) != len(keys) {
-		s.failed(ctx, batch, cause)
+		s.handleFailure(ctx, batch, cause)
 		return
 	}
 	for i, o := range batch {
@@ -242,9 +242,9 @@
 	}
 }
 
-// failed handles a batch that was not written, or whose outcome is unknown: claims are
+// handleFailure handles a batch that was not written, or whose outcome is unknown: claims are
 // refused as not run, all other changes are written again after a backoff.
-func (s *Store) failed(ctx context.Context, batch []*op, cause error) {
+func (s *Store) handleFailure(ctx context.Context, batch []*op, cause error) {
 	s.Log.Warn("claims not written", zap.Int("claims", len(batch)), zap.Error(cause))
 	s.markDown(ctx)
 	for _, o := range batch {
@@ -300,7 +300,7 @@
 }
 
 // finish ends o. It settles an insert that may have committed although its caller was
-// told that the call did not run.
+// refused as not run.
 func (s *Store) finish(ctx context.Context, o *op, e opResult) {
 	s.mu.Lock()
 	if o.ended {
--- a/internal/claims/doc.go
+++ b/internal/claims/doc.go
@@ -7,8 +7,9 @@
 // claim does not fail the others: they are written again without it. If the reply
 // to a transaction is lost, all its rows are read back.
 //
-// When the table is down, claims are refused as not run: the first one after it
-// failed, later ones without a transaction until the table answers a read. An
+// When the table is down, claims are refused as not run: the first ones after
+// their transaction failed, later ones without a transaction until the table
+// answers a read. An
 // abandoned insert with an unknown outcome is settled in the background: its row is
 // released, or written as released if it is absent, so that neither the insert nor
 // a late copy of it prevents a retry from claiming the call. Answers and releases
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -244,8 +244,8 @@
 }
 
 // TestInvariantRefusedNotRunLateInsert guards against an insert that reaches the table
-// seconds after its caller was told that the call did not run: it must neither prevent a
-// retry through any node from running, nor allow two runs.
+// seconds after its caller was refused as not run: it must neither prevent a retry
+// through any node from running, nor allow two runs.
 func TestInvariantRefusedNotRunLateInsert(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		table.SetFault(func(c tabletest.Call) tabletest.Fault {
