--- a/core/grant/doc.go
+++ b/core/grant/doc.go
@@ -8,7 +8,7 @@
 // and so do the gaps between the tokens of all streams: three steps of 2,048
 // prompt tokens take about 350 ms, while callers accept 300 ms. The number of
 // prompt tokens that an engine has been sent and has not read is therefore
-// bounded by Settings.Tokens. Requests beyond that wait in the scheduler, where they can
+// bounded by Settings.MaxUnreadTokens. Requests beyond that wait in the scheduler, where they can
 // still go to another engine and more urgent requests can overtake them.
 //
 // Requests wait in order of priority. Within a priority, those of teams that are
--- a/core/grant/growth_test.go
+++ b/core/grant/growth_test.go
@@ -57,7 +57,7 @@
 	const times = 10
 	fastest := func(waiting int) time.Duration {
 		s, _ := newBacklog(600, 1200, waiting)
-		return cputime.Least(20, func() {
+		return cputime.Min(20, func() {
 			s.Invalidate()
 			s.Next(start)
 		})
--- a/core/grant/scheduler.go
+++ b/core/grant/scheduler.go
@@ -12,8 +12,8 @@
 
 // Default settings.
 const (
-	// DefaultTokens is the default limit of unread prompt tokens at an engine.
-	DefaultTokens = 2000
+	// DefaultMaxUnreadTokens is the default limit of unread prompt tokens at an engine.
+	DefaultMaxUnreadTokens = 2000
 	// DefaultSlotFraction is the default fraction of an engine's slots that granted requests may
 	// take. It is 1 because each request is counted from its grant to its end, and requests that
 	// nodes start without the scheduler are counted in load reports.
@@ -23,8 +23,8 @@
 type (
 	// Settings configures a Scheduler. Zero fields take the defaults.
 	Settings struct {
-		Tokens       int     // limit of unread prompt tokens at an engine
-		SlotFraction float64 // fraction of an engine's slots that may be taken
+		MaxUnreadTokens int     // limit of unread prompt tokens at an engine
+		SlotFraction    float64 // fraction of an engine's slots that may be taken
 	}
 
 	// Item is a model of a service, or one of the model's adapters.
@@ -72,8 +72,8 @@
 
 // New returns a scheduler that picks servers by p and updates p with its grants.
 func New(p *balance.Picker, s Settings) *Scheduler {
-	if s.Tokens == 0 {
-		s.Tokens = DefaultTokens
+	if s.MaxUnreadTokens == 0 {
+		s.MaxUnreadTokens = DefaultMaxUnreadTokens
 	}
 	if s.SlotFraction == 0 {
 		s.SlotFraction = DefaultSlotFraction
@@ -289,7 +289,7 @@
 	for queue.Len() > 0 {
 		g := queue.groups[0]
 		r := *g.head()
-		c, reason := s.picker.PickWithin(now, r.Pick, s.settings.Tokens, s.settings.SlotFraction)
+		c, reason := s.picker.PickWithin(now, r.Pick, s.settings.MaxUnreadTokens, s.settings.SlotFraction)
 		g.reason = reason
 		if reason == balance.NoServer && len(r.Pick.Exclude) > 0 {
 			// No server is left for this request. Refuse it so that the others of its group don't
--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -41,7 +41,7 @@
 //	l.Adopt(now, epoch, inventory, inherited)
 //	order, err := l.Reserve(now, backend.Load, item, cost, nil)
 //	// on a server that doesn't check, first store l.Records() in the table
-//	l.Sending(now, order.OrderID)
+//	l.RecordSend(now, order.OrderID)
 //	l.RecordResult(now, order.OrderID, ledger.Accepted)
 //	l.Observe(requestedAt, now, inventory)
 //
--- a/core/ledger/invariant_test.go
+++ b/core/ledger/invariant_test.go
@@ -248,7 +248,7 @@
 		l.Adopt(0, 1, inventory(), nil)
 		o, err := l.Reserve(1, backend.Load, item, cost(item), nil)
 		require.NoError(t, err)
-		l.Sending(2, o.OrderID)
+		l.RecordSend(2, o.OrderID)
 		return l, o.OrderID
 	}
 	t.Run("refused the second time", func(t *testing.T) {
@@ -256,7 +256,7 @@
 		l.RecordResult(3, id, ledger.Unknown)
 		_, ok := l.Resend(item)
 		require.True(t, ok)
-		l.Sending(4, id)
+		l.RecordSend(4, id)
 		l.RecordResult(5, id, ledger.NotDone)
 		require.Equal(t, int64(45), l.Free(), "the first call may still arrive")
 	})
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -251,8 +251,8 @@
 	l.undo(now, e)
 }
 
-// Sending records that a call with the order is about to be made.
-func (l *Ledger) Sending(now time.Duration, orderID string) {
+// RecordSend records that a call with the order is about to be made.
+func (l *Ledger) RecordSend(now time.Duration, orderID string) {
 	e := l.entryByOrder(orderID)
 	if e == nil {
 		return
--- a/core/ledger/simulation_test.go
+++ b/core/ledger/simulation_test.go
@@ -396,7 +396,7 @@
 // send sends an order, subject to the fault f.
 func (n *node) send(o backend.Order, f fault) {
 	n.w.tracef("%s sends %s %s %s %+v", n.name, o.OrderID, o.Op, o.Item, f)
-	n.ledger.Sending(n.w.now, o.OrderID)
+	n.ledger.RecordSend(n.w.now, o.OrderID)
 	done := false
 	l := n.ledger
 	answer := func(a ledger.CallResult) func() {
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -156,8 +156,8 @@
 	return all
 }
 
-// Drop removes an entry from this node. Other nodes may send it again.
-func (s *State) Drop(key string) {
+// Remove removes an entry from this node. Other nodes may send it again.
+func (s *State) Remove(key string) {
 	delete(s.entries, key)
 	s.pending.remove(key)
 }
--- a/core/member/tick.go
+++ b/core/member/tick.go
@@ -50,7 +50,7 @@
 		case p.node.Status == Suspect && passed >= s.suspectTimeout():
 			p.node.Status, p.since = Dead, now
 			s.enqueueChange(nodePrefix + name)
-		case p.node.Status >= Dead && passed >= s.settings.Forget:
+		case p.node.Status >= Dead && passed >= s.settings.ForgetAfter:
 			delete(s.nodes, name)
 			s.names = nil
 			s.pending.remove(nodePrefix + name)
--- a/core/member/types.go
+++ b/core/member/types.go
@@ -118,7 +118,7 @@
 		GossipPeriod   time.Duration // time between pushes of changes, default 200 ms
 		JoinPeriod     time.Duration // time between attempts to contact seeds that are not live, default 2 s
 		SyncPeriod     time.Duration // time between full syncs, default 10 s, longer with more than 200 records
-		Forget         time.Duration // time until a dead node is removed, default 1 min
+		ForgetAfter    time.Duration // time until a dead node is removed, default 1 min
 		Fanout         int           // peers per push, default 2
 		Retransmit     int           // factor of log2(n+1) pushes per change, to which two are added, default 1
 		Neighbours     int           // nodes to probe and push to, default 8
@@ -154,7 +154,7 @@
 	orDuration(&s.GossipPeriod, defaultGossipPeriod)
 	orDuration(&s.JoinPeriod, defaultJoinPeriod)
 	orDuration(&s.SyncPeriod, defaultSyncPeriod)
-	orDuration(&s.Forget, defaultForget)
+	orDuration(&s.ForgetAfter, defaultForget)
 	orInt(&s.Fanout, defaultFanout)
 	orInt(&s.Retransmit, defaultRetransmit)
 	orInt(&s.Neighbours, defaultNeighbours)
--- a/core/place/anchor.go
+++ b/core/place/anchor.go
@@ -38,9 +38,9 @@
 	return sorted[:min(n, len(sorted))]
 }
 
-// MayDrop reports whether server may drop a declared item with the given minimum number of
+// MayUnload reports whether server may drop a declared item with the given minimum number of
 // copies, where holders are the live servers that hold it.
-func MayDrop(item backend.Item, server string, holders []string, minCopies int) bool {
+func MayUnload(item backend.Item, server string, holders []string, minCopies int) bool {
 	minCopies = max(1, minCopies)
 	if !slices.Contains(holders, server) {
 		return len(holders) >= minCopies
--- a/core/place/baseline.go
+++ b/core/place/baseline.go
@@ -92,7 +92,7 @@
 	}
 	out := s.output()
 	out.Unplaced = nil
-	out.MayDropLast = true
+	out.MayUnloadLast = true
 	return out
 }
 
--- a/core/place/doc.go
+++ b/core/place/doc.go
@@ -35,6 +35,6 @@
 //	out := p.Plan(now, in)
 //	load(out.Plan["e1"])
 //
-// Before an owner drops an item it must check MayDrop against its own view, unless
-// Output.MayDropLast is set.
+// Before an owner drops an item it must check MayUnload against its own view, unless
+// Output.MayUnloadLast is set.
 package place
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -356,7 +356,7 @@
 						holders = append(holders, s.Name)
 					}
 				}
-				require.True(t, place.MayDrop(m.Item, m.Server, holders, 1), "%v must not be dropped", m)
+				require.True(t, place.MayUnload(m.Item, m.Server, holders, 1), "%v must not be dropped", m)
 			}
 			in = perturb(t, apply(in, out))
 		}
@@ -415,7 +415,7 @@
 		for range 20 {
 			s := rapid.SampledFrom(holders).Draw(t, "server")
 			staleView := history[rapid.IntRange(0, len(history)-1).Draw(t, "age")]
-			if slices.Contains(staleView, s) && place.MayDrop(item, s, staleView, 1) {
+			if slices.Contains(staleView, s) && place.MayUnload(item, s, staleView, 1) {
 				holders = slices.DeleteFunc(slices.Clone(holders), func(h string) bool { return h == s })
 				require.NotEmpty(t, holders, "the last copy was dropped")
 				history = append(history, holders)
@@ -434,7 +434,7 @@
 	in.Servers[0].Resident[0].LastUsed = now.Add(-time.Minute)
 	in.Servers[0].Resident[1].LastUsed = now.Add(-time.Hour)
 	out := place.LRU{}.Plan(now, in)
-	require.True(t, out.MayDropLast)
+	require.True(t, out.MayUnloadLast)
 	require.Equal(t, []backend.Item{a.Item(), c.Item()}, out.Plan["s1"])
 	in.Demand = []view.Demand{{Name: "a", Rate: 10, Seconds: 1}} // more than 4 of 8 slots
 	in.Servers = append(in.Servers, server("s2", "d1", 26, b.Item(), c.Item()))
--- a/core/place/planner.go
+++ b/core/place/planner.go
@@ -105,9 +105,9 @@
 		// Unplaced lists the declared items without a copy in the plan, because they fit on
 		// no server.
 		Unplaced []backend.Item
-		// MayDropLast is set by policies that may drop the last copy of an item. Such a
+		// MayUnloadLast is set by policies that may drop the last copy of an item. Such a
 		// baseline breaks reachability on purpose.
-		MayDropLast bool
+		MayUnloadLast bool
 	}
 
 	// Planner proposes the contents of each server.
--- a/core/residency/plantime_test.go
+++ b/core/residency/plantime_test.go
@@ -31,7 +31,7 @@
 
 // minPlanTime returns the minimum processor time of several plans.
 func minPlanTime(in residency.Input) time.Duration {
-	return cputime.Least(20, func() { residency.Plan(in) })
+	return cputime.Min(20, func() { residency.Plan(in) })
 }
 
 // TestPlanTimeGrowsLinearlyWithModels plans for few engines and many models without a copy.
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// DefaultShare is the number of retries earned by each successful first
+	// DefaultPerSuccess is the number of retries earned by each successful first
 	// attempt.
-	DefaultShare = 0.1
-	// DefaultFloor is the number of retries per second that are allowed without
+	DefaultPerSuccess = 0.1
+	// DefaultPerSecond is the number of retries per second that are allowed without
 	// successes, so that a node with little traffic can retry at all.
-	DefaultFloor = 0.2
+	DefaultPerSecond = 0.2
 	// DefaultBurst is the maximum number of retries that may be saved up.
 	DefaultBurst = 10
 )
@@ -26,14 +26,14 @@
 
 // Success records that a first attempt succeeded.
 func (b *Budget) Success() {
-	b.spent = max(0, b.spent-orDefault(b.PerSuccess, DefaultShare))
+	b.spent = max(0, b.spent-orDefault(b.PerSuccess, DefaultPerSuccess))
 }
 
 // Take takes a token for a retry at the time now and reports whether one was
 // available.
 func (b *Budget) Take(now time.Time) bool {
 	if !b.last.IsZero() && now.After(b.last) {
-		b.spent = max(0, b.spent-now.Sub(b.last).Seconds()*orDefault(b.PerSecond, DefaultFloor))
+		b.spent = max(0, b.spent-now.Sub(b.last).Seconds()*orDefault(b.PerSecond, DefaultPerSecond))
 	}
 	if b.last.IsZero() || now.After(b.last) {
 		b.last = now
--- a/core/suspect/doc.go
+++ b/core/suspect/doc.go
@@ -43,6 +43,6 @@
 //	// broadcast changed; then, for a request to retry:
 //	p, err := set.Plan(now, fp, trial, until, markRow, slotRow)
 //	// if p.Verdict is Isolate and p.Busy is false, commit p.Tx; once it is committed:
-//	set.Charged(now, fp, trial) // broadcast the result and send the request
+//	set.RecordCharge(now, fp, trial) // broadcast the result and send the request
 //	set.RecordSuccess(now, fp)
 package suspect
--- a/core/suspect/invariant_test.go
+++ b/core/suspect/invariant_test.go
@@ -289,7 +289,7 @@
 
 // charge starts the trial of r.
 func (w *simulation) charge(r *request, trial suspect.Incident) {
-	m := w.sets[r.node].Charged(w.now, r.fp, trial)
+	m := w.sets[r.node].RecordCharge(w.now, r.fp, trial)
 	r.trial, r.phase = trial, running
 	if r.fp == crashing {
 		w.trials++
--- a/core/suspect/set.go
+++ b/core/suspect/set.go
@@ -60,9 +60,9 @@
 	return out
 }
 
-// Charged records that a request is on trial and returns its mark, which must be
+// RecordCharge records that a request is on trial and returns its mark, which must be
 // broadcast to the other nodes.
-func (s *Set) Charged(now time.Time, fp Fingerprint, trial Incident) Mark {
+func (s *Set) RecordCharge(now time.Time, fp Fingerprint, trial Incident) Mark {
 	m := s.addIncident(now, fp, trial)
 	s.enforceLimit(now)
 	return m
--- a/core/suspect/set_test.go
+++ b/core/suspect/set_test.go
@@ -50,7 +50,7 @@
 func TestTrialIsChargedWhileItRuns(t *testing.T) {
 	var s suspect.Set
 	s.RecordCrash(now, crash, []suspect.Fingerprint{"a"})
-	require.True(t, s.Charged(now, "a", trial).OnTrial())
+	require.True(t, s.RecordCharge(now, "a", trial).OnTrial())
 	require.Equal(t, suspect.Refuse, s.Verdict(now, "a"))
 	require.False(t, s.RecordNotRun(now, "a", trial).OnTrial())
 	require.Equal(t, suspect.Isolate, s.Verdict(now, "a"))
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -28,8 +28,8 @@
 		Deadline       time.Time // zero means now plus the kind's deadline
 	}
 
-	// Answer is the response that the caller gets when the outcome is done.
-	Answer struct {
+	// Response is what the caller gets when the outcome is done.
+	Response struct {
 		Status int
 		Header http.Header
 		Body   []byte
@@ -53,7 +53,7 @@
 		// refused-not-run if no byte was written (reason backend-unreachable) or
 		// the server confirmed that the call did not run (backend-refused), and
 		// unknown in every other case.
-		Send(ctx context.Context, s config.BackendServer, r Request) (Answer, error)
+		Send(ctx context.Context, s config.BackendServer, r Request) (Response, error)
 	}
 
 	// Claims stores claims; *claims.Store implements it.
--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -44,7 +44,7 @@
 
 // Send implements call.Backend. The fault is "" for a response, "unreachable",
 // "refused", "lost before it ran", "lost", "silent" or "crash".
-func (s *service) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Answer, error) {
+func (s *service) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Response, error) {
 	s.mu.Lock()
 	fault := ""
 	if s.fault != nil {
@@ -64,17 +64,17 @@
 	s.mu.Unlock()
 	switch fault {
 	case "unreachable":
-		return call.Answer{}, outcome.Refuse(outcome.BackendUnreachable, "", time.Second)
+		return call.Response{}, outcome.Refuse(outcome.BackendUnreachable, "", time.Second)
 	case "refused":
-		return call.Answer{}, outcome.Refuse(outcome.BackendRefused, "", time.Second)
+		return call.Response{}, outcome.Refuse(outcome.BackendRefused, "", time.Second)
 	case "silent":
 		<-ctx.Done()
-		return call.Answer{}, outcome.Unconfirmed(outcome.BackendLost, "silent")
+		return call.Response{}, outcome.Unconfirmed(outcome.BackendLost, "silent")
 	case "":
 		time.Sleep(3 * time.Millisecond)
-		return call.Answer{Status: 200, Body: answer(r)}, nil
+		return call.Response{Status: 200, Body: answer(r)}, nil
 	}
-	return call.Answer{}, outcome.Unconfirmed(outcome.BackendLost, "")
+	return call.Response{}, outcome.Unconfirmed(outcome.BackendLost, "")
 }
 
 // Alive implements call.Prober.
--- a/internal/call/caller.go
+++ b/internal/call/caller.go
@@ -52,7 +52,7 @@
 // stored response of an earlier call with the same key. Every error is an
 // *outcome.Error. A call that is not repeatable continues after ctx has ended,
 // so that its response is stored when the caller retries.
-func (c *Caller) Do(ctx context.Context, r Request) (Answer, error) {
+func (c *Caller) Do(ctx context.Context, r Request) (Response, error) {
 	c.once.Do(c.init)
 	now := time.Now()
 	if r.Deadline.IsZero() {
@@ -69,13 +69,13 @@
 	}
 	c.Log.Info("call failed", zap.String("request-id", r.RequestID), zap.String("service", r.Service),
 		zap.String("outcome", string(e.Outcome)), zap.String("reason", string(e.Reason)), zap.String("detail", e.Detail))
-	return Answer{}, e
+	return Response{}, e
 }
 
 // do executes r as its kind requires.
-func (c *Caller) do(ctx context.Context, r Request) (Answer, error) {
+func (c *Caller) do(ctx context.Context, r Request) (Response, error) {
 	if !time.Now().Before(r.Deadline) {
-		return Answer{}, outcome.Refuse(outcome.DeadlinePassed, "", 0)
+		return Response{}, outcome.Refuse(outcome.DeadlinePassed, "", 0)
 	}
 	keyed := !r.Kind.Repeatable && r.IdempotencyKey != ""
 	if !r.Kind.Repeatable {
@@ -92,7 +92,7 @@
 }
 
 // runClaimed executes a call that runs at most once per key.
-func (c *Caller) runClaimed(ctx context.Context, t *execution) (Answer, error) {
+func (c *Caller) runClaimed(ctx context.Context, t *execution) (Response, error) {
 	r := t.r
 	row := claim.Key(r.Team, r.IdempotencyKey)
 	g, err := c.Claims.Claim(ctx, claims.Call{
@@ -103,11 +103,11 @@
 		e := outcome.From(err)
 		c.Trace(r.RequestID, "claim-refused", zap.String("row", row), zap.String("outcome", string(e.Outcome)),
 			zap.String("reason", string(e.Reason)), zap.String("detail", e.Detail))
-		return Answer{}, err
+		return Response{}, err
 	}
 	if g.Stored != nil {
 		c.Trace(r.RequestID, "stored-answer", zap.String("row", row), zap.Int("status", g.Stored.Status))
-		return Answer{Status: g.Stored.Status, Header: http.Header(g.Stored.Header), Body: g.Stored.Body, Stored: true}, nil
+		return Response{Status: g.Stored.Status, Header: http.Header(g.Stored.Header), Body: g.Stored.Body, Stored: true}, nil
 	}
 	c.Trace(r.RequestID, "claimed", zap.String("row", row), zap.Uint64("revision", g.Held.Revision),
 		zap.String("attempt", g.Held.Claim.Attempt))
--- a/internal/call/chaos_test.go
+++ b/internal/call/chaos_test.go
@@ -39,7 +39,7 @@
 	// callRecord is the result of one call as its caller saw it.
 	callRecord struct {
 		request, key, body string
-		answer             call.Answer
+		answer             call.Response
 		err                *outcome.Error
 		died               bool // the node died, which broke the connection
 		node               *crashableNode
@@ -85,13 +85,13 @@
 	return m.table.Scan(ctx, prefix)
 }
 
-func (m *crashableNode) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Answer, error) {
+func (m *crashableNode) Send(ctx context.Context, b config.BackendServer, r call.Request) (call.Response, error) {
 	if m.blockIfDead(ctx) {
-		return call.Answer{}, outcome.Unconfirmed(outcome.Internal, "dead")
+		return call.Response{}, outcome.Unconfirmed(outcome.Internal, "dead")
 	}
 	a, err := m.svc.Send(ctx, b, r)
 	if m.blockIfDead(ctx) {
-		return call.Answer{}, outcome.Unconfirmed(outcome.Internal, "dead")
+		return call.Response{}, outcome.Unconfirmed(outcome.Internal, "dead")
 	}
 	return a, err
 }
--- a/internal/call/execution.go
+++ b/internal/call/execution.go
@@ -55,7 +55,7 @@
 // run makes attempts until one succeeds or no further one is allowed. It returns
 // the error of the last attempt that may have run, or that of the last attempt
 // if none did: the request counts as not run only if no attempt ran.
-func (t *execution) run(ctx context.Context) (Answer, error) {
+func (t *execution) run(ctx context.Context) (Response, error) {
 	for {
 		t.attempts++
 		a, e := t.attempt(ctx)
@@ -71,23 +71,23 @@
 			continue
 		}
 		if t.startedErr != nil {
-			return Answer{}, t.startedErr
+			return Response{}, t.startedErr
 		}
-		return Answer{}, e
+		return Response{}, e
 	}
 }
 
 // attempt sends the request once.
-func (t *execution) attempt(ctx context.Context) (Answer, *outcome.Error) {
+func (t *execution) attempt(ctx context.Context) (Response, *outcome.Error) {
 	p, e := t.pick(ctx)
 	if e != nil {
-		return Answer{}, e
+		return Response{}, e
 	}
 	if ctx.Err() != nil {
 		e = contextRefusal(ctx)
 		p.done(e)
 		t.reportToSuspects(ctx, p, e)
-		return Answer{}, e
+		return Response{}, e
 	}
 	send, cancel := t.attemptContext(ctx)
 	a, err := t.c.Backend.Send(send, p.server, t.r)
@@ -98,7 +98,7 @@
 	t.reportToSuspects(ctx, p, e)
 	if e != nil {
 		t.avoid = append(t.avoid, p.server.Name)
-		return Answer{}, e
+		return Response{}, e
 	}
 	if t.attempts == 1 {
 		t.c.recordSuccess()
--- a/internal/call/service.go
+++ b/internal/call/service.go
@@ -36,18 +36,18 @@
 }
 
 // Send implements Backend.
-func (s *Services) Send(ctx context.Context, b config.BackendServer, r Request) (Answer, error) {
+func (s *Services) Send(ctx context.Context, b config.BackendServer, r Request) (Response, error) {
 	resp, err := s.client(b.Address).Do(ctx, service.Request{
 		Method: r.Method, Path: r.Path, RequestID: r.RequestID, IdempotencyKey: r.IdempotencyKey,
 		Header: forwardedHeaders(r.Header), Body: r.Body, Repeatable: r.Kind.Repeatable,
 	})
 	if err != nil {
-		return Answer{}, classify(ctx, err)
+		return Response{}, classify(ctx, err)
 	}
 	if r.Kind.Repeatable && overloaded(resp.Status) {
-		return Answer{}, outcome.Fail(outcome.BackendFailed, http.StatusText(resp.Status))
+		return Response{}, outcome.Fail(outcome.BackendFailed, http.StatusText(resp.Status))
 	}
-	return Answer{Status: resp.Status, Header: forwardedHeaders(resp.Header), Body: resp.Body}, nil
+	return Response{Status: resp.Status, Header: forwardedHeaders(resp.Header), Body: resp.Body}, nil
 }
 
 // Alive implements Prober.
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -34,9 +34,9 @@
 	// DefaultMaxQueue is the number of queued changes from which on claims are
 	// refused.
 	DefaultMaxQueue = 8192
-	// DefaultAnswerWait bounds how long Finish waits for the table. It waits so
+	// DefaultFinishTimeout bounds how long Finish waits for the table. It waits so
 	// that a retry right after the answer finds it stored.
-	DefaultAnswerWait = 150 * time.Millisecond
+	DefaultFinishTimeout = 150 * time.Millisecond
 	// DefaultSweepPeriod is the mean time between removals of old claims.
 	DefaultSweepPeriod = 15 * time.Second
 )
@@ -95,7 +95,7 @@
 		Timeout       time.Duration
 		Wait          time.Duration
 		ProbeInterval time.Duration
-		AnswerWait    time.Duration
+		FinishTimeout time.Duration
 		MaxBatch      int
 		MaxBatchBytes int
 		InFlight      int
@@ -167,7 +167,7 @@
 }
 
 // Finish stores the answer to a call that the holder of h sent. It waits for the
-// table for at most AnswerWait, and not at all while the table is down. The write
+// table for at most FinishTimeout, and not at all while the table is down. The write
 // is retried until it takes effect.
 func (s *Store) Finish(h claim.Held, a claim.Answer) {
 	s.once.Do(s.init)
@@ -181,7 +181,7 @@
 	down := s.down
 	s.mu.Unlock()
 	if !down {
-		o.await(s.AnswerWait)
+		o.await(s.FinishTimeout)
 	}
 }
 
@@ -335,7 +335,7 @@
 	setDefault(&s.Timeout, DefaultTimeout)
 	setDefault(&s.Wait, DefaultWait)
 	setDefault(&s.ProbeInterval, DefaultProbeInterval)
-	setDefault(&s.AnswerWait, DefaultAnswerWait)
+	setDefault(&s.FinishTimeout, DefaultFinishTimeout)
 	setDefault(&s.MaxBatch, DefaultMaxBatch)
 	setDefault(&s.MaxBatchBytes, DefaultMaxBatchBytes)
 	setDefault(&s.InFlight, DefaultInFlight)
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -380,7 +380,7 @@
 // TestInvariantAnswerStoredBeforeCallerHears guards against a retry through another node,
 // right after the answer, that doesn't get the stored answer while the table replies in
 // its usual time, and against a slow or unavailable table that delays an answer by more
-// than AnswerWait.
+// than FinishTimeout.
 func TestInvariantAnswerStoredBeforeCallerHears(t *testing.T) {
 	inBubble(t, func(t *testing.T, table *tabletest.Table, s *claims.Store) {
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Delay: 20 * time.Millisecond} })
@@ -399,7 +399,7 @@
 		table.SetFault(func(tabletest.Call) tabletest.Fault { return tabletest.Fault{Hang: true} })
 		begin := time.Now()
 		s.Finish(g.Held, claim.Answer{Status: 200})
-		require.Equal(t, claims.DefaultAnswerWait, time.Since(begin))
+		require.Equal(t, claims.DefaultFinishTimeout, time.Since(begin))
 		table.SetFault(nil)
 		requireFlush(t, s)
 	})
--- a/internal/cluster/send.go
+++ b/internal/cluster/send.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// CallAll sends v as a call to at most limit other live nodes and returns when
+// CallSome sends v as a call to at most limit other live nodes and returns when
 // each has processed it or ctx ends.
-func (c *Cluster) CallAll(ctx context.Context, limit int, kind peer.Kind, v any) {
+func (c *Cluster) CallSome(ctx context.Context, limit int, kind peer.Kind, v any) {
 	f, err := peer.Encode(kind, v)
 	if err != nil {
 		c.Log.Error("encode", zap.Error(err))
--- a/internal/configsync/doc.go
+++ b/internal/configsync/doc.go
@@ -19,7 +19,7 @@
 //
 //	f := &configsync.Follower{Table: t, Store: s, Peers: peers, OnChange: use}
 //	go f.Run(ctx)
-//	f.Hint(version, hash) // from each gossip digest of a peer
+//	f.AddHint(version, hash) // from each gossip digest of a peer
 //	admit := f.Fresh()
 //
 // The head is polled at a low rate, as new versions are gossiped by peers within
--- a/internal/configsync/follower.go
+++ b/internal/configsync/follower.go
@@ -126,9 +126,9 @@
 	return g.Wait()
 }
 
-// Hint records that a peer has reported a version to be in force. The report may
+// AddHint records that a peer has reported a version to be in force. The report may
 // be of any age.
-func (f *Follower) Hint(version uint64, hash string) {
+func (f *Follower) AddHint(version uint64, hash string) {
 	f.init()
 	f.update(func(s head.Follower) (head.Follower, error) {
 		return s.WithHint(head.Ref{Version: version, Hash: hash})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -46,7 +46,7 @@
 
 	// Calls runs calls of plain services.
 	Calls interface {
-		Do(ctx context.Context, r call.Request) (call.Answer, error)
+		Do(ctx context.Context, r call.Request) (call.Response, error)
 	}
 
 	// Limits admits or refuses requests.
@@ -248,10 +248,10 @@
 }
 
 // call applies limits and runs a call of a plain service.
-func (e *Entry) call(ctx context.Context, sc caller.ServiceCall, s config.PlainService, r request) (call.Answer, error) {
+func (e *Entry) call(ctx context.Context, sc caller.ServiceCall, s config.PlainService, r request) (call.Response, error) {
 	settle, after, ok := e.Limits.Admit(r.team, r.kind, 1)
 	if !ok {
-		return call.Answer{}, outcome.Refuse(outcome.TeamLimit, r.team.Name, after)
+		return call.Response{}, outcome.Refuse(outcome.TeamLimit, r.team.Name, after)
 	}
 	defer settle(1)
 	path := sc.Path
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -110,8 +110,8 @@
 		// nil.
 		Clock func() time.Duration
 
-		// FetchCopy fetches another node's copy when a table can't be read, nil for never.
-		FetchCopy func(ctx context.Context)
+		// FetchSnapshot fetches another node's copy when a table can't be read, nil for never.
+		FetchSnapshot func(ctx context.Context)
 
 		operator     table
 		server       table
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -252,7 +252,7 @@
 	eventually(t, "gone", func() bool { return !n.has("i-1") })
 	n.ApplyUpdate(time.Now(), follow.Update{Servers: []platform.Row{old}, Version: old.Version})
 	require.False(t, n.has("i-1"), "from an update")
-	n.ApplyCopy(time.Now(), follow.Snapshot{Servers: []platform.Row{old}, Version: old.Version}, 0)
+	n.ApplySnapshot(time.Now(), follow.Snapshot{Servers: []platform.Row{old}, Version: old.Version}, 0)
 	require.False(t, n.has("i-1"), "from a full copy")
 	s.Put(platform.TableServers, "i-1", entry("ready"))
 	eventually(t, "a newer entry is applied", func() bool { return n.has("i-1") })
--- a/internal/follow/share.go
+++ b/internal/follow/share.go
@@ -162,9 +162,9 @@
 	return rows
 }
 
-// ApplyCopy applies another node's copy, which this node requested at a boot time. Newer local
+// ApplySnapshot applies another node's copy, which this node requested at a boot time. Newer local
 // rows stay.
-func (f *Follower) ApplyCopy(now time.Time, c Snapshot, requestedAt time.Duration) {
+func (f *Follower) ApplySnapshot(now time.Time, c Snapshot, requestedAt time.Duration) {
 	f.operator.applyRows(c.Operator, 0)
 	for _, r := range c.Operator {
 		if r.Key == platform.KeyConfig {
--- a/internal/follow/table.go
+++ b/internal/follow/table.go
@@ -76,8 +76,8 @@
 		}
 		if err != nil {
 			t.recordFailure(err)
-			if (full || t.behind()) && t.f.FetchCopy != nil {
-				t.f.FetchCopy(ctx)
+			if (full || t.behind()) && t.f.FetchSnapshot != nil {
+				t.f.FetchSnapshot(ctx)
 				full = t.empty()
 			}
 			if !full && t.hasLeader() {
--- a/internal/front/join.go
+++ b/internal/front/join.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		n.log.Info("joined", zap.String("seed", seed), zap.Int64("version", reply.Copy.Version), zap.Duration("age", reply.Copy.Age))
-		n.follower.ApplyCopy(time.Now(), reply.Copy, sentAt)
+		n.follower.ApplySnapshot(time.Now(), reply.Copy, sentAt)
 		n.placer.ObserveLease(reply.Lease)
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -173,7 +173,7 @@
 	defer r.finish()
 	defer r.refund()
 	if r.meta.ID == "" {
-		r.respond(http.StatusBadRequest, NoID, 0)
+		r.respond(http.StatusBadRequest, NoRequestID, 0)
 		return
 	}
 	c := g.config.Load()
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -14,8 +14,8 @@
 const (
 	// Served means that a server's response was forwarded completely.
 	Served Reason = "served"
-	// NoID means that the request has no id.
-	NoID Reason = "no-id"
+	// NoRequestID means that the request has no id.
+	NoRequestID Reason = "no-id"
 	// NoConfig means that the node has no configuration yet.
 	NoConfig Reason = "no-config"
 	// NoRoute means that the configuration in force has no route for the request.
@@ -62,10 +62,10 @@
 	Misdirected Reason = "misdirected"
 	// NotResident means that the server doesn't hold the model or adapter.
 	NotResident Reason = "lacking"
-	// WrongAnswer means that a response belonged to another request.
-	WrongAnswer Reason = "wrong-answer"
-	// Unsigned means that a response didn't carry a server's stamp.
-	Unsigned Reason = "unsigned"
+	// ForeignResponse means that a response belonged to another request.
+	ForeignResponse Reason = "wrong-answer"
+	// Unstamped means that a response didn't carry a server's stamp.
+	Unstamped Reason = "unsigned"
 	// ServerError means that the server ran the request and failed.
 	ServerError Reason = "server-error"
 )
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -259,7 +259,7 @@
 	status := t.resp.StatusCode
 	if t.isForeign() {
 		t.conn.Close()
-		return balance.ConnFailed, unknown, WrongAnswer
+		return balance.ConnFailed, unknown, ForeignResponse
 	}
 	if t.respMeta.NotRun {
 		t.discardBody()
@@ -270,7 +270,7 @@
 	}
 	if !t.respMeta.Stamped || t.resp.Header.Get("Content-Encoding") != "" {
 		t.conn.Close()
-		return balance.Failed, unknown, Unsigned
+		return balance.Failed, unknown, Unstamped
 	}
 	if status >= http.StatusInternalServerError && t.route.Repeatable() && t.mayRetry() {
 		t.discardBody()
--- a/internal/hub/client_test.go
+++ b/internal/hub/client_test.go
@@ -102,9 +102,9 @@
 	return hub.SlotReply{Granted: true, Server: "i-1"}, noGrant{}, nil
 }
 
-// BenchmarkPlace measures slot requests from the call to the release, with both ends of
+// BenchmarkAcquireSlot measures slot requests from the call to the release, with both ends of
 // the connection in one process.
-func BenchmarkPlace(b *testing.B) {
+func BenchmarkAcquireSlot(b *testing.B) {
 	e := endpoint(b, "leader", grantingServer{})
 	c := &hub.Client{Endpoint: endpoint(b, "node", nil)}
 	q := hub.SlotRequest{Item: hub.Item{Service: "drafter", Model: "mizi247a5b"}, Request: "9c41d07be2a35f68", Tokens: 1460, Zone: "seq-a", Priority: 2,
--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -78,7 +78,7 @@
 // broadcastMarks sends marks to at most maxMarksCalls other live nodes and returns
 // when each has merged them or ctx ends.
 func (n *Node) broadcastMarks(ctx context.Context, marks []suspect.Mark) {
-	n.cluster.CallAll(ctx, maxMarksCalls, cluster.KindSuspect, marksBody{Marks: marks})
+	n.cluster.CallSome(ctx, maxMarksCalls, cluster.KindSuspect, marksBody{Marks: marks})
 }
 
 // gossipMarks resends the newest marks to a few other nodes, for nodes that were
--- a/internal/node/tasks.go
+++ b/internal/node/tasks.go
@@ -176,7 +176,7 @@
 	ref := n.follower.InForce()
 	for _, m := range n.cluster.Nodes() {
 		if m.Name != n.settings.Name && m.Status == member.Alive && m.ConfigVersion > 0 {
-			n.follower.Hint(m.ConfigVersion, m.ConfigHash)
+			n.follower.AddHint(m.ConfigVersion, m.ConfigHash)
 		}
 		if m.Name == n.settings.Name && (m.Fresh != fresh || m.ConfigVersion != ref.Version) {
 			n.cluster.Update(func(s *member.Node) {
--- a/internal/owner/metrics.go
+++ b/internal/owner/metrics.go
@@ -6,7 +6,7 @@
 
 // Metrics holds the owner's metrics. The caller registers Collectors.
 type Metrics struct {
-	Orders          *prometheus.CounterVec // by op and result
+	SentOrders      *prometheus.CounterVec // by op and result
 	CompletedOrders *prometheus.CounterVec // items loaded or unloaded by order, by op
 	UnsentOrders    *prometheus.CounterVec // orders that were not sent, by reason
 	Leases          *prometheus.CounterVec // lease events, by event
@@ -20,7 +20,7 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: "owner", Name: name, Help: help}, labels)
 	}
 	return &Metrics{
-		Orders:          counter("orders_total", "Orders sent to engines.", "op", "result"),
+		SentOrders:      counter("orders_total", "Orders sent to engines.", "op", "result"),
 		CompletedOrders: counter("moves_total", "Items loaded or unloaded by order.", "op"),
 		UnsentOrders:    counter("orders_refused_total", "Orders that were not given.", "reason"),
 		Leases:          counter("lease_events_total", "Events of leases.", "event"),
@@ -33,7 +33,7 @@
 
 // Collectors returns the collectors to register.
 func (m *Metrics) Collectors() []prometheus.Collector {
-	return []prometheus.Collector{m.Orders, m.CompletedOrders, m.UnsentOrders, m.Leases, m.Restarts, m.Memory}
+	return []prometheus.Collector{m.SentOrders, m.CompletedOrders, m.UnsentOrders, m.Leases, m.Restarts, m.Memory}
 }
 
 // deleteServer deletes the gauges of a server that is no longer owned.
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -113,7 +113,7 @@
 		return w.recordUnsent(order.Item, order.Op, reason)
 	}
 	w.orders[order.Item] = order
-	w.ledger.Sending(w.o.now(), order.OrderID)
+	w.ledger.RecordSend(w.o.now(), order.OrderID)
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.o.CallTimeout)
 	defer cancel()
 	done, err := w.engine.Order(callCtx, order)
@@ -136,7 +136,7 @@
 	if err != nil {
 		result = string(engine.KindOf(err))
 	}
-	w.o.Metrics.Orders.WithLabelValues(string(order.Op), result).Inc()
+	w.o.Metrics.SentOrders.WithLabelValues(string(order.Op), result).Inc()
 	w.log.Info("order sent", zap.Uint64("epoch", order.Fence), zap.Stringer("item", order.Item),
 		zap.String("op", string(order.Op)), zap.String("order-id", order.OrderID),
 		zap.Int64("bytes", order.Bytes), zap.String("result", result),
--- a/internal/suspects/guard.go
+++ b/internal/suspects/guard.go
@@ -240,7 +240,7 @@
 func (g *Guard) recordTrial(ctx context.Context, run Run) {
 	g.Metrics.count("trial")
 	g.mu.Lock()
-	m := g.set.Charged(time.Now(), run.Fingerprint, run.trial)
+	m := g.set.RecordCharge(time.Now(), run.Fingerprint, run.trial)
 	g.mu.Unlock()
 	g.broadcast(ctx, []suspect.Mark{m})
 }
--- a/internal/testbed/cputime/cputime.go
+++ b/internal/testbed/cputime/cputime.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	least := cputime.Least(20, func() { plan(input) })
+//	least := cputime.Min(20, func() { plan(input) })
 package cputime
 
 import (
@@ -26,8 +26,8 @@
 	return threadTime() - began
 }
 
-// Least returns the minimum CPU time over the given number of calls of f.
-func Least(calls int, f func()) time.Duration {
+// Min returns the minimum CPU time over the given number of calls of f.
+func Min(calls int, f func()) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for range calls {
 		least = min(least, Of(f))
--- a/internal/testbed/cputime/cputime_test.go
+++ b/internal/testbed/cputime/cputime_test.go
@@ -14,7 +14,7 @@
 	require.Less(t, cputime.Of(func() { <-time.After(wait) }), wait/2)
 }
 
-func TestLeastGrowsWithWork(t *testing.T) {
+func TestMinGrowsWithWork(t *testing.T) {
 	work := func(rounds int) func() {
 		return func() {
 			sum := 0
@@ -24,5 +24,5 @@
 			require.Positive(t, sum)
 		}
 	}
-	require.Less(t, cputime.Least(5, work(1e5)), cputime.Least(5, work(1e7)))
+	require.Less(t, cputime.Min(5, work(1e5)), cputime.Min(5, work(1e7)))
 }
--- a/internal/testbed/experiment/client.go
+++ b/internal/testbed/experiment/client.go
@@ -146,7 +146,7 @@
 	if !got.first.IsZero() {
 		r.FirstToken = got.first.Sub(at)
 	}
-	r.Complete = got.finished && strings.Join(got.tokens, "") == strings.Join(engine.Answer(c.items[a.Model], prompt, a.Tokens), "")
+	r.Complete = got.finished && strings.Join(got.tokens, "") == strings.Join(engine.ExpectedTokens(c.items[a.Model], prompt, a.Tokens), "")
 	return r
 }
 
--- a/internal/testbed/standin/engine/answer.go
+++ b/internal/testbed/standin/engine/answer.go
@@ -15,8 +15,8 @@
 	return " t" + fmt.Sprintf("%016x", h)[:6]
 }
 
-// Answer returns the first n tokens of the output of item for prompt.
-func Answer(item backend.Item, prompt string, n int) []string {
+// ExpectedTokens returns the first n tokens of the output of item for prompt.
+func ExpectedTokens(item backend.Item, prompt string, n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = Token(item, prompt, i)
--- a/internal/testbed/standin/engine/doc.go
+++ b/internal/testbed/standin/engine/doc.go
@@ -16,6 +16,6 @@
 //	address, err := e.Start()
 //	defer e.Close()
 //	e.Preload(item, 40)
-//	want := engine.Answer(item, "prompt", 8)
+//	want := engine.ExpectedTokens(item, "prompt", 8)
 //	e.Faults.Put(fault.Faults{CutStreams: 1, CutAfter: 3})
 package engine
--- a/internal/testbed/standin/engine/engine_test.go
+++ b/internal/testbed/standin/engine/engine_test.go
@@ -204,7 +204,7 @@
 				require.Equal(t, http.StatusOK, code)
 				require.Len(t, got, 11)
 				require.Equal(t, "length", got[10].Finish)
-				for j, want := range engine.Answer(model, "p", 10) {
+				for j, want := range engine.ExpectedTokens(model, "p", 10) {
 					require.Equal(t, backend.Event{RequestID: g.RequestID, Offset: j, Token: want, Item: model}, got[j])
 				}
 			})
@@ -298,7 +298,7 @@
 		resumed := call(h, http.MethodPost, "/engine/v1/resume", backend.Resume{RequestID: "r", Offset: 3})
 		got = append(got, events(t, resumed.Body)...)
 		require.Len(t, got, 9)
-		for i, want := range engine.Answer(model, "p", 8) {
+		for i, want := range engine.ExpectedTokens(model, "p", 8) {
 			require.Equal(t, want, got[i].Token)
 			require.Equal(t, i, got[i].Offset)
 		}
--- a/io/engine/engine_test.go
+++ b/io/engine/engine_test.go
@@ -96,7 +96,7 @@
 	got, finish, err := drain(s)
 	require.NoError(t, err)
 	require.Equal(t, "length", finish)
-	require.Equal(t, standin.Answer(model, "prompt of r", 5), got)
+	require.Equal(t, standin.ExpectedTokens(model, "prompt of r", 5), got)
 	_, err = s.Next()
 	require.Equal(t, io.EOF, err)
 }
@@ -204,7 +204,7 @@
 			rest, finish, err := drain(s)
 			require.NoError(t, err)
 			require.Equal(t, "length", finish)
-			require.Equal(t, standin.Answer(model, "prompt of r", 600), append(got, rest...))
+			require.Equal(t, standin.ExpectedTokens(model, "prompt of r", 600), append(got, rest...))
 			require.EqualValues(t, 1, e.Faults.Counters.Get("runs"))
 		})
 	}
@@ -419,7 +419,7 @@
 		id := fmt.Sprint("next", i)
 		got, err := generate(c, newRequest(id, 3))
 		require.NoError(t, err)
-		require.Equal(t, standin.Answer(model, "prompt of "+id, 3), got)
+		require.Equal(t, standin.ExpectedTokens(model, "prompt of "+id, 3), got)
 		events, err := c.CacheEvents(t.Context(), 0)
 		require.NoError(t, err)
 		require.Empty(t, events.Events)
@@ -475,7 +475,7 @@
 			return err
 		}
 	}
-	want := standin.Answer(g.Item, g.Prompt, g.MaxTokens)
+	want := standin.ExpectedTokens(g.Item, g.Prompt, g.MaxTokens)
 	if strings.Join(got, "") != strings.Join(want, "") {
 		return fmt.Errorf("%s: got %q, want %q", g.RequestID, got, want)
 	}
