--- a/internal/testbed/session/process.go
+++ b/internal/testbed/session/process.go
@@ -204,7 +204,7 @@
 	require.NoError(p.t, p.cmd.Process.Signal(s))
 }
 
-// Kill kills the process, also a stopped one, and waits for its exit.
+// Kill kills the process, even if it is stopped, and waits for its exit.
 func (p *Process) Kill() {
 	select {
 	case <-p.exited:
@@ -250,8 +250,8 @@
 	p.awaitReady(printed)
 }
 
-// RestartWithUnreadOutput restarts the process with a pipe as its output, which is read only until the
-// process listens.
+// RestartWithUnreadOutput restarts the process with a pipe as its output, which is read only
+// until the process listens.
 func (p *Process) RestartWithUnreadOutput() {
 	p.Kill()
 	r, w, err := os.Pipe()
--- a/internal/testbed/session/proxy.go
+++ b/internal/testbed/session/proxy.go
@@ -32,17 +32,17 @@
 type Proxy struct {
 	table string
 
-	mu            sync.Mutex
-	decide        func(tx row.Tx) Action
-	lostResponses chan struct{} // receives a value when a transaction took effect whose response is lost
+	mu               sync.Mutex
+	decide           func(tx row.Tx) Action
+	droppedResponses chan struct{} // receives a value when a transaction took effect and its response was dropped
 }
 
-// maxLostResponses limits the lost responses that are pending for AwaitDroppedResponse.
-const maxLostResponses = 64
+// maxDroppedResponses limits the dropped responses that are pending for AwaitDroppedResponse.
+const maxDroppedResponses = 64
 
 // StartProxy starts a Proxy in front of the table. Nodes that start afterwards use it.
 func (s *System) StartProxy() *Proxy {
-	p := &Proxy{table: s.Platform.Address("address"), lostResponses: make(chan struct{}, maxLostResponses)}
+	p := &Proxy{table: s.Platform.Address("address"), droppedResponses: make(chan struct{}, maxDroppedResponses)}
 	server := httptest.NewServer(p)
 	s.t.Cleanup(server.Close)
 	s.Table = strings.TrimPrefix(server.URL, "http://")
@@ -57,10 +57,10 @@
 	p.decide = f
 }
 
-// AwaitDroppedResponse waits until a transaction with the action DropResponse has taken effect. A node that is killed
-// in the meantime breaks its caller's connection earlier, so the caller's view doesn't show
-// whether the transaction took effect.
-func (p *Proxy) AwaitDroppedResponse() { <-p.lostResponses }
+// AwaitDroppedResponse waits until a transaction with the action DropResponse has taken
+// effect. A node that is killed in the meantime breaks its caller's connection earlier, so
+// the caller's view doesn't show whether the transaction took effect.
+func (p *Proxy) AwaitDroppedResponse() { <-p.droppedResponses }
 
 // OnClaims calls f for transactions that move a claim into the given state, and forwards all
 // others.
@@ -97,7 +97,7 @@
 	response, err := io.ReadAll(resp.Body)
 	if action == DropResponse {
 		select {
-		case p.lostResponses <- struct{}{}:
+		case p.droppedResponses <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/testbed/session/transcript.go
+++ b/internal/testbed/session/transcript.go
@@ -40,39 +40,39 @@
 type Transcript struct{ b strings.Builder }
 
 // Step starts a new step with a heading.
-func (r *Transcript) Step(format string, args ...any) {
-	fmt.Fprintf(&r.b, "\n## "+format+"\n", args...)
+func (tr *Transcript) Step(format string, args ...any) {
+	fmt.Fprintf(&tr.b, "\n## "+format+"\n", args...)
 }
 
 // Response records a response.
-func (r *Transcript) Response(a Response) {
+func (tr *Transcript) Response(a Response) {
 	if a.Err != nil {
-		fmt.Fprintf(&r.b, "connection broke\n")
+		fmt.Fprintf(&tr.b, "connection broke\n")
 	}
 	if a.Status == 0 {
 		return
 	}
-	fmt.Fprintf(&r.b, "%d\n", a.Status)
+	fmt.Fprintf(&tr.b, "%d\n", a.Status)
 	for _, name := range shownHeaders {
 		if v := a.Header.Get(name); v != "" {
-			fmt.Fprintf(&r.b, "%s: %s\n", name, v)
+			fmt.Fprintf(&tr.b, "%s: %s\n", name, v)
 		}
 	}
-	r.Text(a.Body)
+	tr.Text(a.Body)
 }
 
 // Text records lines of text.
-func (r *Transcript) Text(s string) {
+func (tr *Transcript) Text(s string) {
 	for _, line := range strings.Split(strings.TrimSpace(s), "\n") {
 		if line = strings.TrimRight(line, " \r"); line != "" {
-			r.b.WriteString("  " + line + "\n")
+			tr.b.WriteString("  " + line + "\n")
 		}
 	}
 }
 
 // String returns the transcript with volatile parts masked.
-func (r *Transcript) String() string {
-	s := r.b.String()
+func (tr *Transcript) String() string {
+	s := tr.b.String()
 	for _, m := range masks {
 		s = m.pattern.ReplaceAllString(s, m.with)
 	}
@@ -81,9 +81,9 @@
 
 // Compare compares the transcript with a golden file, or rewrites the file if -update is
 // set.
-func (r *Transcript) Compare(t testing.TB, name string) {
+func (tr *Transcript) Compare(t testing.TB, name string) {
 	file := filepath.Join(goldenDir, name+".golden")
-	got := r.String()
+	got := tr.String()
 	if *update {
 		require.NoError(t, os.MkdirAll(goldenDir, 0o755))
 		require.NoError(t, os.WriteFile(file, []byte(got), goldenMode))
