--- a/internal/testbed/soak/check.go
+++ b/internal/testbed/soak/check.go
@@ -70,10 +70,10 @@
 }
 
 // RecordRequest records a request. It must be called before the request is sent.
-func (c *Checker) RecordRequest(id string, repeatable bool, who Caller) {
+func (c *Checker) RecordRequest(id string, repeatable bool, caller Caller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.callers[id] = who
+	c.callers[id] = caller
 	if !repeatable {
 		c.nonRepeatable[id] = true
 	}
@@ -103,8 +103,8 @@
 	return out
 }
 
-// CheckResponse checks a successful response: that it belongs to the request, that it carries a
-// server's stamp, and that it is complete.
+// CheckResponse checks that a successful response belongs to the request, carries a server's
+// stamp and is complete.
 func (c *Checker) CheckResponse(id, gotID, stamp, body string, events int) {
 	switch {
 	case gotID != id:
@@ -118,8 +118,8 @@
 	}
 }
 
-// CheckEvents checks the order of a stream's events. If the stream ended as complete, all events
-// must be present.
+// CheckEvents checks the order of a stream's events. If the stream ended as complete, all
+// events must be present.
 func (c *Checker) CheckEvents(id, body string, events int, complete bool) {
 	list := strings.Split(body, "\n\n")
 	received := list[:len(list)-1]
@@ -145,7 +145,8 @@
 	}
 }
 
-// CheckRuns checks the requests that ran at servers against the responses that clients received.
+// CheckRuns checks the requests that ran at servers against the responses that clients
+// received.
 func (c *Checker) CheckRuns(ids []string) {
 	counts := map[string]int{}
 	for _, id := range ids {
@@ -178,19 +179,19 @@
 func (c *Checker) CheckKeys(list []standin.RunRecord) {
 	for _, run := range list {
 		c.mu.Lock()
-		who, known := c.callers[run.ID]
-		until, revoked := c.revoked[who.Version]
-		c.tokenUsage[who.Team] = append(c.tokenUsage[who.Team], usage{who.At, run.At, who.Tokens})
+		caller, known := c.callers[run.ID]
+		until, revoked := c.revoked[caller.Version]
+		c.tokenUsage[caller.Team] = append(c.tokenUsage[caller.Team], usage{caller.At, run.At, caller.Tokens})
 		c.mu.Unlock()
 		switch {
 		case !known:
 			c.RecordViolation("key", "request %s ran but was never sent", run.ID)
 		case run.Key != "":
 			c.RecordViolation("key", "request %s reached a server with its API key", run.ID)
-		case run.Team != who.Team:
-			c.RecordViolation("key", "request %s of team %s ran for team %q", run.ID, who.Team, run.Team)
-		case revoked && who.At.After(until):
-			c.RecordViolation("key", "request %s ran although it was sent %v after its key was no longer valid", run.ID, who.At.Sub(until))
+		case run.Team != caller.Team:
+			c.RecordViolation("key", "request %s of team %s ran for team %q", run.ID, caller.Team, run.Team)
+		case revoked && caller.At.After(until):
+			c.RecordViolation("key", "request %s ran although it was sent %v after its key was no longer valid", run.ID, caller.At.Sub(until))
 		}
 	}
 }
--- a/internal/testbed/soak/doc.go
+++ b/internal/testbed/soak/doc.go
@@ -15,8 +15,7 @@
 //   - A request that must not run twice never does.
 //   - A request that was refused as not run never runs.
 //   - A node never returns to an older configuration.
-//   - An engine never gets orders of an older epoch after a newer one, or from two nodes
-//     under one epoch.
+//   - An engine never gets orders from two nodes under one epoch.
 //   - No engine is loaded beyond its memory.
 //   - No API key reaches a server, and neither does a request whose key was revoked
 //     early enough; a server gets the team of each request.
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -13,7 +13,7 @@
 	"guavapaddle/platform/standin"
 )
 
-// fault is a kind of fault. do injects it and returns when it has ended.
+// fault is a kind of fault. inject starts it and returns when it has ended.
 type fault struct {
 	name   string
 	inject func(r *Run, rng *rand.Rand)
--- a/internal/testbed/soak/limits.go
+++ b/internal/testbed/soak/limits.go
@@ -122,10 +122,10 @@
 	var out []Violation
 	announced := c.forwardedResponses(list, func(v standin.Visit) bool { return v.Draining })
 	for _, v := range list {
-		who := c.callers[v.ID]
+		caller := c.callers[v.ID]
 		for _, t := range announced {
-			if delay := who.At.Sub(t.at); t.node == who.Node && delay > leavingBound && c.undisturbed(who.Node, t.at, v.At, false) {
-				out = append(out, Violation{"leaving", fmt.Sprintf("request %s was sent %v after %s had forwarded the announcement that %s leaves", v.ID, delay, who.Node, server)})
+			if delay := caller.At.Sub(t.at); t.node == caller.Node && delay > leavingBound && c.undisturbed(caller.Node, t.at, v.At, false) {
+				out = append(out, Violation{"leaving", fmt.Sprintf("request %s was sent %v after %s had forwarded the announcement that %s leaves", v.ID, delay, caller.Node, server)})
 				break
 			}
 		}
@@ -174,8 +174,10 @@
 	return out
 }
 
-// maxAtRate returns the highest number of requests in any window of rateWindow while a
-// server sets a constant rate.
+// maxAtRate returns the highest number of requests in any window of rateWindow, for a list
+// of requests during which a server set a constant rate. It counts requests from undisturbed
+// nodes that had forwarded a response at least rateSlack earlier, and ignores windows that
+// end within the first rateSettleTime.
 func (c *Checker) maxAtRate(list []standin.Visit) int {
 	forwarded := c.forwardedResponses(list, func(standin.Visit) bool { return true })
 	var counted []time.Time
--- a/internal/testbed/soak/load.go
+++ b/internal/testbed/soak/load.go
@@ -37,7 +37,7 @@
 }
 
 // request sends one request and checks its response.
-func (r *Run) request(c *http.Client, at *node, id string, rng *rand.Rand) {
+func (r *Run) request(c *http.Client, target *node, id string, rng *rand.Rand) {
 	method, path, model, events := http.MethodGet, "/safe/x", "", 0
 	repeatable := true
 	switch rng.IntN(5) {
@@ -49,8 +49,8 @@
 		path, model, events = "/resumable/x", r.model(rng), streamEvents
 	}
 	caller := r.randomCaller(id)
-	caller.Node = at.settings.Node
-	req, err := http.NewRequest(method, "http://"+at.settings.Clients+path, strings.NewReader(strings.Repeat("b", rng.IntN(2000))))
+	caller.Node = target.settings.Node
+	req, err := http.NewRequest(method, "http://"+target.settings.Clients+path, strings.NewReader(strings.Repeat("b", rng.IntN(2000))))
 	if err != nil {
 		panic(err) // the request is well-formed
 	}
@@ -66,17 +66,17 @@
 	r.check.RecordRequest(id, repeatable, caller)
 	resp, err := c.Do(req)
 	if err != nil {
-		r.check.RecordResponse(id, at.settings.Node, 0)
+		r.check.RecordResponse(id, target.settings.Node, 0)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	r.check.RecordResponse(id, at.settings.Node, resp.StatusCode)
+	r.check.RecordResponse(id, target.settings.Node, resp.StatusCode)
 	switch {
 	case resp.StatusCode != http.StatusOK:
 	case err == nil:
-		whose, stamp := standin.IDAndStamp(resp.Header)
-		r.check.CheckResponse(id, whose, stamp, string(b), events)
+		gotID, stamp := standin.IDAndStamp(resp.Header)
+		r.check.CheckResponse(id, gotID, stamp, string(b), events)
 	case events > 0:
 		r.check.CheckEvents(id, string(b), events, false)
 	}
@@ -123,25 +123,25 @@
 func (r *Run) probeConfigs(ctx context.Context) {
 	c := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; ctx.Err() == nil; n++ {
-		for _, at := range r.nodes {
+		for _, target := range r.nodes {
 			version := int(r.version.Load())
-			process := fmt.Sprintf("%s/%d", at.settings.Node, at.incarnation())
+			process := fmt.Sprintf("%s/%d", target.settings.Node, target.incarnation())
 			for _, v := range []int{version, version - 1} {
-				req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/", at.settings.Clients, v), nil)
+				req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v%d/", target.settings.Clients, v), nil)
 				if err != nil {
 					panic(err) // the request is well-formed
 				}
 				req.Host = host
-				id := fmt.Sprintf("p%d-%s-%d", n, at.settings.Node, v)
+				id := fmt.Sprintf("p%d-%s-%d", n, target.settings.Node, v)
 				r.check.RecordRequest(id, true, Caller{Team: unlimitedTeam, Version: version, At: time.Now(), Tokens: standin.PlainTokens,
-					Node: at.settings.Node})
+					Node: target.settings.Node})
 				standin.Call{ID: id, Key: key(unlimitedTeam, version)}.SetHeaders(req.Header)
 				resp, err := c.Do(req)
 				if err != nil {
 					continue
 				}
 				_ = resp.Body.Close()
-				if resp.StatusCode == http.StatusOK && process == fmt.Sprintf("%s/%d", at.settings.Node, at.incarnation()) {
+				if resp.StatusCode == http.StatusOK && process == fmt.Sprintf("%s/%d", target.settings.Node, target.incarnation()) {
 					r.check.RecordServed(process, v)
 				}
 			}
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -33,9 +33,9 @@
 	require.NoError(t, err, string(out))
 	for _, s := range seeds {
 		r := &soak.Run{Binary: binary, Seed: s.seed, Duration: 6 * time.Second, Nodes: 3, Dir: t.TempDir(), Log: io.Discard}
-		broken, err := r.Do(context.Background())
+		violations, err := r.Do(context.Background())
 		require.NoError(t, err, s)
-		require.Empty(t, broken, s)
+		require.Empty(t, violations, s)
 	}
 }
 
