--- a/internal/testbed/standin/engine/doc.go
+++ b/internal/testbed/standin/engine/doc.go
@@ -17,5 +17,5 @@
 //	defer e.Close()
 //	e.Preload(item, 40)
 //	want := engine.Answer(item, "prompt", 8)
-//	e.Faults.Put(fault.Faults{CutStreams: 1, CutAfter: 3})
+//	e.Faults.SetFaults(fault.Faults{CutStreams: 1, CutAfter: 3})
 package engine
--- a/internal/testbed/standin/engine/engine.go
+++ b/internal/testbed/standin/engine/engine.go
@@ -72,7 +72,7 @@
 		memory       *memory.Memory
 		batch        batch
 		cache        *prefix.Cache
-		orders       map[string]bool // by order id; true if completed
+		orders       map[string]bool // by order ID; true if completed
 		requests     map[string]*request
 		finished     []*request // in the order in which they finished
 		arrivals     uint64
@@ -83,7 +83,7 @@
 )
 
 // Start starts the engine and its server and returns the address. It may be called
-// again after Close: the engine then has a new boot id and no loaded items.
+// again after Close: the engine then has a new boot ID and no loaded items.
 func (e *Engine) Start() (string, error) {
 	mux := http.NewServeMux()
 	mux.Handle("/engine/v1/", e.Handler())
@@ -118,7 +118,7 @@
 }
 
 // Crash discards all state of the engine and closes all connections. The engine is
-// available again after RestartAfter, with a new boot id. If OnCrash is set, Crash
+// available again after RestartAfter, with a new boot ID. If OnCrash is set, Crash
 // only calls that.
 func (e *Engine) Crash() {
 	e.mu.Lock()
--- a/internal/testbed/standin/engine/engine_test.go
+++ b/internal/testbed/standin/engine/engine_test.go
@@ -350,7 +350,7 @@
 }
 
 // TestCrash checks that a request which crashes the engine makes it unavailable until
-// it has restarted, and that the engine then has a new boot id and no items.
+// it has restarted, and that the engine then has a new boot ID and no items.
 func TestCrash(t *testing.T) {
 	e := &engine.Engine{MemoryBytes: 100, Slots: 2, Step: 10 * time.Millisecond, RestartAfter: time.Second}
 	runSimulated(t, e, func(t *testing.T, h http.Handler) {
--- a/internal/testbed/standin/engine/memory/memory.go
+++ b/internal/testbed/standin/engine/memory/memory.go
@@ -26,7 +26,7 @@
 		Bytes   int64
 		Users   int    // unfinished requests that use the item
 		Pending bool   // the load is still running
-		Order   string // id of the order being executed, empty if none
+		Order   string // ID of the order being executed, empty if none
 	}
 
 	// Memory is the accelerator memory of an engine. Sizes are in bytes.
--- a/internal/testbed/standin/engine/orders.go
+++ b/internal/testbed/standin/engine/orders.go
@@ -63,12 +63,12 @@
 		http.Error(w, "order-id must be set, op must be load or unload, and bytes must not be negative", http.StatusBadRequest)
 		return
 	}
-	v := e.acceptOrder(o)
-	if v.status == http.StatusConflict {
-		fault.WriteJSON(w, v.status, v.refusal)
+	reply := e.acceptOrder(o)
+	if reply.status == http.StatusConflict {
+		fault.WriteJSON(w, reply.status, reply.refusal)
 		return
 	}
-	fault.WriteJSON(w, v.status, struct{}{})
+	fault.WriteJSON(w, reply.status, struct{}{})
 }
 
 // acceptOrder checks an order, executes it immediately or schedules it, and returns
@@ -125,16 +125,16 @@
 
 // execute executes an order and returns the response.
 func (e *Engine) execute(b *boot, o backend.Order) orderReply {
-	var v orderReply
+	var reply orderReply
 	if o.Op == backend.Load {
-		v = e.beginLoad(b, o)
+		reply = e.beginLoad(b, o)
 	} else {
-		v = e.beginUnload(b, o)
+		reply = e.beginUnload(b, o)
 	}
-	if v.status == http.StatusOK || v.status == http.StatusAccepted {
-		b.orders[o.OrderID] = v.status == http.StatusOK
+	if reply.status == http.StatusOK || reply.status == http.StatusAccepted {
+		b.orders[o.OrderID] = reply.status == http.StatusOK
 	}
-	return v
+	return reply
 }
 
 // satisfied reports whether the item is in the state that the order requests.
@@ -243,9 +243,9 @@
 		return nil
 	}
 	c := &jsonhttp.Client{Address: e.WeightAddress, DisableReuse: true}
-	a, err := c.JSON(ctx, http.MethodPost, weights.LoadPath, weights.LoadRequest{Item: o.Item.String(), Bytes: o.Bytes}, nil)
-	if err == nil && a.Status != http.StatusOK {
-		return eris.Errorf("weight store responded with status %d", a.Status)
+	resp, err := c.JSON(ctx, http.MethodPost, weights.LoadPath, weights.LoadRequest{Item: o.Item.String(), Bytes: o.Bytes}, nil)
+	if err == nil && resp.Status != http.StatusOK {
+		return eris.Errorf("weight store responded with status %d", resp.Status)
 	}
 	return err
 }
--- a/internal/testbed/standin/table/doc.go
+++ b/internal/testbed/standin/table/doc.go
@@ -6,5 +6,5 @@
 //	t := &table.Table{}
 //	address, err := t.Start()
 //	defer t.Close()
-//	t.Faults.Put(fault.Faults{DropAnswers: 1})
+//	t.Faults.SetFaults(fault.Faults{DropAnswers: 1})
 package table
--- a/internal/testbed/standin/weights/bandwidth.go
+++ b/internal/testbed/standin/weights/bandwidth.go
@@ -20,57 +20,57 @@
 
 // advance applies the progress of all loads up to now and completes the loads that
 // have no work left.
-func (s *bandwidth) advance(now time.Time) {
-	for s.updatedAt.Before(now) && len(s.loads) > 0 {
-		least, speed := s.leastRemaining(), s.speed()
-		end := s.updatedAt.Add(timeFor(least, speed))
+func (b *bandwidth) advance(now time.Time) {
+	for b.updatedAt.Before(now) && len(b.loads) > 0 {
+		least, speed := b.leastRemaining(), b.speed()
+		end := b.updatedAt.Add(timeFor(least, speed))
 		if end.After(now) {
-			s.progress(time.Duration(float64(now.Sub(s.updatedAt)) * speed))
-			s.updatedAt = now
+			b.progress(time.Duration(float64(now.Sub(b.updatedAt)) * speed))
+			b.updatedAt = now
 			return
 		}
-		s.progress(least)
-		s.updatedAt = end
+		b.progress(least)
+		b.updatedAt = end
 	}
-	s.updatedAt = latest(s.updatedAt, now)
+	b.updatedAt = latest(b.updatedAt, now)
 }
 
 // add starts a load that takes the duration work at full speed.
-func (s *bandwidth) add(now time.Time, work time.Duration) *load {
-	s.advance(now)
+func (b *bandwidth) add(now time.Time, work time.Duration) *load {
+	b.advance(now)
 	l := &load{remaining: work, done: make(chan struct{})}
-	s.loads[l] = struct{}{}
+	b.loads[l] = struct{}{}
 	return l
 }
 
 // remove removes a load that was cancelled.
-func (s *bandwidth) remove(now time.Time, l *load) {
-	s.advance(now)
-	delete(s.loads, l)
+func (b *bandwidth) remove(now time.Time, l *load) {
+	b.advance(now)
+	delete(b.loads, l)
 }
 
 // next returns when the next load completes if no load is added or removed, and
 // false if no load is running.
-func (s *bandwidth) next() (time.Time, bool) {
-	if len(s.loads) == 0 {
+func (b *bandwidth) next() (time.Time, bool) {
+	if len(b.loads) == 0 {
 		return time.Time{}, false
 	}
-	return s.updatedAt.Add(timeFor(s.leastRemaining(), s.speed())), true
+	return b.updatedAt.Add(timeFor(b.leastRemaining(), b.speed())), true
 }
 
 // speed returns the speed of each load, 1 for full speed.
-func (s *bandwidth) speed() float64 {
-	if n := len(s.loads); n > s.fullSpeed {
-		return float64(s.fullSpeed) / float64(n)
+func (b *bandwidth) speed() float64 {
+	if n := len(b.loads); n > b.fullSpeed {
+		return float64(b.fullSpeed) / float64(n)
 	}
 	return 1
 }
 
 // leastRemaining returns the remaining work of the load that has the least, or zero
 // if there are no loads.
-func (s *bandwidth) leastRemaining() time.Duration {
+func (b *bandwidth) leastRemaining() time.Duration {
 	least := time.Duration(-1)
-	for l := range s.loads {
+	for l := range b.loads {
 		if least < 0 || l.remaining < least {
 			least = l.remaining
 		}
@@ -80,12 +80,12 @@
 
 // progress reduces the remaining work of each load by d and completes the loads that
 // have none left.
-func (s *bandwidth) progress(d time.Duration) {
-	for l := range s.loads {
+func (b *bandwidth) progress(d time.Duration) {
+	for l := range b.loads {
 		l.remaining -= d
 		if l.remaining <= 0 {
 			close(l.done)
-			delete(s.loads, l)
+			delete(b.loads, l)
 		}
 	}
 }
