--- a/internal/testbed/experiment/client.go
+++ b/internal/testbed/experiment/client.go
@@ -24,8 +24,8 @@
 const (
 	// abandonAfter is the time after its deadline at which a client abandons a request.
 	abandonAfter = 2 * time.Second
-	// maxSends is the maximum number of attempts of a client for one request.
-	maxSends = 5
+	// maxAttempts is the maximum number of attempts of a client per request.
+	maxAttempts = 5
 	// lostReason is the reason of a request to which the client received no response.
 	lostReason = "connection-lost"
 	// maxLine is the maximum length of a line of a stream, in bytes.
@@ -130,7 +130,7 @@
 		panic(err) // strings and numbers can always be encoded
 	}
 	got := &response{}
-	for range maxSends {
+	for range maxAttempts {
 		if retry := c.send(ctx, a, body, got); !retry || ctx.Err() != nil {
 			break
 		}
@@ -162,8 +162,8 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+workload.Key(a.Team))
 	req.Header.Set("X-Kind", a.Mix.Name)
-	left := time.Until(c.start.Add(a.At + time.Duration(a.Mix.DeadlineMS)*time.Millisecond))
-	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	remaining := time.Until(c.start.Add(a.At + time.Duration(a.Mix.DeadlineMS)*time.Millisecond))
+	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
 	if got.lastID != "" {
 		req.Header.Set("Last-Event-ID", got.lastID)
 	}
@@ -185,8 +185,8 @@
 
 // read reads a stream and reports whether the stream ended, completely or with an error
 // event, before the connection broke.
-func (g *response) read(r io.Reader) (ended bool) {
-	s := bufio.NewScanner(r)
+func (r *response) read(body io.Reader) (ended bool) {
+	s := bufio.NewScanner(body)
 	s.Buffer(make([]byte, 0, 4096), maxLine)
 	errorSeen := false
 	id := ""
@@ -200,7 +200,7 @@
 		case line == dataPrefix+doneData:
 			return true
 		case strings.HasPrefix(line, dataPrefix):
-			if g.event([]byte(line[len(dataPrefix):]), id, errorSeen) {
+			if r.event([]byte(line[len(dataPrefix):]), id, errorSeen) {
 				return true
 			}
 		}
@@ -209,30 +209,30 @@
 }
 
 // event processes one event and reports whether it is a failure.
-func (g *response) event(data []byte, id string, failed bool) bool {
+func (r *response) event(data []byte, id string, failed bool) bool {
 	var e event
 	if json.Unmarshal(data, &e) != nil || failed && e.Error == nil {
-		g.outcome, g.reason = string(outcome.Unknown), "malformed"
+		r.outcome, r.reason = string(outcome.Unknown), "malformed"
 		return true
 	}
 	if e.Error != nil {
-		g.outcome, g.reason = e.Error.Outcome, e.Error.Type
+		r.outcome, r.reason = e.Error.Outcome, e.Error.Type
 		return true
 	}
 	now := time.Now()
 	for _, choice := range e.Choices {
 		if choice.FinishReason != nil {
-			g.finished, g.outcome, g.reason = true, string(outcome.Done), ""
+			r.finished, r.outcome, r.reason = true, string(outcome.Done), ""
 			continue
 		}
-		g.tokens = append(g.tokens, choice.Text)
-		if g.first.IsZero() {
-			g.first = now
+		r.tokens = append(r.tokens, choice.Text)
+		if r.first.IsZero() {
+			r.first = now
 		} else {
-			g.gaps = append(g.gaps, now.Sub(g.last))
+			r.gaps = append(r.gaps, now.Sub(r.last))
 		}
-		g.last = now
+		r.last = now
 	}
-	g.lastID = id
+	r.lastID = id
 	return false
 }
