--- a/internal/testbed/measure/point.go
+++ b/internal/testbed/measure/point.go
@@ -173,14 +173,14 @@
 	t := time.NewTicker(pollPeriod)
 	defer t.Stop()
 	for {
-		unmetCondition := m.unmetCondition()
-		if unmetCondition == "" {
+		condition := m.unmetCondition()
+		if condition == "" {
 			break
 		}
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return &NotReadyError{Condition: unmetCondition}
+			return &NotReadyError{Condition: condition}
 		}
 	}
 	time.Sleep(m.set.Settle)
