--- a/internal/testbed/workload/generate.go
+++ b/internal/testbed/workload/generate.go
@@ -14,8 +14,8 @@
 
 const (
 	defaultBurstFactor = 10.0
-	defaultOn          = 5 * time.Second
-	defaultOff         = 20 * time.Second
+	defaultMeanOn      = 5 * time.Second
+	defaultMeanOff     = 20 * time.Second
 	defaultPrefixes    = 4
 	popularityExponent = 0.9
 	teamExponent       = 1.1
@@ -71,8 +71,8 @@
 func (s Settings) withDefaults() Settings {
 	s.Load = cmp.Or(s.Load, 0.8)
 	s.BurstFactor = cmp.Or(s.BurstFactor, defaultBurstFactor)
-	s.MeanOn = cmp.Or(s.MeanOn, defaultOn)
-	s.MeanOff = cmp.Or(s.MeanOff, defaultOff)
+	s.MeanOn = cmp.Or(s.MeanOn, defaultMeanOn)
+	s.MeanOff = cmp.Or(s.MeanOff, defaultMeanOff)
 	s.Prefixes = cmp.Or(s.Prefixes, defaultPrefixes)
 	return s
 }
@@ -177,8 +177,8 @@
 func (s Settings) rateScale(items []item) float64 {
 	var work float64
 	for _, it := range items {
-		for _, t := range it.phases {
-			work += t.rate * (t.to - t.from).Seconds()
+		for _, p := range it.phases {
+			work += p.rate * (p.to - p.from).Seconds()
 		}
 	}
 	if work == 0 {
@@ -190,14 +190,14 @@
 // arrivals draws the arrival times of the requests for an item.
 func (it *item) arrivals(scale float64, random *rand.Rand) []time.Duration {
 	var out []time.Duration
-	for _, t := range it.phases {
-		rate := t.rate * scale
+	for _, p := range it.phases {
+		rate := p.rate * scale
 		if rate <= 0 {
 			continue
 		}
-		for at := t.from; ; {
+		for at := p.from; ; {
 			at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-			if at >= t.to {
+			if at >= p.to {
 				break
 			}
 			out = append(out, at)
