--- a/internal/testbed/sample/sample.go
+++ b/internal/testbed/sample/sample.go
@@ -62,34 +62,34 @@
 
 // backendServers returns the backend servers, distributed over the data centres in
 // turn.
-func (f layout) backendServers() []config.BackendServer {
+func (l layout) backendServers() []config.BackendServer {
 	var list []config.BackendServer
-	for i := range f.engines {
-		dc := i % len(f.dataCentres)
+	for i := range l.engines {
+		dc := i % len(l.dataCentres)
 		s := config.BackendServer{
 			Name:           fmt.Sprintf("engine-%02d", i+1),
 			Type:           config.Engine,
-			Address:        fmt.Sprintf(networkAddress, f.network, dc+1, i+1, enginePort),
-			DataCentre:     f.dataCentres[dc],
+			Address:        fmt.Sprintf(networkAddress, l.network, dc+1, i+1, enginePort),
+			DataCentre:     l.dataCentres[dc],
 			MemoryBytes:    engineMemory,
 			KVReserveBytes: engineReserve,
-			ChecksOrders:   i < f.orderChecking,
+			ChecksOrders:   i < l.orderChecking,
 			Slots:          engineSlots,
-			StepMS:         f.stepMS,
+			StepMS:         l.stepMS,
 		}
 		if !s.ChecksOrders {
 			s.OrderLifetimeMS = orderLifetime
 		}
 		list = append(list, s)
 	}
-	for i := range f.servers {
-		dc := i % len(f.dataCentres)
+	for i := range l.servers {
+		dc := i % len(l.dataCentres)
 		list = append(list, config.BackendServer{
-			Name:       fmt.Sprintf("%s-%02d", f.service, i+1),
+			Name:       fmt.Sprintf("%s-%02d", l.service, i+1),
 			Type:       config.Service,
-			Service:    f.service,
-			Address:    fmt.Sprintf(networkAddress, f.network, dc+1, 100+i+1, servicePort),
-			DataCentre: f.dataCentres[dc],
+			Service:    l.service,
+			Address:    fmt.Sprintf(networkAddress, l.network, dc+1, 100+i+1, servicePort),
+			DataCentre: l.dataCentres[dc],
 			Slots:      serviceSlots,
 		})
 	}
@@ -117,12 +117,12 @@
 }
 
 // adapters returns count adapters, assigned to the models in turn.
-func adapters(prefix string, count int, of []config.Model) []config.Adapter {
+func adapters(prefix string, count int, bases []config.Model) []config.Adapter {
 	list := make([]config.Adapter, count)
 	for i := range list {
 		list[i] = config.Adapter{
 			Name:          fmt.Sprintf("%s-%03d", prefix, i+1),
-			Model:         of[i%len(of)].Name,
+			Model:         bases[i%len(bases)].Name,
 			Version:       firstVersion,
 			Bytes:         adapterBytes,
 			LoadPeakBytes: adapterPeak,
