--- a/internal/testbed/bound/bound.go
+++ b/internal/testbed/bound/bound.go
@@ -25,13 +25,13 @@
 	"guavapaddle/internal/testbed/workload"
 )
 
-// cachedTail is the number of tokens at the end of a prompt that are never cached.
-const cachedTail = 24
+// uncachedTail is the number of tokens at the end of a prompt that are never cached.
+const uncachedTail = 24
 
 type (
 	// job is a running request.
 	job struct {
-		number   int
+		arrival  int // index of its arrival
 		started  time.Duration
 		perToken time.Duration
 		tokens   int
@@ -104,12 +104,12 @@
 func queueTime(at time.Duration) time.Time { return time.Unix(0, 0).Add(at) }
 
 // enqueue adds an arrival, or the remainder of a preempted one, to the queue.
-func (p *pool) enqueue(number int, now time.Duration) {
-	a := p.arrivals[number]
+func (p *pool) enqueue(arrival int, now time.Duration) {
+	a := p.arrivals[arrival]
 	deadline := a.At + time.Duration(a.Mix.DeadlineMS)*time.Millisecond
 	p.q.Enqueue(queueTime(now), queue.Entry{
-		ID: strconv.Itoa(number), Kind: a.Mix.Name, Urgency: a.Mix.Urgency, Value: a.Mix.Value,
-		Deadline: queueTime(deadline), Tokens: p.remaining[number],
+		ID: strconv.Itoa(arrival), Kind: a.Mix.Name, Urgency: a.Mix.Urgency, Value: a.Mix.Value,
+		Deadline: queueTime(deadline), Tokens: p.remaining[arrival],
 	})
 }
 
@@ -125,21 +125,21 @@
 		if e.Preempts != "" {
 			p.preempt(e.Preempts, now)
 		}
-		number, _ := strconv.Atoi(e.ID)
-		p.run(number, now)
+		arrival, _ := strconv.Atoi(e.ID)
+		p.run(arrival, now)
 	}
 }
 
 // run starts a request at the step time of the mean batch.
-func (p *pool) run(number int, now time.Duration) {
+func (p *pool) run(arrival int, now time.Duration) {
 	batch := (len(p.running) + p.deployment.Engines) / p.deployment.Engines
 	j := &job{
-		number: number, started: now + cachedTail*p.deployment.Prefill, tokens: p.remaining[number],
+		arrival: arrival, started: now + uncachedTail*p.deployment.Prefill, tokens: p.remaining[arrival],
 		perToken: p.deployment.Step + time.Duration(batch-1)*p.deployment.StepSlope,
 	}
 	j.ends = j.started + time.Duration(j.tokens)*j.perToken
 	heap.Push(&p.ends, j)
-	p.running[strconv.Itoa(number)] = j
+	p.running[strconv.Itoa(arrival)] = j
 }
 
 // preempt stops a running request and enqueues it again with the tokens that it still needs.
@@ -148,9 +148,9 @@
 	delete(p.running, id)
 	heap.Remove(&p.ends, j.index)
 	generated := int(max(0, now-j.started) / j.perToken)
-	p.remaining[j.number] = max(1, j.tokens-generated)
+	p.remaining[j.arrival] = max(1, j.tokens-generated)
 	p.q.Done(id, queueTime(now), 0)
-	p.enqueue(j.number, now)
+	p.enqueue(j.arrival, now)
 }
 
 // finishUntil ends, in order, the requests that complete by a time, and starts others in
@@ -158,11 +158,11 @@
 func (p *pool) finishUntil(until time.Duration) {
 	for len(p.ends) > 0 && p.ends[0].ends <= until {
 		j := heap.Pop(&p.ends).(*job)
-		id := strconv.Itoa(j.number)
+		id := strconv.Itoa(j.arrival)
 		delete(p.running, id)
 		p.q.Done(id, queueTime(j.ends), (j.ends - j.started).Seconds())
-		a := p.arrivals[j.number]
-		p.met[j.number] = j.ends <= a.At+time.Duration(a.Mix.DeadlineMS)*time.Millisecond
+		a := p.arrivals[j.arrival]
+		p.met[j.arrival] = j.ends <= a.At+time.Duration(a.Mix.DeadlineMS)*time.Millisecond
 		p.start(j.ends)
 	}
 }
