--- a/io/caller/listen.go
+++ b/io/caller/listen.go
@@ -21,7 +21,7 @@
 	logging.SetLevel(logging.LevelNone)
 	s.watchedConns = map[net.Conn]*watchedConn{}
 	if s.IdleTimeout == 0 {
-		s.IdleTimeout = defaultIdle
+		s.IdleTimeout = defaultIdleTimeout
 	}
 	l, err := net.Listen("tcp", s.Address)
 	if err != nil {
--- a/io/caller/server.go
+++ b/io/caller/server.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	hardBodyBytes      = 32 << 20 // a connection with a larger body is closed without a response
-	writeBuffer        = 8 << 20  // a caller with more unread bytes than this is disconnected
-	watchPeriod        = 50 * time.Millisecond
-	defaultIdle        = 2 * time.Minute
-	defaultStreams     = 4096
-	defaultBodyBytes   = 4 << 20
-	defaultHeaderBytes = 32 << 10
-	hardReadBytes      = hardBodyBytes + 1<<20 // limit of one request including its headers
-	headerOverhead     = 4                     // length of ": " and CR LF in each header line
-	pollerCount        = 1                     // one suffices: it only reads and parses, handlers run in their own goroutines
-	pollerTimeout      = 10 * time.Second      // limit of the time from the engine's start to the poller's first read
+	hardBodyBytes          = 32 << 20 // a connection with a larger body is closed without a response
+	writeBuffer            = 8 << 20  // a caller with more unread bytes than this is disconnected
+	watchPeriod            = 50 * time.Millisecond
+	defaultIdleTimeout     = 2 * time.Minute
+	defaultMaxOpenRequests = 4096
+	defaultBodyBytes       = 4 << 20
+	defaultHeaderBytes     = 32 << 10
+	hardReadBytes          = hardBodyBytes + 1<<20 // limit of one request including its headers
+	headerOverhead         = 4                     // length of ": " and CR LF in each header line
+	pollerCount            = 1                     // one suffices: it only reads and parses, handlers run in their own goroutines
+	pollerTimeout          = 10 * time.Second      // limit of the time from the engine's start to the poller's first read
 )
 
 type (
@@ -172,7 +172,7 @@
 	started := time.Now()
 	rw := &responseWriter{w: w, id: id}
 	deferClose(w, r)
-	if n := s.open.Add(1); n > int64(s.streams()) {
+	if n := s.open.Add(1); n > int64(s.maxOpenRequests()) {
 		s.open.Add(-1)
 		s.refuse(rw, started, outcome.Refuse(outcome.QueueFull, "requests of this node", time.Second))
 		return
@@ -300,10 +300,10 @@
 	return readBody(r.Body, limit)
 }
 
-// streams returns the limit of open requests.
-func (s *Server) streams() int {
+// maxOpenRequests returns the limit of open requests.
+func (s *Server) maxOpenRequests() int {
 	if s.MaxOpenRequests == nil {
-		return defaultStreams
+		return defaultMaxOpenRequests
 	}
 	return s.MaxOpenRequests()
 }
