--- a/io/http1/exchange.go
+++ b/io/http1/exchange.go
@@ -42,7 +42,7 @@
 )
 
 const (
-	unanswered state = iota
+	notStarted state = iota
 	headerWritten
 	ended
 	aborted
@@ -52,11 +52,11 @@
 func (x *Exchange) Context() context.Context { return x.ctx }
 
 // HeaderWritten reports whether the response has started.
-func (x *Exchange) HeaderWritten() bool { return x.state != unanswered }
+func (x *Exchange) HeaderWritten() bool { return x.state != notStarted }
 
 // Respond sends a complete response.
 func (x *Exchange) Respond(status int, h http.Header, body []byte) error {
-	if x.state != unanswered {
+	if x.state != notStarted {
 		return errResponseOrder
 	}
 	x.state = ended
@@ -68,10 +68,10 @@
 	return x.flush()
 }
 
-// WriteHeader starts a response of unknown length. Its head is sent with the first bytes of the
-// body.
+// WriteHeader starts a response of unknown length. Its head is sent with the first bytes of
+// the body.
 func (x *Exchange) WriteHeader(status int, h http.Header) error {
-	if x.state != unanswered {
+	if x.state != notStarted {
 		return errResponseOrder
 	}
 	x.state = headerWritten
