--- a/io/jsonhttp/client.go
+++ b/io/jsonhttp/client.go
@@ -136,17 +136,17 @@
 		call.Body = b
 		call.Header.Set("Content-Type", "application/json")
 	}
-	a, err := c.Do(ctx, call)
+	resp, err := c.Do(ctx, call)
 	if err != nil {
 		return Response{}, err
 	}
-	if a.Status != http.StatusOK || out == nil {
-		return a, nil
+	if resp.Status != http.StatusOK || out == nil {
+		return resp, nil
 	}
-	if err := json.Unmarshal(a.Body, out); err != nil {
-		return a, c.newError(Malformed, nil, err)
+	if err := json.Unmarshal(resp.Body, out); err != nil {
+		return resp, c.newError(Malformed, nil, err)
 	}
-	return a, nil
+	return resp, nil
 }
 
 // Close closes idle connections. Calls in progress are not affected.
--- a/io/jsonhttp/client_test.go
+++ b/io/jsonhttp/client_test.go
@@ -169,9 +169,9 @@
 		<-time.After(10 * time.Millisecond)
 		release <- struct{}{}
 	}()
-	a, err := c.Do(ctx, jsonhttp.Call{Method: http.MethodPost, Path: "/", Body: []byte("x")})
+	resp, err := c.Do(ctx, jsonhttp.Call{Method: http.MethodPost, Path: "/", Body: []byte("x")})
 	require.NoError(t, err)
-	require.Equal(t, "answer", string(a.Body))
+	require.Equal(t, "answer", string(resp.Body))
 
 	ctx = &overdueContext{Context: t.Context(), done: make(chan struct{})}
 	go func() {
--- a/io/jsonhttp/doc.go
+++ b/io/jsonhttp/doc.go
@@ -3,9 +3,9 @@
 //
 // This package never repeats a call. The Transport of net/http replays a request if a reused
 // connection breaks and the request has a body that can be read again or an Idempotency-Key
-// header. A Client with DisableReuse set opens a new connection for each call, so there is nothing
-// to replay. Bodies are always sent without GetBody, so a Client that reuses connections
-// replays only calls without a body.
+// header. A Client with DisableReuse set opens a new connection for each call, so there is
+// nothing to replay. Bodies are always sent without GetBody, so a Client that reuses
+// connections replays only calls without a body.
 //
 // Writes are counted at the connection and not by httptrace, because its WroteHeaders is
 // called only after the first part of a large header has been sent. When a call fails, its
@@ -20,7 +20,7 @@
 //
 //	c := &jsonhttp.Client{Address: "127.0.0.1:9000"}
 //	var out row.Result
-//	status, err := c.JSON(ctx, http.MethodPost, "/table/v1/transact", tx, &out)
+//	resp, err := c.JSON(ctx, http.MethodPost, "/table/v1/transact", tx, &out)
 //	var e *jsonhttp.Error
 //	if errors.As(err, &e) && e.Stage == jsonhttp.NotSent {
 //		// The server has not received any part of the call.
