--- a/io/engine/client.go
+++ b/io/engine/client.go
@@ -77,22 +77,22 @@
 // State returns the inventory and load of the engine. Every failure is an *Error.
 func (c *Client) State(ctx context.Context) (backend.State, error) {
 	var out backend.State
-	a, err := c.call(ctx, http.MethodGet, statePath, nil, &out)
+	resp, err := c.call(ctx, http.MethodGet, statePath, nil, &out)
 	if err != nil {
 		return out, err
 	}
-	return out, c.expect(a, http.StatusOK)
+	return out, c.expect(resp, http.StatusOK)
 }
 
 // Fence raises the engine's fencing token to fence and returns the resulting inventory.
 // Every failure is an *Error, of kind StaleFence if the engine has seen a higher token.
 func (c *Client) Fence(ctx context.Context, fence uint64) (backend.Inventory, error) {
 	var out backend.Inventory
-	a, err := c.call(ctx, http.MethodPost, fencePath, FenceRequest{Fence: fence}, &out)
+	resp, err := c.call(ctx, http.MethodPost, fencePath, FenceRequest{Fence: fence}, &out)
 	if err != nil {
 		return out, err
 	}
-	return out, c.expect(a, http.StatusOK)
+	return out, c.expect(resp, http.StatusOK)
 }
 
 // Order sends an order. It returns true if the requested state already holds and false if
@@ -100,38 +100,38 @@
 // NoBase, InUse, Leaving and NotSent nothing was changed; after Lost and the other kinds the
 // outcome is unknown.
 func (c *Client) Order(ctx context.Context, o backend.Order) (done bool, err error) {
-	a, err := c.call(ctx, http.MethodPost, orderPath, o, nil)
+	resp, err := c.call(ctx, http.MethodPost, orderPath, o, nil)
 	if err != nil {
 		return false, err
 	}
-	switch a.Status {
+	switch resp.Status {
 	case http.StatusOK:
 		return true, nil
 	case http.StatusAccepted:
 		return false, nil
 	}
-	return false, c.refusal(a)
+	return false, c.refusal(resp)
 }
 
 // Cancel cancels a request, whose stream then finishes with "cancelled". Every failure is an
 // *Error.
 func (c *Client) Cancel(ctx context.Context, requestID string) error {
-	a, err := c.call(ctx, http.MethodPost, cancelPath, CancelRequest{RequestID: requestID}, nil)
+	resp, err := c.call(ctx, http.MethodPost, cancelPath, CancelRequest{RequestID: requestID}, nil)
 	if err != nil {
 		return err
 	}
-	return c.expect(a, http.StatusNoContent)
+	return c.expect(resp, http.StatusNoContent)
 }
 
 // CacheEvents returns the events published so far after sequence number since. Every failure
 // is an *Error.
 func (c *Client) CacheEvents(ctx context.Context, since uint64) (CacheEvents, error) {
 	var out CacheEvents
-	a, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s?since=%d", cacheEventsPath, since), nil, &out)
+	resp, err := c.call(ctx, http.MethodGet, fmt.Sprintf("%s?since=%d", cacheEventsPath, since), nil, &out)
 	if err != nil {
 		return out, err
 	}
-	return out, c.expect(a, http.StatusOK)
+	return out, c.expect(resp, http.StatusOK)
 }
 
 // ExportKV returns the KV cache of a request. Every failure is an *Error, of kind
@@ -139,14 +139,14 @@
 func (c *Client) ExportKV(ctx context.Context, requestID string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.calls.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodGet, Path: kvPath + url.PathEscape(requestID)})
+	resp, err := c.calls.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodGet, Path: kvPath + url.PathEscape(requestID)})
 	if err != nil {
 		return nil, c.transportError(err)
 	}
-	if a.Status == http.StatusNotFound {
+	if resp.Status == http.StatusNotFound {
 		return nil, c.newError(UnknownRequest, nil)
 	}
-	return a.Body, c.expect(a, http.StatusOK)
+	return resp.Body, c.expect(resp, http.StatusOK)
 }
 
 // ImportKV sends the KV cache of a request to the engine, where the request can then be
@@ -154,11 +154,11 @@
 func (c *Client) ImportKV(ctx context.Context, requestID string, kv []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.calls.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodPut, Path: kvPath + url.PathEscape(requestID), Body: kv})
+	resp, err := c.calls.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: http.MethodPut, Path: kvPath + url.PathEscape(requestID), Body: kv})
 	if err != nil {
 		return c.transportError(err)
 	}
-	return c.expect(a, http.StatusNoContent)
+	return c.expect(resp, http.StatusNoContent)
 }
 
 // Close closes idle connections. Open streams continue.
@@ -168,31 +168,31 @@
 func (c *Client) call(ctx context.Context, method, path string, in, out any) (jsonhttp.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.calls.WithTraffic(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
+	resp, err := c.calls.WithTraffic(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
 	if err != nil {
-		return a, c.transportError(err)
+		return resp, c.transportError(err)
 	}
-	return a, nil
+	return resp, nil
 }
 
 // expect returns an error unless the response has the given status.
-func (c *Client) expect(a jsonhttp.Response, status int) error {
-	if a.Status == status {
+func (c *Client) expect(resp jsonhttp.Response, status int) error {
+	if resp.Status == status {
 		return nil
 	}
-	return c.refusal(a)
+	return c.refusal(resp)
 }
 
 // refusal returns the error for a response with an unexpected status, such as the rejection
 // of an order or a fence.
-func (c *Client) refusal(a jsonhttp.Response) *Error {
-	e := c.newError(Failed, eris.Errorf("status %d", a.Status))
-	e.statedNotRun = a.Header.Get(NotRunHeader) == "1"
-	switch a.Status {
+func (c *Client) refusal(resp jsonhttp.Response) *Error {
+	e := c.newError(Failed, eris.Errorf("status %d", resp.Status))
+	e.statedNotRun = resp.Header.Get(NotRunHeader) == "1"
+	switch resp.Status {
 	case http.StatusConflict:
 		var r Refusal
-		if json.Unmarshal(a.Body, &r) != nil {
-			return c.newError(Malformed, eris.Errorf("%.200s", a.Body))
+		if json.Unmarshal(resp.Body, &r) != nil {
+			return c.newError(Malformed, eris.Errorf("%.200s", resp.Body))
 		}
 		switch r.Error {
 		case "":
--- a/io/object/object.go
+++ b/io/object/object.go
@@ -86,11 +86,11 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.WithTraffic(c.Address, c.Traffic).Close() }
 
-// call makes one call, which succeeds with status want, and classifies its failure.
-func (c *Client) call(ctx context.Context, method, key string, body []byte, want int) ([]byte, error) {
+// call makes one call, which succeeds with status successStatus, and classifies its failure.
+func (c *Client) call(ctx context.Context, method, key string, body []byte, successStatus int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.http.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: method, Path: pathPrefix + url.PathEscape(key), Body: body})
+	resp, err := c.http.WithTraffic(c.Address, c.Traffic).Do(ctx, jsonhttp.Call{Method: method, Path: pathPrefix + url.PathEscape(key), Body: body})
 	if err != nil {
 		kind := Uncertain
 		if jsonhttp.StageOf(err) == jsonhttp.NotSent {
@@ -98,13 +98,13 @@
 		}
 		return nil, &Error{Kind: kind, Key: key, Err: err}
 	}
-	switch a.Status {
-	case want:
-		return a.Body, nil
+	switch resp.Status {
+	case successStatus:
+		return resp.Body, nil
 	case http.StatusNotFound:
 		return nil, &Error{Kind: NotFound, Key: key, Err: eris.New("no such object")}
 	case http.StatusServiceUnavailable:
 		return nil, &Error{Kind: Unavailable, Key: key, Err: eris.New("refused")}
 	}
-	return nil, &Error{Kind: Uncertain, Key: key, Err: eris.Errorf("status %d", a.Status)}
+	return nil, &Error{Kind: Uncertain, Key: key, Err: eris.Errorf("status %d", resp.Status)}
 }
--- a/io/operator/client.go
+++ b/io/operator/client.go
@@ -84,12 +84,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a, err := c.http.Get(c.Address).JSON(ctx, http.MethodGet, path, nil, out)
+	resp, err := c.http.Get(c.Address).JSON(ctx, http.MethodGet, path, nil, out)
 	if err != nil {
 		return nil, &Error{Address: c.Address, Err: err}
 	}
-	if a.Status != http.StatusOK {
-		return nil, &Error{Address: c.Address, Status: a.Status, Err: eris.Errorf("status %d: %.200s", a.Status, a.Body)}
+	if resp.Status != http.StatusOK {
+		return nil, &Error{Address: c.Address, Status: resp.Status, Err: eris.Errorf("status %d: %.200s", resp.Status, resp.Body)}
 	}
-	return a.Body, nil
+	return resp.Body, nil
 }
--- a/io/service/service.go
+++ b/io/service/service.go
@@ -126,33 +126,33 @@
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, cmp.Or(c.Timeout, DefaultTimeout), errTimeout)
 	defer cancel()
-	a, err := c.httpClient(r).Do(ctx, jsonhttp.Call{Method: r.Method, Path: r.Path, Header: requestHeader(r), Body: r.Body})
+	resp, err := c.httpClient(r).Do(ctx, jsonhttp.Call{Method: r.Method, Path: r.Path, Header: requestHeader(r), Body: r.Body})
 	if err != nil {
 		return Response{}, c.transportError(ctx, err)
 	}
-	echo := a.Header.Get(RequestIDHeader)
-	refused := a.Status == http.StatusServiceUnavailable && a.Header.Get(NotRunHeader) == "1"
+	echo := resp.Header.Get(RequestIDHeader)
+	refused := resp.Status == http.StatusServiceUnavailable && resp.Header.Get(NotRunHeader) == "1"
 	if echo != r.RequestID && (echo != "" || !refused) {
 		return Response{}, c.newError(WrongRequest, eris.Errorf("answer of %q to %q", echo, r.RequestID))
 	}
 	if refused {
 		return Response{}, c.newError(Refused, nil)
 	}
-	return Response{Status: a.Status, Header: a.Header, Body: a.Body}, nil
+	return Response{Status: resp.Status, Header: resp.Header, Body: resp.Body}, nil
 }
 
-// Load returns the server's load report, which lags behind. Every failure is an
+// Load returns the server's load report, which may be out of date. Every failure is an
 // *Error.
 func (c *Client) Load(ctx context.Context) (backend.LoadReport, error) {
 	var out backend.LoadReport
 	ctx, cancel := context.WithTimeoutCause(ctx, cmp.Or(c.Timeout, DefaultTimeout), errTimeout)
 	defer cancel()
-	a, err := c.reusing.Get(c.Address).JSON(ctx, http.MethodGet, LoadPath, nil, &out)
+	resp, err := c.reusing.Get(c.Address).JSON(ctx, http.MethodGet, LoadPath, nil, &out)
 	if err != nil {
 		return out, c.transportError(ctx, err)
 	}
-	if a.Status != http.StatusOK {
-		return out, c.newError(Malformed, eris.Errorf("status %d", a.Status))
+	if resp.Status != http.StatusOK {
+		return out, c.newError(Malformed, eris.Errorf("status %d", resp.Status))
 	}
 	return out, nil
 }
--- a/io/vmlist/vmlist.go
+++ b/io/vmlist/vmlist.go
@@ -119,7 +119,7 @@
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(c.Timeout, DefaultTimeout))
 	defer cancel()
-	a, err := c.http.WithTraffic(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
+	resp, err := c.http.WithTraffic(c.Address, c.Traffic).JSON(ctx, method, path, in, out)
 	if err != nil {
 		kind := Uncertain
 		if jsonhttp.StageOf(err) == jsonhttp.NotSent {
@@ -127,11 +127,11 @@
 		}
 		return &Error{Kind: kind, Call: path, Err: err}
 	}
-	switch a.Status {
+	switch resp.Status {
 	case http.StatusOK:
 		return nil
 	case http.StatusServiceUnavailable:
 		return &Error{Kind: Unavailable, Call: path, Err: eris.New("refused")}
 	}
-	return &Error{Kind: Uncertain, Call: path, Err: eris.Errorf("status %d", a.Status)}
+	return &Error{Kind: Uncertain, Call: path, Err: eris.Errorf("status %d", resp.Status)}
 }
