--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -80,13 +80,13 @@
 		return err
 	}
 	queried := c.addresses(r)
-	a := queryNodes(ctx, queried, id)
-	for _, err := range a.failures {
+	results := queryNodes(ctx, queried, id)
+	for _, err := range results.failures {
 		c.errorf("%s: %v\n", program, err)
 	}
-	e := status.Merge(id, a.explanations...)
+	e := status.Merge(id, results.explanations...)
 	if len(e.Events) == 0 {
-		return &NotFoundError{RequestID: id, Queried: len(queried), Unanswered: len(a.failures)}
+		return &NotFoundError{RequestID: id, Queried: len(queried), Unanswered: len(results.failures)}
 	}
 	if c.output == outputJSON {
 		c.printJSON(e)
@@ -112,29 +112,29 @@
 
 // queryNodes queries all addresses for the events of a request.
 func queryNodes(ctx context.Context, addresses []string, id string) *queryResults {
-	a := &queryResults{}
+	results := &queryResults{}
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentQueries)
 	for _, address := range addresses {
 		g.Go(func() error {
 			e, err := (&operator.Client{Address: address}).Explain(ctx, id)
-			a.add(e, err)
+			results.add(e, err)
 			return nil
 		})
 	}
 	_ = g.Wait()
-	slices.SortFunc(a.failures, func(x, y error) int { return strings.Compare(x.Error(), y.Error()) })
-	return a
+	slices.SortFunc(results.failures, func(x, y error) int { return strings.Compare(x.Error(), y.Error()) })
+	return results
 }
 
-func (a *queryResults) add(e status.Explanation, err error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (q *queryResults) add(e status.Explanation, err error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	switch {
 	case err == nil:
-		a.explanations = append(a.explanations, e)
+		q.explanations = append(q.explanations, e)
 	case !operator.NotFound(err):
-		a.failures = append(a.failures, err)
+		q.failures = append(q.failures, err)
 	}
 }
 
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestBootIsMonotonic(t *testing.T) {
+func TestSinceBootIsMonotonic(t *testing.T) {
 	last := clock.SinceBoot()
 	for range 100 {
 		now := clock.SinceBoot()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -75,7 +75,7 @@
 func (r *Requests) RequestStarted() { r.open.Inc() }
 
 // RequestEnded records the end of a request. err is nil if it succeeded; afterDeadline
-// reports whether it then completed after its deadline.
+// reports whether a successful request completed after its deadline.
 func (r *Requests) RequestEnded(kind string, err error, took time.Duration, afterDeadline bool) {
 	r.open.Dec()
 	e := outcome.From(err)
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -9,7 +9,7 @@
 
 const (
 	// DefaultCapacity is the default number of events that a Recorder holds:
-	// about seven minutes at 6 requests per second and node and 6 events per
+	// about seven minutes at 6 requests per second on the node and 6 events per
 	// request.
 	DefaultCapacity = 16384
 	// DefaultPerRequest is the default maximum number of events of one request.
