--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs, as a process, a stand-in for one of the systems that
-// guavapaddle depends on: the platform, a model engine or a plain service.
+// Command standin runs a stand-in for one of the systems that guavapaddle depends
+// on, as a separate process: the platform, a model engine or a plain service.
 //
 // # Usage
 //
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -23,7 +23,7 @@
 	nodeKey    = "node"
 )
 
-// LevelError reports a log level that zap does not know.
+// LevelError reports an invalid log level.
 type LevelError struct {
 	Level string
 	Err   error
--- a/io/engine/error.go
+++ b/io/engine/error.go
@@ -22,7 +22,7 @@
 	// Refused means that the engine stated with another status that it did not run the
 	// request, or that it rejected an order.
 	Refused Kind = "refused"
-	// Duplicate means that the engine already knows the request id.
+	// Duplicate means that the engine already has a request with this id.
 	Duplicate Kind = "duplicate"
 	// UnknownRequest means that the request to resume or export does not exist.
 	UnknownRequest Kind = "unknown-request"
--- a/io/engine/stream.go
+++ b/io/engine/stream.go
@@ -59,8 +59,8 @@
 )
 
 // Generate sends g and returns once the request has started in the engine's batch, or with
-// an error after FirstEventTimeout. Every failure is an *Error whose NotRun reports whether the
-// request certainly did not run. The stream ends when ctx ends.
+// an error after FirstEventTimeout. Every failure is an *Error whose NotRun reports whether
+// the request certainly did not run. The stream ends when ctx ends.
 func (c *Client) Generate(ctx context.Context, g backend.Generate, o StreamOptions) (*Stream, error) {
 	s, e := c.open(ctx, generatePath, g, g.RequestID, 0, o)
 	if e != nil {
@@ -70,8 +70,8 @@
 }
 
 // Resume returns the rest of a response from r.Offset. Every failure is an *Error, of kind
-// UnknownRequest if the engine does not know the request. No failure proves that the request
-// did not run.
+// UnknownRequest if the engine has no such request. No failure proves that the request did
+// not run.
 func (c *Client) Resume(ctx context.Context, r backend.Resume, o StreamOptions) (*Stream, error) {
 	s, e := c.open(ctx, resumePath, r, r.RequestID, r.Offset, o)
 	if e != nil {
