--- a/io/operator/doc.go
+++ b/io/operator/doc.go
@@ -12,7 +12,7 @@
 //
 // # Usage
 //
-//	h := &operator.Handler{Readiness: n, Reporter: n, Explainer: recorder, ConfigBodies: follower}
+//	h := &operator.Handler{Readiness: n, Reporter: n, Explainer: recorder, Bodies: follower}
 //	http.Handle("/", h)
 //
 //	c := &operator.Client{Address: "127.0.0.1:7001"}
